--- a/src/bergamotmast/entry/__init__.py
+++ b/src/bergamotmast/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: callers on one side, side processes on the other."""
+"""The entry: a gateway process between callers and the upstreams' sides."""
--- a/src/bergamotmast/entry/attempt.py
+++ b/src/bergamotmast/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt as its entry sees it: where it is and what was heard of it."""
+"""One attempt to run a request, as its entry tracks it, and the attempt's events."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SessionLost:
-    """The session with the side is lost; it may come back."""
+    """The session with the side was lost; a new one may be opened."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SideReplaced:
-    """Another side process answers at the address: what ran is not known."""
+    """Another side process answers at the address: the attempt's fate is unknown."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """The caller's deadline has passed, or the entry's own time is over."""
+    """The caller's deadline has passed, or the entry ends its requests."""
 
 
 Event: t.TypeAlias = (
@@ -39,12 +39,12 @@
 
 
 class EntryAttempt:
-    """An offer handed to a side.
+    """An offer handed to a side, and the queue of events that concern it.
 
     :param name: unique over the life of the system.
-    :param upstream: where it went.
-    :param cost: predicted work.
-    :param survives_session: whether it goes on at the side when the session is lost.
+    :param upstream: name of the upstream that it was offered to.
+    :param cost: predicted work, in tokens.
+    :param survives_session: whether the side goes on with it when the session is lost.
     """
 
     def __init__(
@@ -62,6 +62,6 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def on_progress(self, tokens: int) -> None:
-        """Note output tokens; the first means that the prompt is prefilled."""
+        """Count output tokens; the first one means that the prompt is prefilled."""
         self.prefill_left = 0
         self.decode_left = max(0, self.decode_left - tokens)
--- a/src/bergamotmast/entry/caller.py
+++ b/src/bergamotmast/entry/caller.py
@@ -1,4 +1,4 @@
-"""Who calls: tenant, class and request id, from headers and keys."""
+"""Identification of callers: tenant, request class and request id from headers."""
 
 from __future__ import annotations
 
@@ -28,8 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Caller:
-    """What the headers of one request say.
+    """The identity of one request, from its headers.
 
+    :param tenant: the tenant that the request counts for.
+    :param request_class: name of the request class.
+    :param request_id: given by the caller, or generated.
     :param idempotency_key: the caller's key; empty for none.
     """
 
@@ -40,17 +43,17 @@
 
 
 def request_id_of(request: web.Request) -> str:
-    """Return the id given by the caller, or one made up where that is not allowed.
+    """Return the request id given by the caller, or a generated one if it is invalid.
 
-    Bytes that are no text reach us as lone surrogates. An answer that repeats them
-    can't be encoded: the refusal of such an id would itself fail, without any code.
+    Bytes that are not valid text arrive as lone surrogates, which a response header
+    can't encode: a response that echoed such an id would itself fail.
     """
     value = request.headers.get(REQUEST_ID_HEADER, "")
     return value if _NAME.fullmatch(value) else uuid.uuid4().hex
 
 
 def read_content_type(request: web.Request) -> str:
-    """Return the media type of a request's body; empty for none.
+    """Return the ``Content-Type`` of a request; empty for none.
 
     :raises RequestError: ``BAD_HEADER``.
     """
@@ -60,9 +63,9 @@
 def read_caller(
     request: web.Request, request_id: str, configuration: Configuration
 ) -> Caller:
-    """Read a caller's headers.
+    """Read and validate the headers that identify a caller.
 
-    :param request_id: id given by the caller, or made up.
+    :param request_id: given by the caller, or generated.
     :raises RequestError: ``BAD_HEADER`` or ``UNAUTHENTICATED``.
     """
     return Caller(
@@ -84,7 +87,10 @@
 
 
 def _tenant(request: web.Request, configuration: Configuration) -> str:
-    """Return the tenant that a key stands for, else the one named by the header."""
+    """Return the tenant that owns the bearer key, or else the one in the header.
+
+    A tenant that has keys can't be named by the header alone.
+    """
     authorization = request.headers.get("Authorization", "")
     if authorization:
         return _tenant_of_key(authorization, configuration)
--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry without its sockets: what is let in, where it goes, how it is answered."""
+"""Transport-independent core of an entry: admission, routing and request lifecycle."""
 
 from __future__ import annotations
 
@@ -37,20 +37,25 @@
 logger = logging.getLogger(__name__)
 
 SHUTDOWN_NOTICE = 5.0
-"""Seconds that the platform's balancer is given to notice that an entry leaves."""
+"""Seconds for which an entry that shuts down still serves new requests.
+
+The platform's load balancer needs this time to see that the entry is not ready.
+"""
 
 
 class EntryCore:
-    """One entry process without its sockets.
+    """Runs the requests of one entry process, without its sockets.
 
     :param name: name of the entry.
     :param zone: its availability zone.
-    :param incarnation: random for each start.
+    :param incarnation: random identifier of this start of the process.
     :param dialer: opens connections to sides.
-    :param policy: what is let in and where it goes.
+    :param instance_list: the platform's list of instances.
+    :param policy: decides on admission, routing and retries.
     :param holder: the configuration in force.
-    :param claims: claims of calls that run at most once.
+    :param claims: claims on idempotency keys, for calls that run at most once.
     :param rng: seeded source of jitter.
+    :param telemetry: receives metrics; none are recorded without it.
     """
 
     def __init__(
@@ -88,16 +93,16 @@
         self._idle.set()
 
     async def run(self) -> None:
-        """Keep connections to the sides until cancelled."""
+        """Maintain sessions with the sides until cancelled."""
         await self.membership.run()
 
     async def close(self, notice: float = SHUTDOWN_NOTICE) -> None:
-        """Stop being ready, serve on for a while, then until the last answer is out.
+        """Shut down gracefully: report not ready, then drain the requests in flight.
 
-        The balancer sends callers here until it has seen that the entry is not ready;
-        refusing at once would turn them away for a planned change.
+        The load balancer sends callers here until it has seen that the entry is not
+        ready. Refusing them at once would make a planned change fail their requests.
 
-        :param notice: seconds that the balancer is given.
+        :param notice: seconds for which new requests are still served.
         """
         self.closing = True
         await asyncio.sleep(notice)
@@ -105,9 +110,10 @@
         await self._idle.wait()
 
     def end_requests(self) -> None:
-        """Let all requests in flight end now: each caller hears what is known of it.
+        """End all requests in flight now, each with the outcome that is known of it.
 
-        One that waits is "not run", one that runs ran, any other is "unknown".
+        A waiting request ends as "not run", a running one as "ran", and any other as
+        "unknown".
         """
         self.refusing = True
         for placement in self.placements:
@@ -115,15 +121,15 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the platform's balancer should send callers here."""
+        """Whether the platform's load balancer should send callers here."""
         if self.closing or self.holder.generation == 0:
             return False
         return any(peer.is_ready for peer in self.membership.peers.values())
 
     async def submit_model(self, call: ModelCall) -> cabc.AsyncGenerator[TokenChunk]:
-        """Yield the answer's chunks, in order and without gaps.
+        """Run a model request and yield its chunks, in order and without gaps.
 
-        :raises RequestError: if it ends without its whole answer.
+        :raises RequestError: if the request ends before its answer is complete.
         """
         self._check_open()
         if not self.holder.selection.knows_model(call.model):
@@ -140,19 +146,19 @@
                     yield chunk
 
     async def submit_service(self, call: ServiceCall) -> ServiceAnswer:
-        """Return the whole answer of a plain service.
+        """Run a call of a plain service and return its answer.
 
-        :raises RequestError: if it ends without one.
+        :raises RequestError: if the call ends without an answer.
         """
         self._check_open()
         run = ServiceRun(self, call)
         with self._counted(call, run.placement):
             return await run.answer()
 
-    # What a run asks of its entry
+    # Called by the runs of requests (see RunsEntry)
 
     def candidates(self, call: ModelCall | ServiceCall) -> list[Candidate]:
-        """Return the upstreams that may be offered a call now."""
+        """Return the upstreams that a call may be offered to now."""
         allowed = self.holder.selection.upstreams(call)
         wanted = frozenset(wanted_names(call.model)) if _is_model(call) else None
         return [
@@ -165,7 +171,10 @@
         ]
 
     def reconnecting(self, call: ModelCall | ServiceCall) -> bool:
-        """Return whether an upstream for a call may have a session again soon."""
+        """Return whether an upstream for a call lost its session just now.
+
+        Such a session may be open again soon; see :attr:`Peer.reconnect_by`.
+        """
         now = asyncio.get_running_loop().time()
         allowed = self.holder.selection.upstreams(call)
         return any(
@@ -175,15 +184,15 @@
         )
 
     def peer(self, name: str) -> Peer:
-        """Return the peer of an upstream that was a candidate."""
+        """Return the connection to an upstream that was a candidate."""
         return self.membership.peers[name]
 
     def new_attempt_name(self) -> str:
-        """Return a name unique over the life of the system."""
+        """Return a name for an attempt, unique over the life of the system."""
         return f"{self.incarnation}-{next(self._attempts)}"
 
     def tenant_weight(self, tenant: str) -> float:
-        """Return a tenant's weight in the configuration in force."""
+        """Return a tenant's fair-queueing weight; 1.0 if none is configured."""
         configured = self.holder.current.tenants.get(tenant)
         return configured.weight if configured is not None else 1.0
 
@@ -218,7 +227,7 @@
     def _counted(
         self, call: ModelCall | ServiceCall, placement: Placement
     ) -> cabc.Iterator[None]:
-        """Count a request in flight and measure its end."""
+        """Track a request while it is in flight and report how it ended."""
         self.in_flight += 1
         self.placements.add(placement)
         self._idle.clear()
--- a/src/bergamotmast/entry/interfaces.py
+++ b/src/bergamotmast/entry/interfaces.py
@@ -1,4 +1,4 @@
-"""What the run of a request asks of the entry that it belongs to."""
+"""Interfaces between an entry and the runs of its requests."""
 
 from __future__ import annotations
 
@@ -15,27 +15,34 @@
 
 
 class Claims(t.Protocol):
-    """Claims of calls that run at most once, kept in the key-value service."""
+    """Claims on idempotency keys, stored in the key-value service.
+
+    A call that must run at most once runs only while its entry holds the claim on the
+    key.
+    """
 
     async def claim(self, key: str, digest: bytes) -> ServiceAnswer | None:
-        """Claim a key; an earlier call's answer where it is kept.
+        """Claim a key, or return the stored answer of the earlier call with that key.
 
+        :param key: identifies the call: tenant, route and idempotency key.
+        :param digest: of the request; a key may not be reused for another request.
+        :returns: ``None`` if the claim was granted and the call may run.
         :raises RequestError: ``CLAIM_UNAVAILABLE``, ``CLAIM_HELD``, ``ALREADY_RAN``
             or ``KEY_MISMATCH``.
         """
         ...
 
     async def complete(self, key: str, answer: ServiceAnswer) -> None:
-        """Keep the answer of a claimed call."""
+        """Store the answer of a claimed call, for replays of its key."""
         ...
 
     async def release(self, key: str) -> None:
-        """Give a claim back whose call was truly not run."""
+        """Release the claim of a call that certainly did not run."""
         ...
 
 
 class RunsEntry(t.Protocol):
-    """An entry as its runs see it."""
+    """What the run of a request needs of its entry."""
 
     policy: EntryPolicy
     claims: Claims
@@ -43,21 +50,21 @@
     membership: Membership
 
     def candidates(self, call: ModelCall | ServiceCall) -> list[Candidate]:
-        """Return the upstreams that may be offered a call now."""
+        """Return the upstreams that a call may be offered to now."""
         ...
 
     def reconnecting(self, call: ModelCall | ServiceCall) -> bool:
-        """Return whether an upstream for a call may have a session again soon."""
+        """Return whether an upstream for a call lost its session just now."""
         ...
 
     def peer(self, name: str) -> Peer:
-        """Return the peer of an upstream that was a candidate."""
+        """Return the connection to an upstream that was a candidate."""
         ...
 
     def new_attempt_name(self) -> str:
-        """Return a name unique over the life of the system."""
+        """Return a name for an attempt, unique over the life of the system."""
         ...
 
     def tenant_weight(self, tenant: str) -> float:
-        """Return a tenant's weight in the configuration in force."""
+        """Return a tenant's fair-queueing weight; 1.0 if none is configured."""
         ...
--- a/src/bergamotmast/entry/placement.py
+++ b/src/bergamotmast/entry/placement.py
@@ -1,4 +1,4 @@
-"""What every run of a request shares: choosing an upstream and offering it work."""
+"""Placement of requests: choosing an upstream, offering it work, counting failures."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 from .interfaces import RunsEntry
 
 MAX_REFUSALS = 3
-"""Upstreams that may refuse a fresh request for load before it is turned away."""
+"""Refusals for load after which a request that no upstream has accepted is refused."""
 
 MAX_FAILURES = 4
-"""Attempts that may break before a request is given up.
+"""Failed attempts after which a request is given up.
 
-A prompt that crashes its engine would otherwise take one engine after the other.
+Without this bound, a prompt that crashes its engine would crash one engine after
+another.
 """
 
 RETRY_AFTER_NO_UPSTREAM = 2.0
-"""Seconds after which a caller may come back when nothing can serve it."""
+"""Seconds in ``Retry-After`` when no upstream can serve a request."""
 
 PAUSE_RANGE = (0.05, 0.15)
-"""Seconds, jittered, between two looks for an upstream for work already accepted."""
+"""Bounds of the jittered delay, in seconds, before an upstream is chosen again."""
 
 _MOVED = frozenset(
     {
@@ -42,23 +43,23 @@
         ResultCode.NOT_HANDED_OVER,
     }
 )
-"""Refusals that say nothing of load: the fleet changed under the request."""
+"""Refusals caused by changes of the fleet, not by load."""
 
 
 class Placement:
-    """The search for a place to run one request.
+    """Finds an upstream for one request and tracks what its attempts came to.
 
-    :param entry: the entry that runs it.
+    :param entry: the entry that runs the request.
     :param call: the request.
-    :param excluded: upstreams that refused or failed it.
-    :param accepted: whether it was taken once, so that it is owed an answer: the
-        fleet's changes and failures no longer turn it away, only time does.
-    :param no_choice: what the caller hears when nobody is left to ask: the last
-        refusal for load, if there was one.
+    :param excluded: upstreams that refused the request or failed it.
+    :param accepted: whether an upstream accepted the request once. From then on,
+        changes of the fleet and failures are retried; only a deadline ends it.
+    :param no_choice: the result when no candidate is left: the last refusal for load,
+        or else ``NO_UPSTREAM``.
     :param may_have_run: whether some attempt may have started.
     :param has_run: whether some attempt is known to have started.
-    :param ending: whether no further attempt may be made, since the entry ends.
-    :param attempt: the one under way.
+    :param ending: whether the entry shuts down, so that no further attempt is made.
+    :param attempt: the current attempt.
     """
 
     def __init__(self, entry: RunsEntry, call: ModelCall | ServiceCall) -> None:
@@ -75,7 +76,7 @@
         self.attempt: EntryAttempt | None = None
 
     def end(self) -> None:
-        """Let the request end now, as the entry does, with what is known of it."""
+        """End the request now, with its known outcome, as the entry shuts down."""
         self.ending = True
         if self.attempt is not None:
             self.attempt.events.put_nowait(DeadlinePassed())
@@ -85,10 +86,14 @@
         return asyncio.get_running_loop().time()
 
     async def choose(self, resumed_tokens: int, wait_until: float) -> Choice:
-        """Return the next place to try.
+        """Choose the upstream of the next attempt.
 
-        :param wait_until: how long an accepted request looks for one.
-        :raises RequestError: if there is none.
+        A request that was accepted, or whose only upstream lost its session just now,
+        waits for an upstream; any other is refused if none is available.
+
+        :param resumed_tokens: tokens of the answer that the caller already has.
+        :param wait_until: local monotonic time until which the request waits.
+        :raises RequestError: if no upstream is available.
         """
         while True:
             if self.ending:
@@ -104,7 +109,7 @@
             await asyncio.sleep(self.entry.rng.uniform(*PAUSE_RANGE))
 
     def _may_reconnect(self, code: ResultCode) -> bool:
-        """Whether the one thing missing is a session that was lost just now."""
+        """Return whether only a session that was lost just now is missing."""
         return code is ResultCode.NO_UPSTREAM and self.entry.reconnecting(self.call)
 
     def _choose_now(self, resumed_tokens: int) -> Choice:
@@ -125,9 +130,10 @@
         cost: Cost,
         work: messages.ModelWork | messages.ServiceWork,
     ) -> EntryAttempt | None:
-        """Hand an offer to an upstream; ``None`` if it was certainly not handed over.
+        """Offer the request to an upstream and start the timer of its deadline.
 
-        The attempt also hears when the caller's deadline has passed.
+        :returns: the attempt; ``None`` if the offer was certainly not handed over.
+        :raises RequestError: if that was the last refusal allowed.
         """
         peer = self.entry.peer(upstream)
         survives = isinstance(work, messages.ServiceWork) and not work.repeatable
@@ -167,9 +173,9 @@
     def on_refused(
         self, upstream: str, code: ResultCode, retry_after: float | None
     ) -> None:
-        """Note a refusal.
+        """Record that an upstream refused the request.
 
-        :raises RequestError: if it is the last one that the request may get.
+        :raises RequestError: if no further attempt may be made.
         """
         self.excluded.add(upstream)
         self._tell_policy(upstream, code, 0)
@@ -185,9 +191,9 @@
             raise self.error(code, retry_after)
 
     def on_failed(self, upstream: str, code: ResultCode, output_tokens: int) -> None:
-        """Note an attempt that broke after it may have started.
+        """Record an attempt that failed after it may have started.
 
-        :raises RequestError: if no further one may be made.
+        :raises RequestError: if no further attempt may be made.
         """
         self.excluded.add(upstream)
         self.accepted = True
@@ -198,11 +204,11 @@
             raise self.error(ResultCode.UPSTREAM_FAILED, None)
 
     def on_done(self, upstream: str, output_tokens: int) -> None:
-        """Note an attempt that gave all it was asked for."""
+        """Record an attempt that completed its work."""
         self._tell_policy(upstream, ResultCode.OK, output_tokens)
 
     def leave(self, attempt: EntryAttempt) -> None:
-        """Ignore everything that still comes of an attempt."""
+        """Stop tracking an attempt; later messages about it are ignored."""
         self.attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
@@ -211,10 +217,10 @@
             peer.forget(attempt)
 
     async def resolve(self, attempt: EntryAttempt) -> str:
-        """Cancel an attempt and return what the side says became of it.
+        """Cancel an attempt and return the state that its side reports.
 
-        :returns: ``never_started``, ``started``, ``done``, or ``unknown`` where the
-            side can't be asked or does not answer.
+        :returns: ``never_started``, ``started``, ``done``, or ``unknown`` if the side
+            can't be reached or does not reply in time.
         """
         peer = self.entry.membership.peers.get(attempt.upstream)
         if peer is None or not await peer.cancel(attempt):
@@ -226,7 +232,11 @@
             return "unknown"
 
     def error(self, code: ResultCode, retry_after: float | None) -> RequestError:
-        """Return the final error, never claiming "not run" of what may have run."""
+        """Return the final error of the request.
+
+        A code whose outcome is "not run" is replaced if some attempt ran or may have
+        run.
+        """
         if CODE_INFO[code].outcome is Outcome.NOT_RUN:
             if self.has_run:
                 code = ResultCode.UPSTREAM_FAILED
