--- a/src/bergamotmast/app.py
+++ b/src/bergamotmast/app.py
@@ -19,8 +19,8 @@
 from .config.watch import ConfigWatcher
 from .entry.admin import AdminHttp
 from .entry.core import EntryCore
-from .entry.fleet import read_fleet
-from .entry.fleet_picture import EntryFleetView
+from .entry.fleet_status import read_fleet_status
+from .entry.fleet_view import EntryFleetView
 from .entry.http import CallerLimits
 from .entry.http import EntryHttp
 from .history import HistorySink
@@ -33,7 +33,7 @@
 from .planner.planner import Planner
 from .policy.presets import PolicySet
 from .side.core import SideCore
-from .side.orders import OrderKeeper
+from .side.orders import OrderReconciler
 from .side.runners import EngineRunner
 from .side.runners import Runner
 from .side.runners import ServiceRunner
@@ -171,7 +171,7 @@
         http = EntryHttp(self.core, limits)
         self.busy = http.busy
         application = http.application()
-        admin = AdminHttp(self.holder, self.store, lambda: read_fleet(self.core))
+        admin = AdminHttp(self.holder, self.store, lambda: read_fleet_status(self.core))
         application.add_subapp(ADMIN_PATH, admin.application())
         return application
 
@@ -197,7 +197,7 @@
 
     :param holder: the configuration in force.
     :param core: the side itself.
-    :param keeper: gives the engine its orders; ``None`` for a plain service.
+    :param reconciler: gives the engine its orders; ``None`` for a plain service.
     """
 
     def __init__(
@@ -219,13 +219,13 @@
             incarnation=parts.incarnation(),
             telemetry=parts.telemetry,
         )
-        self.keeper: OrderKeeper | None = None
+        self.reconciler: OrderReconciler | None = None
 
     def background_tasks(self) -> list[Work]:
         """Return what runs until cancelled, each independent of the others' failure."""
         works = [self.watcher.run(), self.core.run()]
-        if self.keeper is not None:
-            works.append(self.keeper.run())
+        if self.reconciler is not None:
+            works.append(self.reconciler.run())
         return works
 
     async def run(self) -> None:
@@ -241,17 +241,17 @@
 def engine_side(parts: ProcessParts, listener: Listener, engine: Engine) -> SideProcess:
     """Return the side of a model engine."""
     side = SideProcess(parts, listener, EngineRunner(engine))
-    keeper = OrderKeeper(
+    reconciler = OrderReconciler(
         name=parts.name,
         engine=engine,
         kv=parts.kv,
         workload=side.core,
-        on_engine=side.core.on_engine,
+        on_engine_state=side.core.on_engine_state,
         rng=parts.rng,
         plan_seen=lambda: side.core.plan_seen,
     )
-    side.keeper = keeper
-    side.core.plan_token = lambda: keeper.token
+    side.reconciler = reconciler
+    side.core.plan_token = lambda: reconciler.token
     return side
 
 
@@ -273,5 +273,5 @@
         prefill_rate=SERVICE_RATE,
         decode_rate=SERVICE_RATE,
     )
-    side.core.on_engine(state, Readiness.READY)
+    side.core.on_engine_state(state, Readiness.READY)
     return side
--- a/src/bergamotmast/bench/world.py
+++ b/src/bergamotmast/bench/world.py
@@ -37,7 +37,7 @@
 from ..planner.planner import Planner
 from ..policy.presets import PolicySet
 from ..side.core import SideCore
-from ..side.orders import OrderKeeper
+from ..side.orders import OrderReconciler
 from ..side.runners import EngineRunner
 from ..side.runners import ServiceRunner
 from ..standins.engine import EngineStandIn
@@ -177,7 +177,7 @@
             runner = ServiceRunner(FakePlainService(part))
             side = self._start_side(part, runner)
             side.policy.configure(part.max_calls, 1, 1e6, 1e6, None)
-            side.on_engine(None, Readiness.READY)
+            side.on_engine_state(None, Readiness.READY)
         for index in range(self.fleet.entries):
             self._start_entry(index)
         self._start_planner()
@@ -212,15 +212,15 @@
         )
         self.engines[part.name] = engine
         side = self._start_side(part, EngineRunner(engine))
-        keeper = OrderKeeper(
+        reconciler = OrderReconciler(
             part.name,
             engine,
             self.kv.client(f"side-{part.name}"),
             side,
-            side.on_engine,
+            side.on_engine_state,
             self.rng(f"orders {part.name}"),
         )
-        self._spawn(keeper.run())
+        self._spawn(reconciler.run())
 
     def _start_side(
         self, part: UpstreamPart, runner: EngineRunner | ServiceRunner
--- a/src/bergamotmast/commands/status.py
+++ b/src/bergamotmast/commands/status.py
@@ -9,8 +9,8 @@
 import aiohttp
 import msgspec
 
-from ..entry.fleet import FleetStatus
-from ..entry.fleet import UpstreamStatus
+from ..entry.fleet_status import FleetStatus
+from ..entry.fleet_status import UpstreamStatus
 from ..errors import BergamotmastError
 from ..errors import SettingError
 
--- a/src/bergamotmast/daemons.py
+++ b/src/bergamotmast/daemons.py
@@ -30,7 +30,7 @@
 from .app import SideProcess
 from .app import engine_side
 from .app import service_side
-from .entry.core import SHUTDOWN_NOTICE
+from .entry.core import READINESS_DRAIN_SECONDS
 from .entry.http import CallerLimits
 from .errors import SettingError
 from .history import NullHistory
@@ -115,7 +115,7 @@
             await stack.enter_async_context(running(side.background_tasks(), ending))
             await _until(ending.told)
             if not await _bounded(side.core.leave(), settings.shutdown_seconds):
-                await side.core.end_attempts()
+                await side.core.abort_attempts()
             side.listener.close()
     ending.raise_failure()
 
@@ -208,9 +208,9 @@
     told_at = asyncio.get_running_loop().time()
     end_by = told_at + seconds
     entry.core.closing = True
-    if not await callers.drain(told_at + SHUTDOWN_NOTICE, end_by):
+    if not await callers.drain(told_at + READINESS_DRAIN_SECONDS, end_by):
         logger.warning("work in flight did not end within %g s", seconds)
-        entry.core.end_requests()
+        entry.core.abort_requests()
         await callers.wait_until_closed(end_by + FINAL_ANSWER_SECONDS)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(CLAIMS_SECONDS):
--- a/src/bergamotmast/entry/admin.py
+++ b/src/bergamotmast/entry/admin.py
@@ -36,14 +36,14 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from . import admin_messages as messages
-from .fleet import FleetStatus
+from .fleet_status import FleetStatus
 
 logger = logging.getLogger(__name__)
 
 HISTORY_LIMIT = 100
 """Most edits in one answer."""
 
-MOST_KEY_LENGTH = 255
+MAX_IDEMPOTENCY_KEY_LENGTH = 255
 """Longest idempotency key, which is kept in the history."""
 
 _Handler = cabc.Callable[[web.Request], cabc.Awaitable[web.StreamResponse]]
@@ -86,44 +86,46 @@
     # Reading
 
     async def _read_fleet(self, request: web.Request) -> web.Response:
-        self._require(request, Scope.READ)
-        return _answer(self.fleet())
+        self._authorize(request, Scope.READ)
+        return _json_response(self.fleet())
 
     async def _read_configuration(self, request: web.Request) -> web.Response:
-        self._require(request, Scope.READ)
+        self._authorize(request, Scope.READ)
         current = self.holder.current
-        return _answer(messages.ConfigurationAnswer(current.generation, current))
+        return _json_response(messages.ConfigurationAnswer(current.generation, current))
 
     async def _read_history(self, request: web.Request) -> web.Response:
-        self._require(request, Scope.READ)
-        limit = _integer(request.query.get("limit", "20"), 1, HISTORY_LIMIT)
+        self._authorize(request, Scope.READ)
+        limit = _parse_integer(request.query.get("limit", "20"), 1, HISTORY_LIMIT)
         records = await self.store.history(limit)
         edits = tuple(
             messages.RecordSummary(r.generation, r.author, r.accepted_at, r.changes)
             for r in records
         )
-        return _answer(messages.HistoryAnswer(edits))
+        return _json_response(messages.HistoryAnswer(edits))
 
     async def _read_generation(self, request: web.Request) -> web.Response:
-        self._require(request, Scope.READ)
-        generation = _integer(request.match_info["generation"], 0, 10**12)
+        self._authorize(request, Scope.READ)
+        generation = _parse_integer(request.match_info["generation"], 0, 10**12)
         record = await self.store.read_record(generation)
         if record is None:
             raise RequestError(
                 ResultCode.UNKNOWN_ROUTE, f"There is no record of {generation}."
             )
-        return _answer(messages.ConfigurationAnswer(generation, record.configuration))
+        return _json_response(
+            messages.ConfigurationAnswer(generation, record.configuration)
+        )
 
     # Proposing edits
 
     async def _replace_configuration(self, request: web.Request) -> web.Response:
-        key = self._require(request, Scope.EDIT)
+        key = self._authorize(request, Scope.EDIT)
         body = await _read_body(request, messages.DocumentEdit)
         proposed = parse_body(bytes(body.configuration))
         return await self._edit(request, key, body.against, lambda base: proposed)
 
     async def _change_labels(self, request: web.Request) -> web.Response:
-        key = self._require(request, Scope.EDIT)
+        key = self._authorize(request, Scope.EDIT)
         body = await _read_body(request, messages.LabelEdit)
         upstream = request.match_info["upstream"]
         return await self._edit(
@@ -134,7 +136,7 @@
         )
 
     async def _put_selector(self, request: web.Request) -> web.Response:
-        key = self._require(request, Scope.EDIT)
+        key = self._authorize(request, Scope.EDIT)
         body = await _read_body(request, messages.SelectorEdit)
         plain = {**body.selector, "name": request.match_info["name"]}
         selector = parse_selector(plain, "body")
@@ -143,7 +145,7 @@
         )
 
     async def _delete_selector(self, request: web.Request) -> web.Response:
-        key = self._require(request, Scope.EDIT)
+        key = self._authorize(request, Scope.EDIT)
         body = await _read_body(request, messages.SelectorRemoval)
         name = request.match_info["name"]
         return await self._edit(
@@ -153,7 +155,7 @@
     async def _edit(
         self, request: web.Request, key: AdminKey, against: int, change: _Change
     ) -> web.Response:
-        base = await self._base(against)
+        base = await self._read_base(against)
         proposed = change(base)
         require_edit_allowed(key, base, proposed)
         nonce = _nonce(request, key)
@@ -161,9 +163,11 @@
         self.holder.offer(encode_configuration(accepted))
         changes = diff(base, accepted)
         warnings = tuple(warning.show() for warning in find_warnings(accepted))
-        return _answer(messages.EditAnswer(accepted.generation, changes, warnings))
+        return _json_response(
+            messages.EditAnswer(accepted.generation, changes, warnings)
+        )
 
-    async def _base(self, against: int) -> Configuration:
+    async def _read_base(self, against: int) -> Configuration:
         """Return the document of the generation that an edit was made against.
 
         :raises RequestError: ``STALE_GENERATION`` while the service holds an older
@@ -187,7 +191,7 @@
             )
         return record.configuration
 
-    def _require(self, request: web.Request, scope: Scope) -> AdminKey:
+    def _authorize(self, request: web.Request, scope: Scope) -> AdminKey:
         """Return the key that a request shows.
 
         :raises RequestError: ``UNAUTHENTICATED`` or ``FORBIDDEN``.
@@ -206,18 +210,18 @@
     try:
         return await handler(request)
     except BergamotmastError as error:
-        return _error_answer(error)
+        return _error_response(error)
     except web.HTTPRequestEntityTooLarge:
-        return _error_answer(RequestError(ResultCode.BODY_TOO_LARGE))
+        return _error_response(RequestError(ResultCode.BODY_TOO_LARGE))
     except web.HTTPException as error:
         detail = f"{request.method} {request.path}: {error.reason}"
-        return _error_answer(RequestError(ResultCode.UNKNOWN_ROUTE, detail))
+        return _error_response(RequestError(ResultCode.UNKNOWN_ROUTE, detail))
     except Exception:
         logger.exception("administration request failed")
-        return _error_answer(RequestError(ResultCode.INTERNAL))
+        return _error_response(RequestError(ResultCode.INTERNAL))
 
 
-def _error_answer(error: BergamotmastError) -> web.Response:
+def _error_response(error: BergamotmastError) -> web.Response:
     info = CODE_INFO[error.code]
     detail = messages.AdminErrorDetail(
         code=int(error.code),
@@ -236,10 +240,10 @@
         detail = msgspec.structs.replace(
             detail, selectors=error.selectors, upstream=error.upstream
         )
-    return _answer(messages.AdminErrorBody(detail), info.status)
+    return _json_response(messages.AdminErrorBody(detail), info.status)
 
 
-def _answer(body: msgspec.Struct, status: int = 200) -> web.Response:
+def _json_response(body: msgspec.Struct, status: int = 200) -> web.Response:
     encoded = msgspec.json.encode(body)
     return web.Response(status=status, body=encoded, content_type="application/json")
 
@@ -254,14 +258,14 @@
 def _nonce(request: web.Request, key: AdminKey) -> str:
     """Return what names a proposal, so that one sent again is recognised."""
     given = request.headers.get("Idempotency-Key", "")
-    if len(given) > MOST_KEY_LENGTH:
+    if len(given) > MAX_IDEMPOTENCY_KEY_LENGTH:
         raise RequestError(ResultCode.BAD_HEADER, "The Idempotency-Key is too long.")
     return f"{key.team}:{given or secrets.token_hex(16)}"
 
 
-def _integer(text: str, least: int, most: int) -> int:
-    is_number = text.isascii() and text.isdigit() and len(text) <= len(str(most))
-    if not (is_number and least <= int(text) <= most):
-        detail = f"{text[:20]!r} is not a number from {least} to {most}."
+def _parse_integer(text: str, minimum: int, maximum: int) -> int:
+    is_number = text.isascii() and text.isdigit() and len(text) <= len(str(maximum))
+    if not (is_number and minimum <= int(text) <= maximum):
+        detail = f"{text[:20]!r} is not a number from {minimum} to {maximum}."
         raise RequestError(ResultCode.MALFORMED_BODY, detail)
     return int(text)
--- a/src/bergamotmast/entry/attempt.py
+++ b/src/bergamotmast/entry/attempt.py
@@ -25,7 +25,7 @@
     """The caller's deadline has passed, or the entry ends its requests."""
 
 
-Event: t.TypeAlias = (
+AttemptEvent: t.TypeAlias = (
     messages.Refused
     | messages.Started
     | messages.Chunk
@@ -54,11 +54,11 @@
         self.upstream = upstream
         self.cost = cost
         self.survives_session = survives_session
-        self.events: asyncio.Queue[Event] = asyncio.Queue()
+        self.events: asyncio.Queue[AttemptEvent] = asyncio.Queue()
         self.prefill_left = cost.prefill
         self.decode_left = cost.decode
         self.started = False
-        self.taken = 0
+        self.consumed_chunks = 0
         self.timer: asyncio.TimerHandle | None = None
 
     def on_progress(self, tokens: int) -> None:
--- a/src/bergamotmast/entry/caller.py
+++ b/src/bergamotmast/entry/caller.py
@@ -21,9 +21,9 @@
 DEFAULT_TENANT = "default"
 DEFAULT_CLASS = "default"
 
-_NAME = re.compile(r"[A-Za-z0-9._:-]{1,64}")
-_KEY = re.compile(r"[\x21-\x7e]{1,255}")
-_MEDIA_TYPE = re.compile(r"[\t\x20-\x7e]+")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,64}")
+_KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
+_MEDIA_TYPE_PATTERN = re.compile(r"[\t\x20-\x7e]+")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     can't encode: a response that echoed such an id would itself fail.
     """
     value = request.headers.get(REQUEST_ID_HEADER, "")
-    return value if _NAME.fullmatch(value) else uuid.uuid4().hex
+    return value if _NAME_PATTERN.fullmatch(value) else uuid.uuid4().hex
 
 
 def read_content_type(request: web.Request) -> str:
@@ -57,7 +57,7 @@
 
     :raises RequestError: ``BAD_HEADER``.
     """
-    return _header(request, "Content-Type", _MEDIA_TYPE)
+    return _header(request, "Content-Type", _MEDIA_TYPE_PATTERN)
 
 
 def read_caller(
@@ -70,9 +70,9 @@
     """
     return Caller(
         tenant=_tenant(request, configuration),
-        request_class=_header(request, CLASS_HEADER, _NAME) or DEFAULT_CLASS,
-        request_id=_header(request, REQUEST_ID_HEADER, _NAME) or request_id,
-        idempotency_key=_header(request, IDEMPOTENCY_HEADER, _KEY),
+        request_class=_header(request, CLASS_HEADER, _NAME_PATTERN) or DEFAULT_CLASS,
+        request_id=_header(request, REQUEST_ID_HEADER, _NAME_PATTERN) or request_id,
+        idempotency_key=_header(request, IDEMPOTENCY_HEADER, _KEY_PATTERN),
     )
 
 
@@ -94,7 +94,7 @@
     authorization = request.headers.get("Authorization", "")
     if authorization:
         return _tenant_of_key(authorization, configuration)
-    name = _header(request, TENANT_HEADER, _NAME) or DEFAULT_TENANT
+    name = _header(request, TENANT_HEADER, _NAME_PATTERN) or DEFAULT_TENANT
     tenant = configuration.tenants.get(name)
     if tenant is not None and tenant.keys:
         raise RequestError(
--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -36,7 +36,7 @@
 
 logger = logging.getLogger(__name__)
 
-SHUTDOWN_NOTICE = 5.0
+READINESS_DRAIN_SECONDS = 5.0
 """Seconds for which an entry that shuts down still serves new requests.
 
 The platform's load balancer needs this time to see that the entry is not ready.
@@ -87,8 +87,8 @@
         self.in_flight = 0
         self.sizes = ClassSizes()
         self.placements: set[Placement] = set()
-        self._attempts = itertools.count(1)
-        self._hellos = itertools.count(1)
+        self._attempt_counter = itertools.count(1)
+        self._hello_counter = itertools.count(1)
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -96,20 +96,20 @@
         """Maintain sessions with the sides until cancelled."""
         await self.membership.run()
 
-    async def close(self, notice: float = SHUTDOWN_NOTICE) -> None:
+    async def close(self, drain_seconds: float = READINESS_DRAIN_SECONDS) -> None:
         """Shut down gracefully: report not ready, then drain the requests in flight.
 
         The load balancer sends callers here until it has seen that the entry is not
         ready. Refusing them at once would make a planned change fail their requests.
 
-        :param notice: seconds for which new requests are still served.
+        :param drain_seconds: seconds for which new requests are still served.
         """
         self.closing = True
-        await asyncio.sleep(notice)
+        await asyncio.sleep(drain_seconds)
         self.refusing = True
         await self._idle.wait()
 
-    def end_requests(self) -> None:
+    def abort_requests(self) -> None:
         """End all requests in flight now, each with the outcome that is known of it.
 
         A waiting request ends as "not run", a running one as "ran", and any other as
@@ -117,7 +117,7 @@
         """
         self.refusing = True
         for placement in self.placements:
-            placement.end()
+            placement.abort()
 
     @property
     def is_ready(self) -> bool:
@@ -131,13 +131,13 @@
 
         :raises RequestError: if the request ends before its answer is complete.
         """
-        self._check_open()
+        self._require_open()
         if not self.holder.selection.knows_model(call.model):
             raise RequestError(
                 ResultCode.UNKNOWN_MODEL, f"No selector carries model {call.model!r}."
             )
         run = ModelRun(self, call)
-        with self._counted(call, run.placement):
+        with self._track_request(call, run.placement):
             chunks = run.chunks()
             async with contextlib.aclosing(chunks):
                 last = 0.0
@@ -150,12 +150,12 @@
 
         :raises RequestError: if the call ends without an answer.
         """
-        self._check_open()
+        self._require_open()
         run = ServiceRun(self, call)
-        with self._counted(call, run.placement):
+        with self._track_request(call, run.placement):
             return await run.answer()
 
-    # Called by the runs of requests (see RunsEntry)
+    # Called by the runs of requests (see EntryContext)
 
     def candidates(self, call: ModelCall | ServiceCall) -> list[Candidate]:
         """Return the upstreams that a call may be offered to now."""
@@ -167,10 +167,10 @@
             if name in allowed
             and peer.is_ready
             and not self.membership.is_leaving(name)
-            and (wanted is None or _carries(peer, wanted))
+            and (wanted is None or _serves_models(peer, wanted))
         ]
 
-    def reconnecting(self, call: ModelCall | ServiceCall) -> bool:
+    def has_reconnecting_upstream(self, call: ModelCall | ServiceCall) -> bool:
         """Return whether an upstream for a call lost its session just now.
 
         Such a session may be open again soon; see :attr:`Peer.reconnect_by`.
@@ -189,7 +189,7 @@
 
     def new_attempt_name(self) -> str:
         """Return a name for an attempt, unique over the life of the system."""
-        return f"{self.incarnation}-{next(self._attempts)}"
+        return f"{self.incarnation}-{next(self._attempt_counter)}"
 
     def tenant_weight(self, tenant: str) -> float:
         """Return a tenant's fair-queueing weight; 1.0 if none is configured."""
@@ -203,12 +203,12 @@
             info=info,
             dialer=self.dialer,
             holder=self.holder,
-            counters=self._hellos,
+            counters=self._hello_counter,
             interval=interval,
             telemetry=self.telemetry,
         )
 
-    def _check_open(self) -> None:
+    def _require_open(self) -> None:
         if self.refusing:
             raise RequestError(ResultCode.SHUTTING_DOWN, retry_after=1.0)
 
@@ -224,7 +224,7 @@
         return now
 
     @contextlib.contextmanager
-    def _counted(
+    def _track_request(
         self, call: ModelCall | ServiceCall, placement: Placement
     ) -> cabc.Iterator[None]:
         """Track a request while it is in flight and report how it ended."""
@@ -254,7 +254,7 @@
     return isinstance(call, ModelCall)
 
 
-def _carries(peer: Peer, wanted: frozenset[str]) -> bool:
+def _serves_models(peer: Peer, wanted: frozenset[str]) -> bool:
     report = peer.report
     if report is None:
         return False
--- a/src/bergamotmast/entry/fleet.py
+++ b/src/bergamotmast/entry/fleet_status.py
@@ -62,7 +62,7 @@
     upstreams: tuple[UpstreamStatus, ...]
 
 
-def read_fleet(core: EntryCore) -> FleetStatus:
+def read_fleet_status(core: EntryCore) -> FleetStatus:
     """Return what an entry knows now: listed upstreams and labelled ones."""
     groups = groups_of_upstreams(core.holder.current)
     labelled = core.holder.current.labels
--- a/src/bergamotmast/entry/http.py
+++ b/src/bergamotmast/entry/http.py
@@ -29,10 +29,10 @@
 from .core import EntryCore
 from .http_errors import error_body
 from .http_errors import error_response
-from .openai import ChatWording
+from .openai import ChatFormat
 from .openai import CompletionBody
-from .openai import CompletionWording
-from .openai import Wording
+from .openai import CompletionFormat
+from .openai import ResponseFormat
 from .openai import estimate_tokens
 from .openai import prefix_key
 from .openai import read_chat
@@ -43,7 +43,7 @@
 SERVICES_PATH = "/services"
 """Plain services' paths stand below it; what follows goes to the service as sent."""
 
-GONE_CHECK_INTERVAL = 0.5
+DISCONNECT_CHECK_INTERVAL = 0.5
 """Seconds between two looks whether a caller without a stream is still there."""
 
 _REQUEST_ID = web.RequestKey("request_id", str)
@@ -80,9 +80,9 @@
         """Return the application that serves callers."""
         application = web.Application(
             client_max_size=self.limits.body_bytes,
-            middlewares=[self._at_work, self._errors],
+            middlewares=[self._track_busy_connections, self._errors],
         )
-        application.on_response_prepare.append(self._say_close)
+        application.on_response_prepare.append(self._add_connection_close)
         router = application.router
         router.add_post("/v1/completions", self._completions)
         router.add_post("/v1/chat/completions", self._chat_completions)
@@ -94,7 +94,7 @@
         return application
 
     @web.middleware
-    async def _at_work(
+    async def _track_busy_connections(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
         """Note which connections must not be closed as idle."""
@@ -104,7 +104,7 @@
         finally:
             self.busy.discard(request.protocol)
 
-    async def _say_close(
+    async def _add_connection_close(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
         """Tell callers of an entry that ends to use another connection next."""
@@ -155,12 +155,12 @@
     async def _completions(self, request: web.Request) -> web.StreamResponse:
         caller = self._caller(request)
         body = read_completion(await request.read())
-        return await self._generate(request, caller, body, CompletionWording())
+        return await self._generate(request, caller, body, CompletionFormat())
 
     async def _chat_completions(self, request: web.Request) -> web.StreamResponse:
         caller = self._caller(request)
         body = read_chat(await request.read())
-        return await self._generate(request, caller, body, ChatWording())
+        return await self._generate(request, caller, body, ChatFormat())
 
     def _caller(self, request: web.Request) -> Caller:
         return read_caller(request, request[_REQUEST_ID], self.core.holder.current)
@@ -170,14 +170,14 @@
         request: web.Request,
         caller: Caller,
         body: CompletionBody,
-        wording: Wording,
+        response_format: ResponseFormat,
     ) -> web.StreamResponse:
         call = self._model_call(caller, body)
         chunks = self.core.submit_model(call)
         async with contextlib.aclosing(chunks):
             if body.stream:
-                return await _stream(request, call, chunks, wording)
-            return await _whole(request, call, chunks, wording)
+                return await _respond_streamed(request, call, chunks, response_format)
+            return await _respond_whole(request, call, chunks, response_format)
 
     def _model_call(self, caller: Caller, body: CompletionBody) -> ModelCall:
         tokens = estimate_tokens(body.prompt)
@@ -265,14 +265,14 @@
     return RequestError(ResultCode.MALFORMED_BODY, error.reason)
 
 
-async def _whole(
+async def _respond_whole(
     request: web.Request,
     call: ModelCall,
     chunks: cabc.AsyncGenerator[TokenChunk],
-    wording: Wording,
+    response_format: ResponseFormat,
 ) -> web.Response:
-    text, tokens, finish = await _while_connected(request, _collect(chunks))
-    body = wording.whole(call.request_id, call.model, text, finish)
+    text, tokens, finish = await _cancel_on_disconnect(request, _collect(chunks))
+    body = response_format.full_body(call.request_id, call.model, text, finish)
     body["created"] = int(time.time())
     body["usage"] = {
         "prompt_tokens": call.prompt_tokens,
@@ -286,14 +286,14 @@
     )
 
 
-async def _while_connected(
+async def _cancel_on_disconnect(
     request: web.Request, work: t.Coroutine[t.Any, t.Any, _Result]
 ) -> _Result:
     """Return what the work gives; a caller that goes away cancels it."""
     task = asyncio.ensure_future(work)
     try:
         while not task.done():
-            await asyncio.wait({task}, timeout=GONE_CHECK_INTERVAL)
+            await asyncio.wait({task}, timeout=DISCONNECT_CHECK_INTERVAL)
             if request.transport is None or request.transport.is_closing():
                 raise RequestError(ResultCode.CANCELLED_BY_CALLER)
         return task.result()
@@ -315,11 +315,11 @@
     return "".join(parts), tokens, finish
 
 
-async def _stream(
+async def _respond_streamed(
     request: web.Request,
     call: ModelCall,
     chunks: cabc.AsyncGenerator[TokenChunk],
-    wording: Wording,
+    response_format: ResponseFormat,
 ) -> web.StreamResponse:
     """Stream an answer as server-sent events.
 
@@ -333,16 +333,16 @@
             REQUEST_ID_HEADER: call.request_id,
         }
     )
-    first = await _while_connected(request, _next(chunks))
+    first = await _cancel_on_disconnect(request, _first_chunk(chunks))
     await response.prepare(request)
     try:
-        await _write_events(response, call, first, chunks, wording)
+        await _write_events(response, call, first, chunks, response_format)
     except ConnectionError:
         logger.info("caller of %s went away", call.request_id)
     return response
 
 
-async def _next(chunks: cabc.AsyncGenerator[TokenChunk]) -> TokenChunk:
+async def _first_chunk(chunks: cabc.AsyncGenerator[TokenChunk]) -> TokenChunk:
     return await anext(chunks)
 
 
@@ -351,7 +351,7 @@
     call: ModelCall,
     first: TokenChunk,
     chunks: cabc.AsyncGenerator[TokenChunk],
-    wording: Wording,
+    response_format: ResponseFormat,
 ) -> None:
     """Write a stream to its end.
 
@@ -362,8 +362,10 @@
     chunk: TokenChunk | None = first
     try:
         while chunk is not None:
-            part = wording.part(call.request_id, call.model, chunk.text, chunk.finish)
-            event = b"data: " + msgspec.json.encode(part) + b"\n\n"
+            stream_event = response_format.stream_event(
+                call.request_id, call.model, chunk.text, chunk.finish
+            )
+            event = b"data: " + msgspec.json.encode(stream_event) + b"\n\n"
             if chunk.finish:
                 end += event
             else:
--- a/src/bergamotmast/entry/interfaces.py
+++ b/src/bergamotmast/entry/interfaces.py
@@ -41,7 +41,7 @@
         ...
 
 
-class RunsEntry(t.Protocol):
+class EntryContext(t.Protocol):
     """What the run of a request needs of its entry."""
 
     policy: EntryPolicy
@@ -53,7 +53,7 @@
         """Return the upstreams that a call may be offered to now."""
         ...
 
-    def reconnecting(self, call: ModelCall | ServiceCall) -> bool:
+    def has_reconnecting_upstream(self, call: ModelCall | ServiceCall) -> bool:
         """Return whether an upstream for a call lost its session just now."""
         ...
 
--- a/src/bergamotmast/entry/membership.py
+++ b/src/bergamotmast/entry/membership.py
@@ -80,17 +80,17 @@
             logger.warning("instance list: %s", error.message)
             return
         self.infos = {info.name: info for info in instances}
-        wanted = self._wanted()
+        wanted = self._working_upstreams()
         for name in sorted(wanted):
-            self._keep(self.infos[name], timing.BEAT_INTERVAL)
+            self._ensure_peer(self.infos[name], timing.BEAT_INTERVAL)
         if self.observes_all():
             wanted |= self._observe(set(self.infos) - wanted)
-        wanted |= self._observe(self._leaving() - wanted)
+        wanted |= self._observe(self._observed_leaving() - wanted)
         for name in sorted(set(self.peers) - wanted):
             if not self.peers[name].attempts:
-                self._drop(name)
+                self._drop_peer(name)
 
-    def _wanted(self) -> set[str]:
+    def _working_upstreams(self) -> set[str]:
         """Return the upstreams to be connected to, a subset of each group.
 
         A process that starts while the key-value service is down knows no group. It
@@ -110,7 +110,7 @@
             wanted |= choose_subset(self.entry, self.zone, zones)
         return wanted
 
-    def _leaving(self) -> set[str]:
+    def _observed_leaving(self) -> set[str]:
         """Return the leaving upstreams to be observed.
 
         A side of a leaving upstream that is replaced while the key-value service is
@@ -125,21 +125,21 @@
         for name in sorted(names):
             peer = self.peers.get(name)
             if peer is None or peer.is_observer or not peer.attempts:
-                self._keep(self.infos[name], interval)
+                self._ensure_peer(self.infos[name], interval)
         return names
 
-    def _keep(self, info: InstanceInfo, interval: float) -> None:
+    def _ensure_peer(self, info: InstanceInfo, interval: float) -> None:
         peer = self.peers.get(info.name)
-        if peer is not None and _fits(peer, info, interval):
+        if peer is not None and _can_stay(peer, info, interval):
             peer.info = info
             return
         if peer is not None:
-            self._drop(info.name)
+            self._drop_peer(info.name)
         peer = self.open_peer(info, interval)
         self.peers[info.name] = peer
         self.tasks[info.name] = asyncio.create_task(peer.run())
 
-    def _drop(self, name: str) -> None:
+    def _drop_peer(self, name: str) -> None:
         self.tasks.pop(name).cancel()
         del self.peers[name]
 
@@ -148,7 +148,7 @@
     return False
 
 
-def _fits(peer: Peer, info: InstanceInfo, interval: float) -> bool:
+def _can_stay(peer: Peer, info: InstanceInfo, interval: float) -> bool:
     """Return whether a peer can stay as it is; small changes of pace don't count."""
     same_kind = peer.is_observer == (interval > timing.BEAT_INTERVAL)
     return same_kind and peer.info.side_address == info.side_address
--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -18,7 +18,7 @@
 from .attempt import EntryAttempt
 from .attempt import SessionLost
 from .attempt import SideReplaced
-from .interfaces import RunsEntry
+from .interfaces import EntryContext
 from .placement import Placement
 
 
@@ -33,7 +33,7 @@
     :param call: the request.
     """
 
-    def __init__(self, entry: RunsEntry, call: ModelCall) -> None:
+    def __init__(self, entry: EntryContext, call: ModelCall) -> None:
         self.entry = entry
         self.call = call
         self.placement = Placement(entry, call)
@@ -54,9 +54,9 @@
             attempt = await self._offer(choice)
             if attempt is None:
                 continue
-            followed = self._follow(attempt)
-            async with contextlib.aclosing(followed):
-                async for chunk in followed:
+            consumed = self._consume(attempt)
+            async with contextlib.aclosing(consumed):
+                async for chunk in consumed:
                     yield chunk
 
     def _wait_until(self) -> float:
@@ -87,7 +87,7 @@
         decode = 1 if prefill_only else self.cost.decode - self.tokens
         return Cost(prefill, max(1, decode))
 
-    async def _follow(self, attempt: EntryAttempt) -> cabc.AsyncGenerator[TokenChunk]:
+    async def _consume(self, attempt: EntryAttempt) -> cabc.AsyncGenerator[TokenChunk]:
         """Yield what an attempt adds to the answer, until it ends or breaks."""
         ended = False
         self.kv_handle = ""
@@ -125,7 +125,7 @@
                     case _:
                         pass
         finally:
-            await self._leave(attempt, ended)
+            await self._release(attempt, ended)
 
     def _accept(
         self, attempt: EntryAttempt, chunk: messages.Chunk
@@ -171,16 +171,16 @@
         raise self.placement.error(ResultCode.DEADLINE_EXCEEDED, None)
 
     async def _grant(self, attempt: EntryAttempt) -> None:
-        attempt.taken += 1
-        if attempt.taken * 2 >= timing.CHUNK_CREDIT:
+        attempt.consumed_chunks += 1
+        if attempt.consumed_chunks * 2 >= timing.CHUNK_CREDIT:
             peer = self.entry.membership.peers.get(attempt.upstream)
             if peer is not None:
-                await peer.grant(attempt, attempt.taken)
-            attempt.taken = 0
+                await peer.grant(attempt, attempt.consumed_chunks)
+            attempt.consumed_chunks = 0
 
-    async def _leave(self, attempt: EntryAttempt, ended: bool) -> None:
+    async def _release(self, attempt: EntryAttempt, ended: bool) -> None:
         """Let go of an attempt; one that may still run is cancelled."""
-        self.placement.leave(attempt)
+        self.placement.detach(attempt)
         if ended:
             return
         peer = self.entry.membership.peers.get(attempt.upstream)
--- a/src/bergamotmast/entry/openai.py
+++ b/src/bergamotmast/entry/openai.py
@@ -82,41 +82,47 @@
     return xxhash.xxh64_hexdigest(prompt[:PREFIX_CHARACTERS].encode())
 
 
-class Wording(t.Protocol):
+class ResponseFormat(t.Protocol):
     """How one of the two interfaces words its answers."""
 
-    def whole(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
+    def full_body(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
         """Return the body of a whole answer."""
         ...
 
-    def part(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
+    def stream_event(
+        self, request_id: str, model: str, text: str, finish: str
+    ) -> t.Any:
         """Return one event of a streamed answer."""
         ...
 
 
-class CompletionWording:
+class CompletionFormat:
     """Answers of ``/v1/completions``."""
 
-    def whole(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
+    def full_body(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
         """Return the body of a whole answer."""
         choice = {"index": 0, "text": text, "finish_reason": finish or None}
         return _body(request_id, "text_completion", model, choice)
 
-    def part(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
+    def stream_event(
+        self, request_id: str, model: str, text: str, finish: str
+    ) -> t.Any:
         """Return one event of a streamed answer."""
-        return self.whole(request_id, model, text, finish)
+        return self.full_body(request_id, model, text, finish)
 
 
-class ChatWording:
+class ChatFormat:
     """Answers of ``/v1/chat/completions``."""
 
-    def whole(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
+    def full_body(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
         """Return the body of a whole answer."""
         message = {"role": "assistant", "content": text}
         choice = {"index": 0, "message": message, "finish_reason": finish or None}
         return _body(request_id, "chat.completion", model, choice)
 
-    def part(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
+    def stream_event(
+        self, request_id: str, model: str, text: str, finish: str
+    ) -> t.Any:
         """Return one event of a streamed answer."""
         delta = {"content": text}
         choice = {"index": 0, "delta": delta, "finish_reason": finish or None}
--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -80,10 +80,10 @@
         self.reported_at = 0.0
         self.reconnect_by = 0.0
         self.generation = 0
-        self.frame_lost = False
+        self.frame_dropped = False
         self.plan_seen = NO_TOKEN
         self.attempts: dict[str, EntryAttempt] = {}
-        self.since_report = Cost(0, 0)
+        self.offered_since_report = Cost(0, 0)
 
     # What the rest of the entry asks of it
 
@@ -110,7 +110,7 @@
             own_running=len(self.attempts),
             own_prefill=sum(a.prefill_left for a in attempts),
             own_decode=sum(a.decode_left for a in attempts),
-            own_since_report=self.since_report,
+            own_since_report=self.offered_since_report,
         )
 
     async def offer(self, attempt: EntryAttempt, offer: messages.Offer) -> None:
@@ -121,9 +121,9 @@
         if self.session is None or self.link is None:
             raise NotReachedError(f"no session with {self.info.name}")
         self.attempts[attempt.name] = attempt
-        self.since_report = Cost(
-            self.since_report.prefill + attempt.cost.prefill,
-            self.since_report.decode + attempt.cost.decode,
+        self.offered_since_report = Cost(
+            self.offered_since_report.prefill + attempt.cost.prefill,
+            self.offered_since_report.decode + attempt.cost.decode,
         )
         try:
             await self.link.send(messages.encode(offer))
@@ -154,28 +154,28 @@
             retry = timing.HELLO_RETRY
             link = self.dialer.dial(self.info.side_address)
             try:
-                await self._connection(link)
+                await self._run_session(link)
             except TimeoutError:
                 logger.info("side %s is not heard", self.info.name)
             except VersionError as error:
                 logger.warning("no session with side %s: %s", self.info.name, error)
                 retry = timing.VERSION_RETRY
             finally:
-                self._on_lost()
+                self._on_session_lost()
                 link.close()
             await asyncio.sleep(retry)
 
-    async def _connection(self, link: Link) -> None:
-        welcome = await self._open(link)
+    async def _run_session(self, link: Link) -> None:
+        welcome = await self._open_session(link)
         self.link = link
-        await self._on_open(welcome)
-        beats = asyncio.create_task(self._beat(welcome.session))
+        await self._on_session_open(welcome)
+        heartbeats = asyncio.create_task(self._send_heartbeats(welcome.session))
         try:
             await self._receive(link, welcome.session)
         finally:
-            beats.cancel()
+            heartbeats.cancel()
 
-    async def _open(self, link: Link) -> messages.Welcome:
+    async def _open_session(self, link: Link) -> messages.Welcome:
         """Say hello until the side answers the latest one.
 
         :raises VersionError: if one of the two is too old for the other.
@@ -195,16 +195,16 @@
             try:
                 await link.send(messages.encode(hello))
                 async with asyncio.timeout(timing.SIDE_TIMEOUT):
-                    return await self._welcome(link)
+                    return await self._wait_for_welcome(link)
             except NotReachedError:
                 await asyncio.sleep(timing.HELLO_RETRY)
 
-    async def _welcome(self, link: Link) -> messages.Welcome:
+    async def _wait_for_welcome(self, link: Link) -> messages.Welcome:
         while True:
             message = self._decode(await link.receive())
             if isinstance(message, messages.Welcome):
                 if message.counter == self.counter:
-                    self.version = _agreed(message)
+                    self.version = _negotiated_version(message)
                     return message
             elif isinstance(message, messages.VersionRefused):
                 if message.counter == self.counter:
@@ -220,7 +220,7 @@
         while True:
             for frame in await self._next_frames(link):
                 message = self._decode(frame)
-                if self.frame_lost:
+                if self.frame_dropped:
                     return
                 if isinstance(message, messages.SessionUnknown):
                     if message.session == session:
@@ -252,11 +252,11 @@
             logger.warning("frame of %s refused: %s", self.info.name, error)
             return None
 
-    async def _on_open(self, welcome: messages.Welcome) -> None:
+    async def _on_session_open(self, welcome: messages.Welcome) -> None:
         replaced = welcome.incarnation != self.side_incarnation
         self.side_incarnation = welcome.incarnation
         self.session = welcome.session
-        self.frame_lost = False
+        self.frame_dropped = False
         for attempt in list(self.attempts.values()):
             if replaced:
                 attempt.events.put_nowait(SideReplaced())
@@ -265,7 +265,7 @@
                 await self.cancel(attempt)
         await self._compare_generation(welcome.generation)
 
-    def _on_lost(self) -> None:
+    def _on_session_lost(self) -> None:
         if self.session is None:
             return
         self.session = None
@@ -277,7 +277,7 @@
             if not attempt.survives_session:
                 self.forget(attempt)
 
-    async def _beat(self, session: str) -> None:
+    async def _send_heartbeats(self, session: str) -> None:
         while True:
             await self._send(messages.Heartbeat(session, self.holder.generation))
             await asyncio.sleep(self.interval)
@@ -317,17 +317,17 @@
             return
         self.report = beat.report
         self.reported_at = asyncio.get_running_loop().time()
-        told = FencingToken(beat.report.plan_epoch, beat.report.plan_revision)
-        self.plan_seen = max(self.plan_seen, told)
-        self.since_report = Cost(0, 0)
+        reported_plan = FencingToken(beat.report.plan_epoch, beat.report.plan_revision)
+        self.plan_seen = max(self.plan_seen, reported_plan)
+        self.offered_since_report = Cost(0, 0)
         await self._compare_generation(beat.generation)
 
     # Configuration
 
     async def _compare_generation(self, generation: int) -> None:
         self.generation = generation
-        if question := config_exchange.pull(self.holder, generation):
-            await self._send(question)
+        if request := config_exchange.pull(self.holder, generation):
+            await self._send(request)
 
     async def _send_document(self, generation: int) -> None:
         if document := config_exchange.newer_document(self.holder, generation):
@@ -341,12 +341,12 @@
         except NotReachedError:
             # A lost grant of credit would stall its stream until the deadline, so
             # the session ends with the first frame lost.
-            self.frame_lost = True
+            self.frame_dropped = True
             return False
         return True
 
 
-def _agreed(welcome: messages.Welcome) -> int:
+def _negotiated_version(welcome: messages.Welcome) -> int:
     version = messages.agreed_version(welcome.version)
     if version is None:
         raise VersionError(
--- a/src/bergamotmast/entry/placement.py
+++ b/src/bergamotmast/entry/placement.py
@@ -17,7 +17,7 @@
 from ..protocol import timing
 from .attempt import DeadlinePassed
 from .attempt import EntryAttempt
-from .interfaces import RunsEntry
+from .interfaces import EntryContext
 
 MAX_REFUSALS = 3
 """Refusals for load after which a request that no upstream has accepted is refused."""
@@ -32,10 +32,10 @@
 RETRY_AFTER_NO_UPSTREAM = 2.0
 """Seconds in ``Retry-After`` when no upstream can serve a request."""
 
-PAUSE_RANGE = (0.05, 0.15)
+CHOICE_RETRY_DELAY_RANGE = (0.05, 0.15)
 """Bounds of the jittered delay, in seconds, before an upstream is chosen again."""
 
-_MOVED = frozenset(
+_FLEET_CHANGE_CODES = frozenset(
     {
         ResultCode.UPSTREAM_LEAVING,
         ResultCode.ENGINE_NOT_READY,
@@ -54,15 +54,15 @@
     :param excluded: upstreams that refused the request or failed it.
     :param accepted: whether an upstream accepted the request once. From then on,
         changes of the fleet and failures are retried; only a deadline ends it.
-    :param no_choice: the result when no candidate is left: the last refusal for load,
-        or else ``NO_UPSTREAM``.
+    :param no_candidate_choice: the result when no candidate is left: the last refusal
+        for load, or else ``NO_UPSTREAM``.
     :param may_have_run: whether some attempt may have started.
     :param has_run: whether some attempt is known to have started.
-    :param ending: whether the entry shuts down, so that no further attempt is made.
+    :param aborting: whether the entry shuts down, so that no further attempt is made.
     :param attempt: the current attempt.
     """
 
-    def __init__(self, entry: RunsEntry, call: ModelCall | ServiceCall) -> None:
+    def __init__(self, entry: EntryContext, call: ModelCall | ServiceCall) -> None:
         self.entry = entry
         self.call = call
         self.excluded: set[str] = set()
@@ -70,14 +70,16 @@
         self.may_have_run = False
         self.has_run = False
         self.refusals = 0
-        self.no_choice = Choice(None, ResultCode.NO_UPSTREAM, RETRY_AFTER_NO_UPSTREAM)
+        self.no_candidate_choice = Choice(
+            None, ResultCode.NO_UPSTREAM, RETRY_AFTER_NO_UPSTREAM
+        )
         self.failures = 0
-        self.ending = False
+        self.aborting = False
         self.attempt: EntryAttempt | None = None
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """End the request now, with its known outcome, as the entry shuts down."""
-        self.ending = True
+        self.aborting = True
         if self.attempt is not None:
             self.attempt.events.put_nowait(DeadlinePassed())
 
@@ -96,9 +98,9 @@
         :raises RequestError: if no upstream is available.
         """
         while True:
-            if self.ending:
+            if self.aborting:
                 raise self.error(ResultCode.SHUTTING_DOWN, None)
-            choice = self._choose_now(resumed_tokens)
+            choice = self._choose_once(resumed_tokens)
             if choice.upstream is not None:
                 return choice
             if not self.accepted and not self._may_reconnect(choice.code):
@@ -106,16 +108,18 @@
             if self.now() >= wait_until:
                 raise self.error(ResultCode.EXPIRED_IN_QUEUE, choice.retry_after)
             self.excluded.clear()
-            await asyncio.sleep(self.entry.rng.uniform(*PAUSE_RANGE))
+            await asyncio.sleep(self.entry.rng.uniform(*CHOICE_RETRY_DELAY_RANGE))
 
     def _may_reconnect(self, code: ResultCode) -> bool:
         """Return whether only a session that was lost just now is missing."""
-        return code is ResultCode.NO_UPSTREAM and self.entry.reconnecting(self.call)
+        return code is ResultCode.NO_UPSTREAM and self.entry.has_reconnecting_upstream(
+            self.call
+        )
 
-    def _choose_now(self, resumed_tokens: int) -> Choice:
+    def _choose_once(self, resumed_tokens: int) -> Choice:
         candidates = self.entry.candidates(self.call)
         if not any(c.name not in self.excluded for c in candidates):
-            return self.no_choice
+            return self.no_candidate_choice
         return self.entry.policy.choose(
             self.call,
             candidates,
@@ -178,14 +182,14 @@
         :raises RequestError: if no further attempt may be made.
         """
         self.excluded.add(upstream)
-        self._tell_policy(upstream, code, 0)
-        if code in _MOVED:
+        self._report_to_policy(upstream, code, 0)
+        if code in _FLEET_CHANGE_CODES:
             self.accepted = True
             return
         if self.accepted and code is not ResultCode.EXPIRED_IN_QUEUE:
             return
         self.refusals += 1
-        self.no_choice = Choice(None, code, retry_after)
+        self.no_candidate_choice = Choice(None, code, retry_after)
         last = self.refusals >= MAX_REFUSALS or code is ResultCode.EXPIRED_IN_QUEUE
         if last or not self.entry.policy.may_retry(self.call, self.now()):
             raise self.error(code, retry_after)
@@ -199,15 +203,15 @@
         self.accepted = True
         self.may_have_run = True
         self.failures += 1
-        self._tell_policy(upstream, code, output_tokens)
+        self._report_to_policy(upstream, code, output_tokens)
         if self.failures >= MAX_FAILURES:
             raise self.error(ResultCode.UPSTREAM_FAILED, None)
 
     def on_done(self, upstream: str, output_tokens: int) -> None:
         """Record an attempt that completed its work."""
-        self._tell_policy(upstream, ResultCode.OK, output_tokens)
+        self._report_to_policy(upstream, ResultCode.OK, output_tokens)
 
-    def leave(self, attempt: EntryAttempt) -> None:
+    def detach(self, attempt: EntryAttempt) -> None:
         """Stop tracking an attempt; later messages about it are ignored."""
         self.attempt = None
         if attempt.timer is not None:
@@ -227,7 +231,7 @@
             return "unknown"
         try:
             async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
-                return await _state(attempt)
+                return await _wait_for_state(attempt)
         except TimeoutError:
             return "unknown"
 
@@ -243,17 +247,17 @@
             elif self.may_have_run:
                 code = ResultCode.OUTCOME_UNKNOWN
         detail = ""
-        if code is ResultCode.EXPIRED_IN_QUEUE and self.ending:
+        if code is ResultCode.EXPIRED_IN_QUEUE and self.aborting:
             code = ResultCode.SHUTTING_DOWN
-        elif code is ResultCode.DEADLINE_EXCEEDED and self.ending:
+        elif code is ResultCode.DEADLINE_EXCEEDED and self.aborting:
             detail = "The request ran and was not whole when the entry ended."
         return RequestError(code, detail, retry_after)
 
-    def _tell_policy(self, upstream: str, code: ResultCode, tokens: int) -> None:
+    def _report_to_policy(self, upstream: str, code: ResultCode, tokens: int) -> None:
         self.entry.policy.on_ended(upstream, self.call, code, tokens, self.now())
 
 
-async def _state(attempt: EntryAttempt) -> str:
+async def _wait_for_state(attempt: EntryAttempt) -> str:
     while True:
         event = await attempt.events.get()
         if isinstance(event, messages.AttemptState):
--- a/src/bergamotmast/entry/service_run.py
+++ b/src/bergamotmast/entry/service_run.py
@@ -20,13 +20,13 @@
 from .attempt import EntryAttempt
 from .attempt import SessionLost
 from .attempt import SideReplaced
-from .interfaces import RunsEntry
+from .interfaces import EntryContext
 from .placement import Placement
 
-COMPLETION_TIMEOUT = 1.0
+CLAIM_WRITE_TIMEOUT = 1.0
 """Seconds an answer waits for its claim to be marked as completed."""
 
-RESOLUTION_GRACE = 10.0
+SESSION_RECOVERY_GRACE = 10.0
 """Seconds for which a call that may be running waits for its side to be heard again.
 
 A cut of some seconds then ends in the true answer. A side that died never tells, and
@@ -41,7 +41,7 @@
     :param call: the request.
     """
 
-    def __init__(self, entry: RunsEntry, call: ServiceCall) -> None:
+    def __init__(self, entry: EntryContext, call: ServiceCall) -> None:
         self.entry = entry
         self.call = call
         self.placement = Placement(entry, call)
@@ -52,12 +52,12 @@
         :raises RequestError: if there is none.
         """
         if self.call.repeatable:
-            return await self._attempts()
+            return await self._run_attempts()
         if not self.call.idempotency_key:
-            return await self._attempts()
-        return await self._once()
+            return await self._run_attempts()
+        return await self._run_at_most_once()
 
-    async def _once(self) -> ServiceAnswer:
+    async def _run_at_most_once(self) -> ServiceAnswer:
         """Claim the caller's key, then run; no claim, no run."""
         claims = self.entry.claims
         key = f"{self.call.tenant}/{self.call.route}/{self.call.idempotency_key}"
@@ -65,18 +65,18 @@
         if earlier is not None:
             return earlier
         try:
-            answer = await self._attempts()
+            answer = await self._run_attempts()
         except RequestError as error:
             if CODE_INFO[error.code].outcome is Outcome.NOT_RUN:
-                await self._settle(claims.release(key))
+                await self._finish_claim(claims.release(key))
             raise
-        await self._settle(claims.complete(key, answer))
+        await self._finish_claim(claims.complete(key, answer))
         return answer
 
-    async def _settle(self, writing: t.Coroutine[t.Any, t.Any, None]) -> None:
+    async def _finish_claim(self, writing: t.Coroutine[t.Any, t.Any, None]) -> None:
         """Write the end of a claim; a claim left open only makes a replay unknown."""
         try:
-            async with asyncio.timeout(COMPLETION_TIMEOUT):
+            async with asyncio.timeout(CLAIM_WRITE_TIMEOUT):
                 await writing
         except (PortError, RequestError, TimeoutError):
             return
@@ -86,7 +86,7 @@
         text = f"{call.method} {call.path} {call.content_type}\n".encode()
         return hashlib.sha256(text + call.body).digest()[:16]
 
-    async def _attempts(self) -> ServiceAnswer:
+    async def _run_attempts(self) -> ServiceAnswer:
         self.entry.policy.on_admitted(self.call, self.placement.now())
         while True:
             choice = await self.placement.choose(0, self.call.deadline)
@@ -97,9 +97,9 @@
             if attempt is None:
                 continue
             try:
-                answer = await self._follow(attempt)
+                answer = await self._consume(attempt)
             finally:
-                self.placement.leave(attempt)
+                self.placement.detach(attempt)
             if answer is not None:
                 self.placement.on_done(attempt.upstream, 0)
                 return answer
@@ -116,7 +116,7 @@
             idempotency_key=call.idempotency_key,
         )
 
-    async def _follow(self, attempt: EntryAttempt) -> ServiceAnswer | None:
+    async def _consume(self, attempt: EntryAttempt) -> ServiceAnswer | None:
         """Return the answer, or ``None`` if another attempt may be made."""
         while True:
             event = await attempt.events.get()
@@ -129,28 +129,30 @@
                     )
                     return None
                 case messages.Failed() | SideReplaced():
-                    self._on_lost(attempt)
+                    self._on_outcome_unknown(attempt)
                     return None
                 case SessionLost() if self.call.repeatable:
-                    self._on_lost(attempt)
+                    self._on_outcome_unknown(attempt)
                     return None
                 case SessionLost():
-                    self._give_up_by(attempt, self.placement.now() + RESOLUTION_GRACE)
+                    self._set_resolution_deadline(
+                        attempt, self.placement.now() + SESSION_RECOVERY_GRACE
+                    )
                 case messages.AttemptState(state="started"):
-                    self._give_up_by(attempt, self.call.deadline)
+                    self._set_resolution_deadline(attempt, self.call.deadline)
                 case messages.AttemptState(state="never_started"):
                     self.placement.on_refused(
                         attempt.upstream, ResultCode.STALE_SESSION, None
                     )
                     return None
                 case messages.AttemptState(state="done"):
-                    return await self._answer_kept(attempt)
+                    return await self._wait_for_stored_answer(attempt)
                 case DeadlinePassed():
                     return await self._give_up(attempt)
                 case _:
                     pass
 
-    def _give_up_by(self, attempt: EntryAttempt, at: float) -> None:
+    def _set_resolution_deadline(self, attempt: EntryAttempt, at: float) -> None:
         """Set the time at which the call ends as unknown without its side's word."""
         if attempt.timer is not None:
             attempt.timer.cancel()
@@ -158,13 +160,15 @@
             min(at, self.call.deadline), attempt.events.put_nowait, DeadlinePassed()
         )
 
-    def _on_lost(self, attempt: EntryAttempt) -> None:
+    def _on_outcome_unknown(self, attempt: EntryAttempt) -> None:
         """Go on with a repeatable call; end any other as unknown."""
         self.placement.on_failed(attempt.upstream, ResultCode.OUTCOME_UNKNOWN, 0)
         if not self.call.repeatable:
             raise self.placement.error(ResultCode.OUTCOME_UNKNOWN, None)
 
-    async def _answer_kept(self, attempt: EntryAttempt) -> ServiceAnswer | None:
+    async def _wait_for_stored_answer(
+        self, attempt: EntryAttempt
+    ) -> ServiceAnswer | None:
         """Wait for the answer that follows the word that the call is done."""
         try:
             async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
@@ -173,7 +177,7 @@
                     if isinstance(event, messages.ServiceDone):
                         return _answer(event)
         except TimeoutError:
-            self._on_lost(attempt)
+            self._on_outcome_unknown(attempt)
             return None
 
     async def _give_up(self, attempt: EntryAttempt) -> ServiceAnswer | None:
@@ -182,7 +186,7 @@
         if state == "never_started":
             raise self.placement.error(ResultCode.EXPIRED_IN_QUEUE, None)
         if state == "done":
-            return await self._answer_kept(attempt)
+            return await self._wait_for_stored_answer(attempt)
         self.placement.may_have_run = True
         raise self.placement.error(ResultCode.OUTCOME_UNKNOWN, None)
 
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -31,7 +31,7 @@
 from ..telemetry import Telemetry
 from .attempt import Attempt
 from .attempt import AttemptPhase
-from .offers import demand
+from .offers import offered_demand
 from .offers import queue_item
 from .report import read_report
 from .runners import Runner
@@ -43,16 +43,16 @@
 EXPIRY_INTERVAL = 0.1
 """Seconds between two looks for waiting work that can no longer be answered."""
 
-ANSWER_KEPT = 30.0
+ANSWER_RETENTION = 30.0
 """Seconds a plain service's answer is kept for an entry that lost its session."""
 
-_STATES: dict[AttemptPhase, t.Literal["never_started", "started", "done"]] = {
+_WIRE_STATES: dict[AttemptPhase, t.Literal["never_started", "started", "done"]] = {
     AttemptPhase.WAITING: "never_started",
     AttemptPhase.STARTED: "started",
     AttemptPhase.DONE: "done",
 }
 
-ENDED_DETAIL = "the side's time to end was over"
+SHUTDOWN_DETAIL = "the side's time to end was over"
 
 RETRY_AFTER_FULL = 1.0
 """Seconds after which a caller refused for load may come back."""
@@ -117,7 +117,7 @@
             return Readiness.CHANGING
         return self.engine_readiness
 
-    def on_engine(self, state: EngineState | None, readiness: Readiness) -> None:
+    def on_engine_state(self, state: EngineState | None, readiness: Readiness) -> None:
         """Learn what the upstream is; waiting work leaves if it can't start here."""
         if state is not None and state != self.engine:
             self.policy.configure(
@@ -153,10 +153,10 @@
         self._after_readiness_change()
         await self.drained()
         await self.flush()
-        await self.server.until_read()
+        await self.server.wait_until_read()
         await self.flush()
 
-    async def end_attempts(self) -> None:
+    async def abort_attempts(self) -> None:
         """End what still runs and say so: the entries need not wait for this side.
 
         Streams go on elsewhere; a call that may not be repeated ends as unknown now,
@@ -165,13 +165,13 @@
         # Attempts end, and are forgotten, while others are told of.
         for attempt in [self.attempts[name] for name in sorted(self.running)]:
             failed = messages.Failed(
-                attempt.name, ResultCode.OUTCOME_UNKNOWN, ENDED_DETAIL
+                attempt.name, ResultCode.OUTCOME_UNKNOWN, SHUTDOWN_DETAIL
             )
             await self.send(attempt.session.peer, failed)
             if attempt.task is not None:
                 attempt.task.cancel()
         await self.flush()
-        await self.server.until_read()
+        await self.server.wait_until_read()
         await self.flush()
 
     async def flush(self) -> None:
@@ -184,15 +184,15 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.server.run())
             group.create_task(self._expire())
-            group.create_task(self._follow_configuration())
+            group.create_task(self._watch_configuration())
 
-    async def on_followed(self, earlier: Session, session: Session) -> None:
+    async def on_session_replaced(self, earlier: Session, session: Session) -> None:
         """Move what an ended session still runs to the one that follows it.
 
         Waiting attempts never start, streams end because the entry resumes them
         elsewhere, and calls of plain services go on: their answers are owed.
         """
-        for attempt in self._of_session(earlier):
+        for attempt in self._attempts_of(earlier):
             attempt.session = session
             if attempt.phase is AttemptPhase.WAITING:
                 await self._refuse_waiting(attempt, ResultCode.STALE_SESSION)
@@ -214,7 +214,7 @@
             self.shed += 1
             await self._refuse(session, offer, code)
             return
-        self._start_waiting()
+        self._start_ready_attempts()
 
     def _admit(self, session: Session, offer: messages.Offer) -> ResultCode:
         readiness = self.readiness
@@ -225,7 +225,7 @@
         now = self._now()
         item = queue_item(offer, now)
         code = self.policy.offer(item, now)
-        added = demand(offer.work, code)
+        added = offered_demand(offer.work, code)
         self.offered = Cost(
             self.offered.prefill + added.prefill, self.offered.decode + added.decode
         )
@@ -245,23 +245,23 @@
         )
 
     async def _refuse_waiting(self, attempt: Attempt, code: ResultCode) -> None:
-        self._take_out(attempt)
+        self._withdraw(attempt)
         await self._refuse(attempt.session, attempt.offer, code)
 
-    def _take_out(self, attempt: Attempt) -> None:
+    def _withdraw(self, attempt: Attempt) -> None:
         """Take a waiting attempt out of the queue: from here on it never starts."""
         self.policy.withdraw(attempt.name)
         del self.attempts[attempt.name]
 
-    def _end(self, attempt: Attempt) -> None:
+    def _end_attempt(self, attempt: Attempt) -> None:
         """End an attempt; a call of a service that runs goes on."""
         if attempt.phase is AttemptPhase.WAITING:
-            self._take_out(attempt)
+            self._withdraw(attempt)
             self._record(attempt.offer, "never_started")
         elif attempt.is_model:
             self._end_stream(attempt)
 
-    def _start_waiting(self) -> None:
+    def _start_ready_attempts(self) -> None:
         """Start what the policy says may start now."""
         while (item := self.policy.next(self._now())) is not None:
             attempt = self.attempts[item.attempt]
@@ -293,14 +293,14 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             logger.error("attempt %s failed", attempt.name, exc_info=error)
         attempt.phase = AttemptPhase.DONE
-        attempt.forget_at = self._now() + ANSWER_KEPT
+        attempt.forget_at = self._now() + ANSWER_RETENTION
         self.running.discard(attempt.name)
         attempt.session.on_started(attempt.name)
         if attempt.answer is None:
             self.attempts.pop(attempt.name, None)
         self._record(attempt.offer, "done")
         self.policy.on_ended(attempt.name, self._now())
-        self._start_waiting()
+        self._start_ready_attempts()
         if not self.running:
             self._idle.set()
 
@@ -317,8 +317,8 @@
         if attempt is None:
             await self._on_cancel_of_unknown(session, cancel)
             return
-        state = _STATES[attempt.phase]
-        self._end(attempt)
+        state = _WIRE_STATES[attempt.phase]
+        self._end_attempt(attempt)
         await self.send(session.peer, messages.AttemptState(attempt.name, state))
         if attempt.answer is not None:
             await self.send(session.peer, attempt.answer)
@@ -353,12 +353,12 @@
                 await self._refuse(attempt.session, attempt.offer, code)
             self.server.end_expired(now)
             self._forget_answers(now)
-            self._start_waiting()
+            self._start_ready_attempts()
 
-    def on_ended(self, session: Session) -> None:
+    def on_session_ended(self, session: Session) -> None:
         """Learn that a session is over: its calls of services go on."""
-        for attempt in self._of_session(session):
-            self._end(attempt)
+        for attempt in self._attempts_of(session):
+            self._end_attempt(attempt)
 
     def _forget_answers(self, now: float) -> None:
         done = AttemptPhase.DONE
@@ -374,7 +374,7 @@
             code = ResultCode.UPSTREAM_LEAVING
         waiting = [a for a in self.attempts.values() if a.phase is AttemptPhase.WAITING]
         for attempt in waiting:
-            self._take_out(attempt)
+            self._withdraw(attempt)
             self._in_background(self._refuse(attempt.session, attempt.offer, code))
         for session in self.sessions.by_name.values():
             self._in_background(self.server.send_report(session))
@@ -386,7 +386,7 @@
 
     # Configuration
 
-    async def _follow_configuration(self) -> None:
+    async def _watch_configuration(self) -> None:
         generation = -1
         while True:
             configuration = await self.holder.wait_newer(generation)
@@ -409,9 +409,9 @@
         self.done = Cost(self.done.prefill + prefilled, self.done.decode + tokens)
         self.policy.on_progress(attempt.name, tokens, self._now())
         if prefilled:
-            self._start_waiting()
+            self._start_ready_attempts()
 
-    def _of_session(self, session: Session) -> list[Attempt]:
+    def _attempts_of(self, session: Session) -> list[Attempt]:
         return [a for a in self.attempts.values() if a.session is session]
 
     def _record(self, offer: messages.Offer, event: str) -> None:
--- a/src/bergamotmast/side/offers.py
+++ b/src/bergamotmast/side/offers.py
@@ -7,7 +7,7 @@
 from ..policy import QueueItem
 from ..protocol import messages
 
-REFUSALS_A_REQUEST = 3
+OFFERS_PER_REFUSED_REQUEST = 3
 """Sides that a refused request is usually offered to, before its caller hears of it."""
 
 
@@ -21,7 +21,7 @@
         start_by = deadline
         resumed = False
     else:
-        cost = _stage_cost(work)
+        cost = _remaining_cost(work)
         kv_tokens = work.prompt_tokens + work.resume_tokens + work.predicted_tokens
         start_by = now + work.first_token_budget
         resumed = work.resume_tokens > 0
@@ -40,13 +40,15 @@
     )
 
 
-def _stage_cost(work: messages.ModelWork) -> Cost:
+def _remaining_cost(work: messages.ModelWork) -> Cost:
     """Return what is left to do here of an answer that may be made in two stages."""
     prefill = 0 if work.kv_handle else work.prompt_tokens + work.resume_tokens
     return Cost(prefill, 1 if work.prefill_only else work.predicted_tokens)
 
 
-def demand(work: messages.ModelWork | messages.ServiceWork, code: ResultCode) -> Cost:
+def offered_demand(
+    work: messages.ModelWork | messages.ServiceWork, code: ResultCode
+) -> Cost:
     """Return what an offer adds to the demand that decides on roles.
 
     A request is counted whole where it is first offered. Counted stage by stage, what
@@ -58,6 +60,6 @@
         return Cost(1, 1)
     if work.kv_handle:
         return Cost(0, 0)
-    shares = 1 if code is ResultCode.OK else REFUSALS_A_REQUEST
+    shares = 1 if code is ResultCode.OK else OFFERS_PER_REFUSED_REQUEST
     prefill = work.prompt_tokens + work.resume_tokens
     return Cost(prefill // shares, work.predicted_tokens // shares)
--- a/src/bergamotmast/side/order_states.py
+++ b/src/bergamotmast/side/order_states.py
@@ -27,20 +27,20 @@
     """The engine carries an order out."""
 
 
-_ANY = list(OrderState)
+_ALL_STATES = list(OrderState)
 
 _TRANSITIONS: list[dict[str, t.Any]] = [
-    {"trigger": "lost", "source": _ANY, "dest": OrderState.UNKNOWN},
-    {"trigger": "found_settled", "source": _ANY, "dest": OrderState.SETTLED},
-    {"trigger": "found_changing", "source": _ANY, "dest": OrderState.CHANGING},
+    {"trigger": "lost", "source": _ALL_STATES, "dest": OrderState.UNKNOWN},
+    {"trigger": "found_settled", "source": _ALL_STATES, "dest": OrderState.SETTLED},
+    {"trigger": "found_changing", "source": _ALL_STATES, "dest": OrderState.CHANGING},
     {
         "trigger": "drain",
-        "source": [s for s in _ANY if s is not OrderState.DRAINING],
+        "source": [s for s in _ALL_STATES if s is not OrderState.DRAINING],
         "dest": OrderState.DRAINING,
     },
     {
         "trigger": "give",
-        "source": [s for s in _ANY if s is not OrderState.ORDERING],
+        "source": [s for s in _ALL_STATES if s is not OrderState.ORDERING],
         "dest": OrderState.ORDERING,
     },
     {
--- a/src/bergamotmast/side/orders.py
+++ b/src/bergamotmast/side/orders.py
@@ -38,19 +38,19 @@
 from .order_states import OrderMachine
 from .order_states import OrderState
 
-POLL_SECONDS = 1.0
+STATE_POLL_SECONDS = 1.0
 """Between two readings of the engine's state: how late a restart may be noticed."""
 
-STATE_SECONDS = 2.0
+STATE_TIMEOUT_SECONDS = 2.0
 """Longest wait for the engine's state."""
 
-MISSES_ALLOWED = 2
+MAX_FAILED_READS = 2
 """Failed readings in a row before the engine's state counts as unknown."""
 
-ORDER_REPLY_SECONDS = 5.0
+ORDER_REPLY_TIMEOUT_SECONDS = 5.0
 """Longest wait for an engine to take an order."""
 
-ORDER_SETTLE_SECONDS = 3.0
+MAX_ORDER_DELIVERY_SECONDS = 3.0
 """How long an order may lie in a socket before its engine takes it.
 
 An order whose sender gave up, or was killed, can still be delivered. Until this time
@@ -58,13 +58,13 @@
 """
 
 ORDER_RETRY_SECONDS = 2.0
-LONGEST_RETRY_SECONDS = 30.0
+MAX_ORDER_RETRY_SECONDS = 30.0
 """Bounds of the time between orders that the engine refuses or that have no effect.
 
 In between, an engine that is fit for work goes on with it as it is.
 """
 
-CONFIRM_SECONDS = 1.0
+PLAN_CONFIRM_TIMEOUT_SECONDS = 1.0
 """Longest wait for the plan to be read again before an order."""
 
 logger = logging.getLogger(__name__)
@@ -89,7 +89,7 @@
         ...
 
 
-class EngineListener(t.Protocol):
+class EngineStateCallback(t.Protocol):
     """Is told what the engine is and whether it takes work."""
 
     def __call__(self, state: EngineState | None, readiness: Readiness) -> None:
@@ -102,14 +102,14 @@
     return NO_TOKEN
 
 
-class OrderKeeper:
+class OrderReconciler:
     """One side's task that keeps its engine at the plan.
 
     :param name: name of the engine.
     :param engine: the engine.
     :param kv: the key-value service, which holds the plan.
     :param workload: what a change has to wait for.
-    :param on_engine: told after each reading of the engine.
+    :param on_engine_state: told after each reading of the engine.
     :param rng: source of jitter.
     :param plan_seen: tells the highest plan that an earlier side obeyed.
     :param plan: the highest plan seen; it stays while the service is down.
@@ -122,7 +122,7 @@
         engine: Engine,
         kv: KeyValueService,
         workload: Workload,
-        on_engine: EngineListener,
+        on_engine_state: EngineStateCallback,
         rng: random.Random,
         plan_seen: cabc.Callable[[], FencingToken] = no_plan_seen,
     ) -> None:
@@ -130,20 +130,20 @@
         self.engine = engine
         self.kv = kv
         self.workload = workload
-        self.on_engine = on_engine
+        self.on_engine_state = on_engine_state
         self.rng = rng
         self.plan_seen = plan_seen
         self.plan: EnginePlan | None = None
         self.engine_state: EngineState | None = None
         self.machine = OrderMachine()
-        self._settled: Assignment | None = None
-        self._in_doubt: Order | None = None
-        self._quiet_until = 0.0
+        self._settled_assignment: Assignment | None = None
+        self._in_doubt_order: Order | None = None
+        self._no_order_before = 0.0
         self._retry_at = 0.0
-        self._retries = Backoff(rng, ORDER_RETRY_SECONDS, LONGEST_RETRY_SECONDS)
-        self._fit = False
-        self._gentle = False
-        self._misses = 0
+        self._retries = Backoff(rng, ORDER_RETRY_SECONDS, MAX_ORDER_RETRY_SECONDS)
+        self._is_usable = False
+        self._online_change = False
+        self._failed_reads = 0
         self._drain: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
 
@@ -164,17 +164,17 @@
             return Readiness.READY
         if self.state is OrderState.UNKNOWN:
             return Readiness.UNKNOWN
-        if self._gentle and self.state is not OrderState.DRAINING:
+        if self._online_change and self.state is not OrderState.DRAINING:
             return Readiness.READY
         return Readiness.CHANGING
 
     async def run(self) -> None:
         """Keep the engine at the plan until cancelled."""
-        self._quiet_until = _now() + ORDER_SETTLE_SECONDS
+        self._no_order_before = _now() + MAX_ORDER_DELIVERY_SECONDS
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._follow_plan())
-                group.create_task(self._keep())
+                group.create_task(self._watch_plan())
+                group.create_task(self._reconcile_loop())
         finally:
             self._stop_drain()
 
@@ -190,7 +190,7 @@
             self._retry_at = 0.0
             self._wake.set()
 
-    async def _follow_plan(self) -> None:
+    async def _watch_plan(self) -> None:
         key = engine_key(self.name)
         async with contextlib.aclosing(
             follow(self.kv, engine_prefix(self.name), self.rng)
@@ -199,48 +199,48 @@
                 if change.key == key and change.value is not None:
                     self.offer_plan(change.value)
 
-    async def _keep(self) -> None:
+    async def _reconcile_loop(self) -> None:
         self._publish()
         while True:
             self._wake.clear()
-            await self._step()
+            await self._reconcile()
             self._publish()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(POLL_SECONDS):
+                async with asyncio.timeout(STATE_POLL_SECONDS):
                     await self._wake.wait()
 
-    async def _step(self) -> None:
+    async def _reconcile(self) -> None:
         """Read the engine back and do the one next thing that brings it to the plan."""
         state = await self._read_back()
         if state is None:
             return
         if state.changing:
-            self._found_changing()
+            self._on_changing()
         elif self._order_may_arrive(state):
             return
-        elif self._goal(state) is None:
-            self._found_settled(state.assignment)
+        elif self._due_order(state) is None:
+            self._on_settled(state.assignment)
             self._retries.reset()
         elif _now() < self._retry_at:
-            self._found_settled(state.assignment if self._fit else None)
-        elif await self._free_to_order(state.assignment):
+            self._on_settled(state.assignment if self._is_usable else None)
+        elif await self._drain_if_needed(state.assignment):
             await self._order_if_still_due(state)
 
     async def _read_back(self) -> EngineState | None:
         try:
-            async with asyncio.timeout(STATE_SECONDS):
+            async with asyncio.timeout(STATE_TIMEOUT_SECONDS):
                 state = await self.engine.state()
         except (PortError, TimeoutError):
-            self._misses += 1
-            if self._misses > MISSES_ALLOWED:
-                self._lose()
+            self._failed_reads += 1
+            if self._failed_reads > MAX_FAILED_READS:
+                self._reset_to_unknown()
             return None
-        self._misses = 0
-        self._notice_restart(state)
+        self._failed_reads = 0
+        self._detect_restart(state)
         self.engine_state = state
         return state
 
-    def _notice_restart(self, state: EngineState) -> None:
+    def _detect_restart(self, state: EngineState) -> None:
         """Forget what was known of an engine that has another boot identity.
 
         An engine may crash in the middle of a change and be back before any call
@@ -251,34 +251,36 @@
         before = self.engine_state
         if before is not None and before.boot_id != state.boot_id:
             logger.warning("engine %s has restarted", self.name)
-            self._lose()
+            self._reset_to_unknown()
 
-    def _lose(self) -> None:
+    def _reset_to_unknown(self) -> None:
         self._stop_drain()
-        self._gentle = False
-        self._fit = False
+        self._online_change = False
+        self._is_usable = False
         self.machine.trigger("lost")
 
-    def _found_changing(self) -> None:
-        self._in_doubt = None
+    def _on_changing(self) -> None:
+        self._in_doubt_order = None
         if self.state is not OrderState.CHANGING:
-            self._gentle = self._gentle and self.state is OrderState.ORDERING
+            self._online_change = (
+                self._online_change and self.state is OrderState.ORDERING
+            )
             self._stop_drain()
             self.machine.trigger("found_changing")
 
-    def _found_settled(self, assignment: Assignment | None) -> None:
+    def _on_settled(self, assignment: Assignment | None) -> None:
         """Let an engine work as it is; ``None`` where it is not fit for that.
 
         It is unfit from a restart until it has been found at the plan: a crash in
         the middle of a change may leave anything.
         """
         if assignment is None:
-            self._lose()
+            self._reset_to_unknown()
             return
         self._stop_drain()
-        self._gentle = False
-        self._fit = True
-        self._settled = assignment
+        self._online_change = False
+        self._is_usable = True
+        self._settled_assignment = assignment
         self.machine.trigger("found_settled")
 
     def _order_may_arrive(self, state: EngineState) -> bool:
@@ -288,19 +290,21 @@
         killed. Ordering something else now would leave an engine that ignores fencing
         tokens with two orders, the older of which comes last.
         """
-        doubt = self._in_doubt
-        if doubt is not None:
-            arrived = state.token >= doubt.token or state.assignment == doubt.assignment
+        in_doubt = self._in_doubt_order
+        if in_doubt is not None:
+            arrived = (
+                state.token >= in_doubt.token or state.assignment == in_doubt.assignment
+            )
             if arrived:
-                self._quiet_until = _now()
-        if _now() < self._quiet_until:
+                self._no_order_before = _now()
+        if _now() < self._no_order_before:
             return True
-        self._in_doubt = None
+        self._in_doubt_order = None
         if self.state is OrderState.ORDERING:
             self.machine.trigger("not_taken")
         return False
 
-    def _goal(self, state: EngineState) -> Order | None:
+    def _due_order(self, state: EngineState) -> Order | None:
         """Return the order that is due, if the engine is not at the plan.
 
         A plan of less authority than the engine has already obeyed came from a
@@ -315,14 +319,14 @@
             return None
         return Order(plan.token, plan.assignment)
 
-    async def _free_to_order(self, present: Assignment | None) -> bool:
+    async def _drain_if_needed(self, present: Assignment | None) -> bool:
         """Return whether no work stands in the way, else see to it that it ends."""
         assert self.plan is not None
         if not needs_drain(present, self.plan.assignment):
             self._stop_drain()
             return True
         if self._drain is None:
-            self._gentle = False
+            self._online_change = False
             self.machine.trigger("drain")
             self._publish()
             self._drain = asyncio.create_task(self.workload.drained())
@@ -342,36 +346,36 @@
         """
         before = self.plan
         await self._confirm_plan()
-        order = self._goal(state)
+        order = self._due_order(state)
         if order is None or self.plan is not before:
             self._wake.set()
             return
-        self._gentle = not needs_drain(state.assignment, order.assignment)
-        await self._give(order)
+        self._online_change = not needs_drain(state.assignment, order.assignment)
+        await self._send_order(order)
 
     async def _confirm_plan(self) -> None:
         with contextlib.suppress(PortError, TimeoutError):
-            async with asyncio.timeout(CONFIRM_SECONDS):
+            async with asyncio.timeout(PLAN_CONFIRM_TIMEOUT_SECONDS):
                 item = await self.kv.get(engine_key(self.name))
             if item is not None:
                 self.offer_plan(item.value)
 
-    async def _give(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         self.machine.trigger("give")
         self._publish()
         self._stop_drain()
         self._retry_at = _now() + ORDER_RETRY_SECONDS + self._retries.next_delay()
         try:
-            async with asyncio.timeout(ORDER_REPLY_SECONDS):
+            async with asyncio.timeout(ORDER_REPLY_TIMEOUT_SECONDS):
                 await self.engine.order(order)
         except (NotReachedError, OrderRefusedError) as error:
             logger.warning("engine %s took no order: %s", self.name, error.message)
             self.machine.trigger("not_taken")
-            self._found_settled(self._settled if self._fit else None)
+            self._on_settled(self._settled_assignment if self._is_usable else None)
         except (PortError, TimeoutError) as error:
             logger.warning("engine %s: order of unknown end: %r", self.name, error)
-            self._in_doubt = order
-            self._quiet_until = _now() + ORDER_SETTLE_SECONDS
+            self._in_doubt_order = order
+            self._no_order_before = _now() + MAX_ORDER_DELIVERY_SECONDS
         else:
             self.machine.trigger("taken")
 
@@ -390,11 +394,11 @@
         state = self.engine_state
         if readiness is Readiness.READY:
             if state is not None and state.assignment is None:
-                state = dataclasses.replace(state, assignment=self._settled)
+                state = dataclasses.replace(state, assignment=self._settled_assignment)
             self.workload.resume_admission()
         else:
             self.workload.pause_admission()
-        self.on_engine(state, readiness)
+        self.on_engine_state(state, readiness)
 
 
 def needs_drain(present: Assignment | None, wanted: Assignment) -> bool:
--- a/src/bergamotmast/side/report.py
+++ b/src/bergamotmast/side/report.py
@@ -13,7 +13,7 @@
 from ..policy import SidePolicy
 
 
-class ReportedSide(t.Protocol):
+class ReportSource(t.Protocol):
     """A side as far as its report tells of it."""
 
     policy: SidePolicy
@@ -30,7 +30,7 @@
         ...
 
 
-def read_report(side: ReportedSide) -> SideReport:
+def read_report(side: ReportSource) -> SideReport:
     """Return the exact state of a side at this moment."""
     waiting = side.policy.waiting_cost()
     speed = side.policy.speed()
--- a/src/bergamotmast/side/runners.py
+++ b/src/bergamotmast/side/runners.py
@@ -19,7 +19,7 @@
 from .attempt import ChunkBuffer
 
 
-class RunnersSide(t.Protocol):
+class AttemptSink(t.Protocol):
     """A side as its runners see it."""
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
@@ -34,7 +34,7 @@
 class Runner(t.Protocol):
     """Runs attempts on one kind of upstream."""
 
-    async def run(self, attempt: Attempt, side: RunnersSide) -> None:
+    async def run(self, attempt: Attempt, side: AttemptSink) -> None:
         """Run a started attempt to its end and send what it gives."""
         ...
 
@@ -51,17 +51,17 @@
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
-        self.credit_given: dict[str, asyncio.Event] = {}
+        self.credit_events: dict[str, asyncio.Event] = {}
 
     def on_credit(self, attempt: Attempt) -> None:
         """Let a stream that waits for credit go on."""
-        event = self.credit_given.get(attempt.name)
+        event = self.credit_events.get(attempt.name)
         if event is not None:
             event.set()
 
-    async def run(self, attempt: Attempt, side: RunnersSide) -> None:
+    async def run(self, attempt: Attempt, side: AttemptSink) -> None:
         """Stream an answer, at most as far ahead of its caller as it has credit."""
-        self.credit_given[attempt.name] = asyncio.Event()
+        self.credit_events[attempt.name] = asyncio.Event()
         try:
             await self._stream(attempt, side)
         except NotReachedError:
@@ -72,9 +72,9 @@
             # The task is ended on purpose; closing the generator told the engine.
             pass
         finally:
-            del self.credit_given[attempt.name]
+            del self.credit_events[attempt.name]
 
-    async def _stream(self, attempt: Attempt, side: RunnersSide) -> None:
+    async def _stream(self, attempt: Attempt, side: AttemptSink) -> None:
         buffer = ChunkBuffer(attempt.name)
         work = attempt.offer.work
         assert isinstance(work, messages.ModelWork)
@@ -93,7 +93,7 @@
         await self._flush_last(attempt, side, buffer)
 
     async def _flush(
-        self, attempt: Attempt, side: RunnersSide, buffer: ChunkBuffer
+        self, attempt: Attempt, side: AttemptSink, buffer: ChunkBuffer
     ) -> None:
         if attempt.credit <= 0:
             return
@@ -104,10 +104,10 @@
             await side.send(attempt.session.peer, message)
 
     async def _flush_last(
-        self, attempt: Attempt, side: RunnersSide, buffer: ChunkBuffer
+        self, attempt: Attempt, side: AttemptSink, buffer: ChunkBuffer
     ) -> None:
         """Send what is left, when there is credit; until the caller's deadline."""
-        event = self.credit_given[attempt.name]
+        event = self.credit_events[attempt.name]
         while buffer.last is not None:
             await self._flush(attempt, side, buffer)
             if buffer.last is None:
@@ -132,7 +132,7 @@
     def on_credit(self, attempt: Attempt) -> None:
         """Ignore credit: a plain service's answer is one message."""
 
-    async def run(self, attempt: Attempt, side: RunnersSide) -> None:
+    async def run(self, attempt: Attempt, side: AttemptSink) -> None:
         """Run a call and send its whole answer."""
         work = attempt.offer.work
         assert isinstance(work, messages.ServiceWork)
@@ -151,13 +151,13 @@
         await side.send(attempt.session.peer, done)
 
 
-async def _refused(attempt: Attempt, side: RunnersSide) -> None:
+async def _refused(attempt: Attempt, side: AttemptSink) -> None:
     refused = messages.Refused(attempt.name, ResultCode.ENGINE_NOT_READY, 0.0)
     await side.send(attempt.session.peer, refused)
 
 
 async def _failed(
-    attempt: Attempt, side: RunnersSide, code: ResultCode, detail: str
+    attempt: Attempt, side: AttemptSink, code: ResultCode, detail: str
 ) -> None:
     failed = messages.Failed(attempt.name, code, detail)
     await side.send(attempt.session.peer, failed)
--- a/src/bergamotmast/side/session.py
+++ b/src/bergamotmast/side/session.py
@@ -31,8 +31,8 @@
     :param interval: seconds between heartbeats, both ways.
     :param version: protocol version that both ends know.
     :param expires_at: when the entry counts as lost unless it is heard again.
-    :param beat_at: when the next beat to the entry is due.
-    :param heartbeats: beats heard from the entry.
+    :param next_heartbeat_at: when the next beat to the entry is due.
+    :param heartbeats_received: beats heard from the entry.
     :param seen: attempts offered or cancelled, and whether each was ever started.
     """
 
@@ -44,9 +44,9 @@
     interval: float
     version: int = PROTOCOL_VERSION
     expires_at: float = 0.0
-    beat_at: float = 0.0
-    beats: int = 0
-    heartbeats: int = 0
+    next_heartbeat_at: float = 0.0
+    heartbeats_sent: int = 0
+    heartbeats_received: int = 0
     seen: collections.OrderedDict[str, bool] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
@@ -145,7 +145,7 @@
             return None
         return session
 
-    def of_peer(self, peer: bytes) -> list[Session]:
+    def from_peer(self, peer: bytes) -> list[Session]:
         """Return the open sessions whose frames come from a peer."""
         return [s for s in self.by_name.values() if s.peer == peer]
 
--- a/src/bergamotmast/side/session_server.py
+++ b/src/bergamotmast/side/session_server.py
@@ -24,14 +24,14 @@
 logger = logging.getLogger(__name__)
 
 
-BEATS_UNTIL_READ = 2
+HEARTBEATS_UNTIL_READ = 2
 """Beats of an entry after which it has read what was handed over before them."""
 
 READ_CHECK_INTERVAL = 0.05
 """Seconds between two looks whether those beats were heard."""
 
 
-class SessionUser(t.Protocol):
+class SessionHandler(t.Protocol):
     """The side's work, which sessions bring offers to."""
 
     def report(self) -> SideReport:
@@ -54,11 +54,11 @@
         """End an attempt and say what became of it."""
         ...
 
-    async def on_followed(self, earlier: Session, session: Session) -> None:
+    async def on_session_replaced(self, earlier: Session, session: Session) -> None:
         """Learn that a session has taken an earlier one's place."""
         ...
 
-    def on_ended(self, session: Session) -> None:
+    def on_session_ended(self, session: Session) -> None:
         """Learn that a session is over."""
         ...
 
@@ -71,14 +71,14 @@
     :param user: the side's work.
     :param holder: the configuration in force.
     :param table: the open sessions.
-    :param alive_at: when this process last ran its beat.
+    :param last_ran_at: when this process last ran its beat.
     """
 
     def __init__(
         self,
         upstream: str,
         listener: Listener,
-        user: SessionUser,
+        user: SessionHandler,
         holder: ConfigHolder,
         telemetry: Telemetry,
         incarnation: str,
@@ -90,20 +90,20 @@
         self.telemetry = telemetry
         self.outbox = Outbox(listener, self._on_frames_lost)
         self.table = SessionTable(incarnation)
-        self.alive_at = 0.0
+        self.last_ran_at = 0.0
 
     async def run(self) -> None:
         """Serve entries until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._receive())
             group.create_task(self.outbox.run())
-            group.create_task(self._beat())
+            group.create_task(self._heartbeat_loop())
 
     async def _receive(self) -> None:
-        self.alive_at = _now()
+        self.last_ran_at = _now()
         while True:
             peer, frame = await self.listener.receive()
-            self._forget_sessions_after_pause()
+            self._end_sessions_after_suspension()
             try:
                 message = messages.decode_to_side(frame)
             except messages.UnknownMessageError:
@@ -114,7 +114,7 @@
                 continue
             await self._handle(peer, message)
 
-    def _forget_sessions_after_pause(self) -> None:
+    def _end_sessions_after_suspension(self) -> None:
         """End every session if this process did not run for a while.
 
         A process that was stopped wakes up to offers whose entries gave up on them
@@ -123,11 +123,13 @@
         session's lifetime means that every entry has turned away.
         """
         now = _now()
-        if now - self.alive_at > timing.SIDE_TIMEOUT:
-            logger.warning("did not run for %.1f s: sessions end", now - self.alive_at)
+        if now - self.last_ran_at > timing.SIDE_TIMEOUT:
+            logger.warning(
+                "did not run for %.1f s: sessions end", now - self.last_ran_at
+            )
             for session in list(self.table.by_name.values()):
                 self.end(session)
-            self.alive_at = now
+            self.last_ran_at = now
 
     async def _handle(self, peer: bytes, message: messages.ToSide) -> None:
         if isinstance(message, messages.Hello):
@@ -156,7 +158,7 @@
     ) -> None:
         match message:
             case messages.Heartbeat():
-                session.heartbeats += 1
+                session.heartbeats_received += 1
                 await self._compare_generation(session.peer, message.generation)
             case messages.Offer():
                 await self.user.on_offer(session, message)
@@ -189,7 +191,7 @@
         session, earlier = opened
         self.user.on_plan_seen(FencingToken(hello.plan_epoch, hello.plan_revision))
         if earlier is not None:
-            await self.user.on_followed(earlier, session)
+            await self.user.on_session_replaced(earlier, session)
         welcome = messages.Welcome(
             version=messages.PROTOCOL_VERSION,
             upstream=self.upstream,
@@ -215,28 +217,31 @@
         )
         await self.send(peer, refused)
 
-    async def _beat(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         while True:
             # On waking, this may run before the first frame is read.
-            self._forget_sessions_after_pause()
-            self.alive_at = _now()
+            self._end_sessions_after_suspension()
+            self.last_ran_at = _now()
             self.telemetry.on_report(self.user.report())
             for session in list(self.table.by_name.values()):
-                if session.beat_at <= self.alive_at:
+                if session.next_heartbeat_at <= self.last_ran_at:
                     await self.send_report(session)
             await asyncio.sleep(timing.BEAT_INTERVAL)
 
     async def send_report(self, session: Session) -> None:
         """Tell an entry the side's exact state now."""
-        session.beats += 1
+        session.heartbeats_sent += 1
         # A little early rather than a whole tick late.
-        session.beat_at = _now() + session.interval - timing.BEAT_INTERVAL / 2
+        session.next_heartbeat_at = _now() + session.interval - timing.BEAT_INTERVAL / 2
         beat = messages.ReportBeat(
-            session.name, session.beats, self.holder.generation, self.user.report()
+            session.name,
+            session.heartbeats_sent,
+            self.holder.generation,
+            self.user.report(),
         )
         await self.send(session.peer, beat)
 
-    async def until_read(self) -> None:
+    async def wait_until_read(self) -> None:
         """Wait until every entry has had a turn to read what was handed over.
 
         ZeroMQ drops what an entry has not read when the connection closes: last answers
@@ -244,21 +249,27 @@
         been under way before; an entry that sends the second has run since, and reads.
         One that stays silent takes the side for lost after the same time.
         """
-        working = [s for s in self.table.by_name.values() if not s.only_observes]
-        awaited = {s.name: s.heartbeats + BEATS_UNTIL_READ for s in working}
+        working_sessions = [
+            s for s in self.table.by_name.values() if not s.only_observes
+        ]
+        awaited = {
+            s.name: s.heartbeats_received + HEARTBEATS_UNTIL_READ
+            for s in working_sessions
+        }
         end_by = _now() + timing.SIDE_TIMEOUT
         while awaited and _now() < end_by:
             await asyncio.sleep(READ_CHECK_INTERVAL)
             open_sessions = self.table.by_name
             awaited = {
-                name: beats
-                for name, beats in awaited.items()
-                if name in open_sessions and open_sessions[name].heartbeats < beats
+                name: count
+                for name, count in awaited.items()
+                if name in open_sessions
+                and open_sessions[name].heartbeats_received < count
             }
 
     async def _compare_generation(self, peer: bytes, generation: int) -> None:
-        if question := config_exchange.pull(self.holder, generation):
-            await self.send(peer, question)
+        if request := config_exchange.pull(self.holder, generation):
+            await self.send(peer, request)
 
     async def _send_document(self, peer: bytes, generation: int) -> None:
         if document := config_exchange.newer_document(self.holder, generation):
@@ -276,13 +287,13 @@
         caller's deadline. So the session ends with the first frames lost; the entry
         learns that with its next heartbeat and resumes or asks in a new one.
         """
-        for session in self.table.of_peer(peer):
+        for session in self.table.from_peer(peer):
             self.end(session)
 
     def end(self, session: Session) -> None:
         """End a session whose entry can't be answered any more."""
         self.table.end(session)
-        self.user.on_ended(session)
+        self.user.on_session_ended(session)
 
     def end_expired(self, now: float) -> None:
         """End the sessions whose entries were not heard in time."""
--- a/tests/support.py
+++ b/tests/support.py
@@ -300,7 +300,7 @@
             history=self.history,
             incarnation=f"side-{next(self.incarnations)}",
         )
-        side.on_engine(STATE, Readiness.READY)
+        side.on_engine_state(STATE, Readiness.READY)
         self.sides[name] = side
         self.tasks[name] = asyncio.create_task(side.run())
         return side
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -19,8 +19,8 @@
 from bergamotmast.config.holder import ConfigHolder
 from bergamotmast.config.store import ConfigStore
 from bergamotmast.entry.admin import AdminHttp
-from bergamotmast.entry.fleet import FleetStatus
-from bergamotmast.entry.fleet import read_fleet
+from bergamotmast.entry.fleet_status import FleetStatus
+from bergamotmast.entry.fleet_status import read_fleet_status
 from bergamotmast.history import MemoryHistory
 from bergamotmast.model import InstanceInfo
 from bergamotmast.model import Readiness
@@ -254,7 +254,7 @@
         is_leaving=lambda name: name != "engine-1",
     )
     core = types.SimpleNamespace(name="entry-1", holder=holder, membership=membership)
-    fleet = read_fleet(core)
+    fleet = read_fleet_status(core)
     first, second = fleet.upstreams
     assert (fleet.generation, first.generation) == (3, 2)
     assert (first.connected, first.role, first.running) == (True, "mixed", 2)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,15 +21,15 @@
 from bergamotmast.protocol.plan import encode_record
 from bergamotmast.protocol.plan import engine_key
 from bergamotmast.side.order_states import OrderState
-from bergamotmast.side.orders import ORDER_SETTLE_SECONDS
-from bergamotmast.side.orders import OrderKeeper
+from bergamotmast.side.orders import MAX_ORDER_DELIVERY_SECONDS
+from bergamotmast.side.orders import OrderReconciler
 from bergamotmast.side.orders import needs_drain
 from bergamotmast.standins.engine import EngineStandIn
 from bergamotmast.standins.engine_spec import EngineSpec
 from bergamotmast.standins.key_value import KeyValueStandIn
 
 CHANGE_SECONDS = 8.0
-SETTLED = ORDER_SETTLE_SECONDS + 1.5
+SETTLED = MAX_ORDER_DELIVERY_SECONDS + 1.5
 MIXED = Assignment(Role.MIXED, ("model@1",))
 PREFILL = Assignment(Role.PREFILL, ("model@1",))
 DECODE = Assignment(Role.DECODE, ("model@1",))
@@ -113,7 +113,7 @@
         listener = self.network.listen("side:1")
         work = Work()
         seen = []
-        keeper = OrderKeeper(
+        reconciler = OrderReconciler(
             "e1",
             engine or self.engine,
             self.service.client("side"),
@@ -121,17 +121,17 @@
             lambda state, readiness: seen.append(readiness),
             random.Random(7),
         )
-        keeper.work = work
-        keeper.seen = seen
-        keeper.listener = listener
-        keeper.task = asyncio.create_task(keeper.run())
-        self.tasks.append(keeper.task)
-        return keeper
-
-    async def kill(self, keeper):
-        keeper.task.cancel()
-        await asyncio.gather(keeper.task, return_exceptions=True)
-        keeper.listener.close()
+        reconciler.work = work
+        reconciler.seen = seen
+        reconciler.listener = listener
+        reconciler.task = asyncio.create_task(reconciler.run())
+        self.tasks.append(reconciler.task)
+        return reconciler
+
+    async def kill(self, reconciler):
+        reconciler.task.cancel()
+        await asyncio.gather(reconciler.task, return_exceptions=True)
+        reconciler.listener.close()
 
     def taken(self):
         return [r.assignment for r in self.history.records if type(r) is OrderTaken]
@@ -289,7 +289,7 @@
         await asyncio.sleep(5.5)
         assert side.state is OrderState.ORDERING
         await b.plan(DECODE)
-        await asyncio.sleep(ORDER_SETTLE_SECONDS - 1)
+        await asyncio.sleep(MAX_ORDER_DELIVERY_SECONDS - 1)
         stuck.gate.set()
         await asyncio.sleep(4 * CHANGE_SECONDS)
         assert len(b.taken()) == 2
@@ -352,7 +352,7 @@
             b.side()
         await b.kill(old)
         new = b.side()
-        await asyncio.sleep(ORDER_SETTLE_SECONDS - 1)
+        await asyncio.sleep(MAX_ORDER_DELIVERY_SECONDS - 1)
         assert b.taken() == []
         stuck.gate.set()
         await asyncio.sleep(3 * CHANGE_SECONDS)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -36,7 +36,7 @@
 from bergamotmast.planner.settling import CHANGE_LIMIT_SECONDS
 from bergamotmast.planner.settling import REISSUE_SECONDS
 from bergamotmast.policy.interfaces import RoleChange
-from bergamotmast.side.orders import OrderKeeper
+from bergamotmast.side.orders import OrderReconciler
 from bergamotmast.standins.engine import EngineStandIn
 from bergamotmast.standins.engine_spec import EngineSpec
 from bergamotmast.standins.key_value import KeyValueStandIn
@@ -105,7 +105,7 @@
         return self.tasks[-1]
 
     def side(self, name, engine):
-        def on_engine(state, readiness):
+        def on_engine_state(state, readiness):
             now = asyncio.get_running_loop().time()
             held = state.assignment if state else None
             report = SideReport(
@@ -118,7 +118,7 @@
 
         client = self.service.client(f"side-{name}")
         rng = random.Random(name)
-        return OrderKeeper(name, engine, client, NoWork(), on_engine, rng)
+        return OrderReconciler(name, engine, client, NoWork(), on_engine_state, rng)
 
     def planner(self, name, policy=None):
         rng = random.Random(name)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -136,7 +136,7 @@
         side = f.sides["service-1"]
         link = f.network.dial("service-1")
         session = await open_session(link, 1)
-        side.server.alive_at -= 60.0
+        side.server.last_ran_at -= 60.0
         await link.send(messages.encode(service_offer(session)))
         assert (await next_about(link, "a1")).code is ResultCode.STALE_SESSION
         assert f.upstreams["service-1"].runs == []
@@ -148,7 +148,7 @@
     async with fleet(entries=0, services=1) as f:
         link = f.network.dial("service-1")
         session = await open_session(link, 1)
-        f.sides["service-1"].server.alive_at -= 60.0
+        f.sides["service-1"].server.last_ran_at -= 60.0
         await asyncio.sleep(1.0)
         await link.send(messages.encode(service_offer(session)))
         assert (await next_about(link, "a1")).code is ResultCode.STALE_SESSION
--- a/tests/test_side_ending.py
+++ b/tests/test_side_ending.py
@@ -34,6 +34,6 @@
 
     core.send = send
     core.flush = nothing
-    core.server = types.SimpleNamespace(until_read=nothing)
-    await core.end_attempts()
+    core.server = types.SimpleNamespace(wait_until_read=nothing)
+    await core.abort_attempts()
     assert sorted(told) == ["a", "b", "c"]
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -7,8 +7,8 @@
 
 from bergamotmast.cli import main
 from bergamotmast.commands.status import table
-from bergamotmast.entry.fleet import FleetStatus
-from bergamotmast.entry.fleet import UpstreamStatus
+from bergamotmast.entry.fleet_status import FleetStatus
+from bergamotmast.entry.fleet_status import UpstreamStatus
 from process_fleet import process_fleet
 
 UPSTREAM = UpstreamStatus(
