--- a/src/bergamotmast/entry/admin.py
+++ b/src/bergamotmast/entry/admin.py
@@ -1,6 +1,6 @@
-"""The administration interface of an entry: read the fleet, propose edits.
+"""HTTP administration interface of an entry: fleet status and configuration edits.
 
-Operators change labels and selectors; nothing here commands a single engine.
+Operators change labels and selectors; no endpoint controls a single engine.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 logger = logging.getLogger(__name__)
 
 HISTORY_LIMIT = 100
-"""Most edits in one answer."""
+"""Maximum number of edits in one response."""
 
 MAX_IDEMPOTENCY_KEY_LENGTH = 255
-"""Longest idempotency key, which is kept in the history."""
+"""Maximum characters of an idempotency key, which is stored in the history."""
 
 _Handler = cabc.Callable[[web.Request], cabc.Awaitable[web.StreamResponse]]
 _Change = cabc.Callable[[Configuration], Configuration]
@@ -52,11 +52,11 @@
 
 
 class AdminHttp:
-    """Translates between HTTP and the configuration.
+    """Handles the requests of operators.
 
-    :param holder: the configuration this entry has in force, with the teams' keys.
+    :param holder: the configuration in force, which contains the teams' keys.
     :param store: the configuration in the key-value service.
-    :param fleet: returns what this entry knows of the fleet.
+    :param fleet: returns the fleet's status as this entry knows it.
     """
 
     def __init__(
@@ -168,11 +168,12 @@
         )
 
     async def _read_base(self, against: int) -> Configuration:
-        """Return the document of the generation that an edit was made against.
+        """Return the configuration of the generation that an edit was made against.
 
-        :raises RequestError: ``STALE_GENERATION`` while the service holds an older
-            document than the one in force, for instance after a restore: an edit of
-            it would be accepted there and refused by every process.
+        :raises RequestError: ``STALE_GENERATION`` while the key-value service stores
+            an older document than the one in force, for instance after a restore: an
+            edit of it would be accepted there and refused by every process.
+        :raises EditConflictError: if the generation is not in the history.
         """
         current = (await self.store.read()).configuration
         if current.generation < self.holder.generation:
@@ -192,7 +193,7 @@
         return record.configuration
 
     def _authorize(self, request: web.Request, scope: Scope) -> AdminKey:
-        """Return the key that a request shows.
+        """Return the admin key of a request, after checking that it has a scope.
 
         :raises RequestError: ``UNAUTHENTICATED`` or ``FORBIDDEN``.
         """
@@ -206,7 +207,7 @@
 
 @web.middleware
 async def _errors(request: web.Request, handler: _Handler) -> web.StreamResponse:
-    """Give every failure a numbered code."""
+    """Turn every failure into an error response with a numeric result code."""
     try:
         return await handler(request)
     except BergamotmastError as error:
@@ -256,7 +257,7 @@
 
 
 def _nonce(request: web.Request, key: AdminKey) -> str:
-    """Return what names a proposal, so that one sent again is recognised."""
+    """Return an identifier of a proposal, by which a retry of it is recognised."""
     given = request.headers.get("Idempotency-Key", "")
     if len(given) > MAX_IDEMPOTENCY_KEY_LENGTH:
         raise RequestError(ResultCode.BAD_HEADER, "The Idempotency-Key is too long.")
--- a/src/bergamotmast/entry/admin_messages.py
+++ b/src/bergamotmast/entry/admin_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the administration interface."""
+"""Request and response bodies of the administration interface."""
 
 from __future__ import annotations
 
@@ -11,28 +11,37 @@
 
 
 class EditBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What every proposed edit says.
+    """Fields common to all proposed edits.
 
-    :param against: the generation that the proposer read.
+    :param against: generation of the configuration that the proposer read.
     """
 
     against: int
 
 
 class DocumentEdit(EditBody, frozen=True):
-    """Replace the whole document; a generation inside it is ignored."""
+    """Replace the whole configuration.
+
+    :param configuration: the new document; its generation, if any, is ignored.
+    """
 
     configuration: msgspec.Raw
 
 
 class LabelEdit(EditBody, frozen=True):
-    """Change some labels of one upstream; ``null`` removes a label."""
+    """Change some labels of one upstream.
+
+    :param labels: new values by label; ``null`` removes a label.
+    """
 
     labels: dict[str, str | None]
 
 
 class SelectorEdit(EditBody, frozen=True):
-    """Replace or add one selector; its name is that of the path."""
+    """Add or replace one selector.
+
+    :param selector: its fields; the name is taken from the request's path.
+    """
 
     selector: dict[str, t.Any]
 
@@ -42,7 +51,7 @@
 
 
 class ConfigurationAnswer(msgspec.Struct, frozen=True):
-    """The configuration that the answering entry has in force."""
+    """A configuration: the one in force at the answering entry, or a recorded one."""
 
     generation: int
     configuration: Configuration
@@ -51,9 +60,9 @@
 class EditAnswer(msgspec.Struct, frozen=True):
     """An accepted edit.
 
-    :param generation: the generation that it is.
-    :param changes: what it changed.
-    :param warnings: what is allowed and still likely a mistake, a line each.
+    :param generation: generation that the edit created.
+    :param changes: differences from the configuration that it was made against.
+    :param warnings: valid settings that are likely mistakes, one line each.
     """
 
     generation: int
@@ -64,8 +73,10 @@
 class RecordSummary(msgspec.Struct, frozen=True):
     """An accepted edit, without the document.
 
-    :param accepted_at: wall clock of the proposer, seconds since 1970.
-    :param changes: what it changed, a line each.
+    :param generation: generation that the edit created.
+    :param author: team of the key that proposed it.
+    :param accepted_at: Unix time in seconds, by the clock of the proposing entry.
+    :param changes: differences from the previous generation, one line each.
     """
 
     generation: int
@@ -75,23 +86,24 @@
 
 
 class HistoryAnswer(msgspec.Struct, frozen=True):
-    """The newest edits, newest first."""
+    """The latest edits, newest first."""
 
     edits: tuple[RecordSummary, ...]
 
 
 class AdminErrorDetail(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Why an operator's request was not carried out.
+    """Why an operator's request failed.
 
-    :param code: numbered result code.
-    :param name: its name.
+    :param code: numeric result code.
+    :param name: name of the result code, in lower case.
     :param outcome: ``not_run``, ``ran`` or ``unknown``.
-    :param message: a sentence.
-    :param generation: after a conflict, the generation that is current.
-    :param author: after a conflict, who was first.
-    :param differences: after a conflict, what the proposal would change in it.
-    :param selectors: names of the two selectors that contradict each other.
-    :param upstream: an upstream that both name.
+    :param message: explanation for people, one sentence.
+    :param generation: after a conflict, the current generation.
+    :param author: after a conflict, the team that made the current generation.
+    :param differences: after a conflict, what the proposal would change in the
+        current generation.
+    :param selectors: names of two selectors that contradict each other.
+    :param upstream: an upstream that both selectors match.
     """
 
     code: int
@@ -106,6 +118,6 @@
 
 
 class AdminErrorBody(msgspec.Struct, frozen=True):
-    """The body of every error."""
+    """The JSON body of every error."""
 
     error: AdminErrorDetail
--- a/src/bergamotmast/entry/fleet_status.py
+++ b/src/bergamotmast/entry/fleet_status.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the fleet, for operators."""
+"""Status of the fleet as one entry knows it, for the administration interface."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One upstream as an entry knows it.
+    """Status of one upstream as an entry knows it.
 
+    :param name: name of the upstream.
     :param kind: ``engine`` or ``service``; empty if the instance list lacks it.
+    :param zone: its availability zone; empty if the instance list lacks it.
     :param labels: its labels in the configuration in force.
-    :param selectors: names of the selectors whose group it is in.
-    :param leaving: whether any signal says that it is leaving.
+    :param selectors: names of the selectors whose group contains it.
+    :param leaving: whether it is missing from the instance list, or marked as leaving
+        there or in the configuration.
     :param connected: whether this entry has a session with its side.
-    :param readiness: the side's own word; empty without a session.
+    :param readiness: readiness that the side reports; empty without a session.
     :param role: the engine's role; empty for a plain service.
-    :param models: models and adapters it carries now.
-    :param running: requests handed to the upstream and not ended.
-    :param queued: requests waiting at its side.
-    :param max_streams: most requests it takes at once.
+    :param models: models and adapters that are loaded.
+    :param running: requests that run on the upstream.
+    :param queued: requests that wait in its side's queue.
+    :param max_streams: maximum number of concurrent requests.
     :param kv_free: free share of KV memory, 0 to 1.
-    :param plan: ``epoch.revision`` of the plan that its side obeys; empty for none.
-    :param report_age: seconds since the side was last heard.
-    :param generation: configuration that the side has in force.
+    :param plan: ``epoch.revision`` of the plan that its side follows; empty for none.
+    :param report_age: seconds since the side's last report.
+    :param generation: generation of the configuration that the side has in force.
     """
 
     name: str
@@ -52,9 +55,11 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The fleet as one entry knows it.
+    """Status of the fleet as one entry knows it.
 
-    :param generation: configuration that the entry has in force.
+    :param entry: name of the entry.
+    :param generation: generation of the configuration that the entry has in force.
+    :param upstreams: all upstreams that are listed or labelled, by name.
     """
 
     entry: str
@@ -63,7 +68,7 @@
 
 
 def read_fleet_status(core: EntryCore) -> FleetStatus:
-    """Return what an entry knows now: listed upstreams and labelled ones."""
+    """Return the status of all upstreams in the instance list or the configuration."""
     groups = groups_of_upstreams(core.holder.current)
     labelled = core.holder.current.labels
     names = sorted(core.membership.infos.keys() | labelled.keys())
--- a/src/bergamotmast/entry/fleet_view.py
+++ b/src/bergamotmast/entry/fleet_view.py
@@ -1,4 +1,4 @@
-"""The fleet as an entry knows it, for a planner that runs beside it."""
+"""Adapter from an entry's membership to the fleet view of the planner beside it."""
 
 from __future__ import annotations
 
@@ -11,20 +11,24 @@
 
 
 class EntryFleetView:
-    """What the planner is told: the entry's membership and its sides' reports.
+    """Fleet view of a planner that runs in an entry's process.
 
-    :param membership: the entry's; it observes every side while the planner plans.
+    :param membership: the entry's membership, which observes every side while the
+        planner plans.
     """
 
     def __init__(self, membership: Membership) -> None:
         self.membership = membership
 
     def instances(self) -> cabc.Collection[InstanceInfo]:
-        """Return the instances as last listed."""
+        """Return the instances of the last instance list."""
         return self.membership.infos.values()
 
     def leaving(self) -> cabc.Container[str]:
-        """Return the names of upstreams that any signal says are leaving."""
+        """Return the names of the upstreams that are leaving.
+
+        The instance list, the configuration or the side's own report may say so.
+        """
         return frozenset(n for n in self.membership.infos if self._is_leaving(n))
 
     def _is_leaving(self, name: str) -> bool:
@@ -34,7 +38,7 @@
         return last is not None and last.report.readiness is Readiness.LEAVING
 
     def last_report(self, upstream: str) -> TimedReport | None:
-        """Return a side's last word; ``None`` before the first."""
+        """Return a side's last report; ``None`` before the first."""
         peer = self.membership.peers.get(upstream)
         if peer is None or peer.report is None:
             return None
--- a/src/bergamotmast/entry/http.py
+++ b/src/bergamotmast/entry/http.py
@@ -1,4 +1,4 @@
-"""The caller interface of an entry over HTTP."""
+"""HTTP interface of an entry for callers."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 logger = logging.getLogger(__name__)
 
 SERVICES_PATH = "/services"
-"""Plain services' paths stand below it; what follows goes to the service as sent."""
+"""Path prefix of plain services; the rest of a path is passed on unchanged."""
 
 DISCONNECT_CHECK_INTERVAL = 0.5
-"""Seconds between two looks whether a caller without a stream is still there."""
+"""Seconds between checks whether a caller that waits for a response is connected."""
 
 _REQUEST_ID = web.RequestKey("request_id", str)
 _Result = t.TypeVar("_Result")
@@ -53,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """How much one caller may ask for.
+    """Limits of a single request.
 
-    :param body_bytes: largest body.
-    :param context_tokens: longest prompt and answer together.
+    :param body_bytes: maximum size of the body.
+    :param context_tokens: maximum tokens of the prompt and ``max_tokens`` together.
     """
 
     body_bytes: int = DEFAULT_BODY_BYTES
@@ -64,11 +64,11 @@
 
 
 class EntryHttp:
-    """Translates between HTTP and an entry.
+    """Translates HTTP requests of callers to calls of an entry.
 
     :param core: the entry.
-    :param limits: how much one caller may ask for.
-    :param busy: connections whose request is being answered.
+    :param limits: limits of a single request.
+    :param busy: connections that have a request in flight.
     """
 
     def __init__(self, core: EntryCore, limits: CallerLimits | None = None) -> None:
@@ -97,7 +97,7 @@
     async def _track_busy_connections(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
-        """Note which connections must not be closed as idle."""
+        """Track the connections that must not be closed as idle."""
         self.busy.add(request.protocol)
         try:
             return await handler(request)
@@ -107,7 +107,7 @@
     async def _add_connection_close(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        """Tell callers of an entry that ends to use another connection next."""
+        """Close connections after their response once the entry shuts down."""
         if self.core.closing:
             response.force_close()
             response.headers["Connection"] = "close"
@@ -116,7 +116,7 @@
     async def _errors(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
-        """Give every failure a numbered code, and every log line the request's id."""
+        """Turn failures into error responses and add the request id to log lines."""
         request_id = request_id_of(request)
         request[_REQUEST_ID] = request_id
         with request_context(request_id):
@@ -139,7 +139,7 @@
         return web.Response(status=503, text="not ready\n")
 
     async def _sides(self, request: web.Request) -> web.Response:
-        """Answer how many sides this entry can offer work to."""
+        """Respond with the number of sides that this entry can offer work to."""
         peers = self.core.membership.peers.values()
         return web.Response(text=f"{sum(peer.is_ready for peer in peers)}\n")
 
@@ -256,7 +256,7 @@
 
 
 def _as_request_error(request: web.Request, error: web.HTTPException) -> RequestError:
-    """Return the numbered form of an error that the HTTP library raised."""
+    """Return the request error for an error that the HTTP library raised."""
     if error.status == 413:
         return RequestError(ResultCode.BODY_TOO_LARGE)
     if error.status in (404, 405):
@@ -289,7 +289,10 @@
 async def _cancel_on_disconnect(
     request: web.Request, work: t.Coroutine[t.Any, t.Any, _Result]
 ) -> _Result:
-    """Return what the work gives; a caller that goes away cancels it."""
+    """Return the result of the work, and cancel it if the caller disconnects.
+
+    :raises RequestError: ``CANCELLED_BY_CALLER`` if the caller disconnected.
+    """
     task = asyncio.ensure_future(work)
     try:
         while not task.done():
@@ -323,8 +326,8 @@
 ) -> web.StreamResponse:
     """Stream an answer as server-sent events.
 
-    Headers go out with the first chunk, so that a refusal still has its own status;
-    what fails later is the last event of the stream.
+    The headers are sent with the first chunk, so that a refusal still gets its own
+    status. A later failure is reported as the last event of the stream.
     """
     response = web.StreamResponse(
         headers={
@@ -338,7 +341,7 @@
     try:
         await _write_events(response, call, first, chunks, response_format)
     except ConnectionError:
-        logger.info("caller of %s went away", call.request_id)
+        logger.info("caller of request %s disconnected", call.request_id)
     return response
 
 
@@ -353,10 +356,10 @@
     chunks: cabc.AsyncGenerator[TokenChunk],
     response_format: ResponseFormat,
 ) -> None:
-    """Write a stream to its end.
+    """Write all events of a stream.
 
-    The last chunk goes out with the end of the stream: each write to a socket costs
-    more than everything else that is done for a token.
+    The last chunk is written together with the end of the stream: a write to a socket
+    costs more than all other work for a token.
     """
     end = b""
     chunk: TokenChunk | None = first
--- a/src/bergamotmast/entry/http_errors.py
+++ b/src/bergamotmast/entry/http_errors.py
@@ -12,12 +12,13 @@
 
 
 class ErrorDetail(msgspec.Struct, frozen=True):
-    """What a caller learns about a request that has no whole answer.
+    """Why a request has no complete answer.
 
-    :param code: numbered result code.
-    :param name: its name.
+    :param code: numeric result code.
+    :param name: name of the result code, in lower case.
     :param outcome: ``not_run``, ``ran`` or ``unknown``.
-    :param message: a sentence.
+    :param message: explanation for people, one sentence.
+    :param request_id: id of the request, also found in logs.
     """
 
     code: int
@@ -34,7 +35,7 @@
 
 
 def error_body(error: RequestError, request_id: str) -> bytes:
-    """Return the JSON body of an error."""
+    """Encode an error as a JSON body."""
     detail = ErrorDetail(
         code=int(error.code),
         name=error.code.name.lower(),
@@ -46,7 +47,7 @@
 
 
 def error_response(error: RequestError, request_id: str) -> web.Response:
-    """Return the HTTP answer of an error that came before any part of an answer."""
+    """Return the HTTP response for an error that precedes any part of an answer."""
     headers = {"X-Request-Id": request_id}
     if error.retry_after is not None:
         headers["Retry-After"] = str(max(1, math.ceil(error.retry_after)))
--- a/src/bergamotmast/entry/membership.py
+++ b/src/bergamotmast/entry/membership.py
@@ -1,4 +1,4 @@
-"""Which sides an entry keeps a connection to."""
+"""Membership of an entry: the sides that it keeps connections to."""
 
 from __future__ import annotations
 
@@ -22,14 +22,20 @@
 
 
 class Membership:
-    """The peers of one entry, following the instance list.
+    """Opens and closes the peers of one entry as the instance list changes.
 
     :param entry: name of the entry.
     :param zone: its availability zone.
-    :param instance_list: the platform's list.
-    :param open_peer: makes the peer of an upstream.
+    :param instance_list: the platform's list of instances.
+    :param open_peer: makes the peer of an upstream, given its seconds between
+        heartbeats.
+    :param holder: the configuration in force.
+    :param rng: source of jitter.
     :param peers: open peers by name of their upstream.
-    :param observes_all: tells whether to hear every side, as a planner must.
+    :param infos: the last instance list by name.
+    :param observes_all: returns whether every side must be observed, as it must be for
+        a planner.
+    :param tasks: the running tasks of the peers by name of their upstream.
     """
 
     def __init__(
@@ -53,10 +59,10 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether any signal says that an upstream is leaving.
+        """Return whether an upstream is missing, or marked as leaving, in any source.
 
-        The side's own word is not here: it comes with its report, and the side
-        refuses work itself.
+        The sources are the instance list and the configuration. A side that leaves by
+        itself says so in its report and refuses work.
         """
         info = self.infos.get(name)
         if info is None or info.leaving:
@@ -64,7 +70,10 @@
         return name in self.holder.selection.leaving
 
     async def run(self) -> None:
-        """Follow the instance list until cancelled; its outages change nothing."""
+        """Poll the instance list until cancelled.
+
+        While the list can't be read, the last one stays in force.
+        """
         try:
             while True:
                 await self._poll()
@@ -91,11 +100,11 @@
                 self._drop_peer(name)
 
     def _working_upstreams(self) -> set[str]:
-        """Return the upstreams to be connected to, a subset of each group.
+        """Return the upstreams that get work from this entry: a subset of each group.
 
-        A process that starts while the key-value service is down knows no group. It
-        would talk to nobody and answer nothing for the whole outage; any side tells
-        it the configuration in force.
+        A process that starts while the key-value service is down knows no groups, and
+        without connections it would serve nothing for the whole outage. It therefore
+        connects to a subset of all upstreams: any side passes the configuration on.
         """
         if self.holder.generation == 0:
             everyone = {name: info.zone for name, info in self.infos.items()}
@@ -111,11 +120,11 @@
         return wanted
 
     def _observed_leaving(self) -> set[str]:
-        """Return the leaving upstreams to be observed.
+        """Return the leaving upstreams to observe.
 
-        A side of a leaving upstream that is replaced while the key-value service is
-        down would hear from no entry, keep a configuration in which it is not
-        leaving, and take work from whoever still sends it.
+        Without this, a side that is replaced while its upstream is leaving and the
+        key-value service is down would have no session with any entry. It would keep a
+        configuration in which it is not leaving and accept work.
         """
         leaving = {n: i.zone for n, i in self.infos.items() if self.is_leaving(n)}
         return set(choose_subset(self.entry, self.zone, leaving))
@@ -149,6 +158,10 @@
 
 
 def _can_stay(peer: Peer, info: InstanceInfo, interval: float) -> bool:
-    """Return whether a peer can stay as it is; small changes of pace don't count."""
+    """Return whether a peer can stay as it is.
+
+    Changes of the interval between heartbeats are ignored, unless they turn a working
+    session into an observing one or the reverse.
+    """
     same_kind = peer.is_observer == (interval > timing.BEAT_INTERVAL)
     return same_kind and peer.info.side_address == info.side_address
--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -1,4 +1,4 @@
-"""One model request at its entry: attempts, resumption and the answer so far."""
+"""Execution of one model request: attempts, resumption and the answer so far."""
 
 from __future__ import annotations
 
@@ -23,14 +23,18 @@
 
 
 class ModelRun:
-    """Runs one model request until its answer is whole.
+    """Runs one model request until its answer is complete.
 
-    The entry keeps what the caller has been given. When an attempt breaks, the next
-    one resumes from there on another engine; chunks of an earlier attempt are not
-    routed to anyone, and a chunk that would leave a gap ends its attempt.
+    The run stores the text that the caller has received. When an attempt fails, the
+    next one resumes from that point on another engine. Chunks of earlier attempts are
+    dropped, and a chunk that would leave a gap fails its attempt.
 
-    :param entry: the entry that runs it.
+    :param entry: the entry that runs the request.
     :param call: the request.
+    :param text: the parts of the answer that the caller has received.
+    :param tokens: tokens in that text.
+    :param kv_handle: KV cache exported by the prefill engine; empty if there is none.
+    :param finished: whether the answer is complete.
     """
 
     def __init__(self, entry: EntryContext, call: ModelCall) -> None:
@@ -44,9 +48,9 @@
         self.finished = False
 
     async def chunks(self) -> cabc.AsyncGenerator[TokenChunk]:
-        """Yield the answer.
+        """Yield the chunks of the answer.
 
-        :raises RequestError: if it can't be made whole.
+        :raises RequestError: if the answer can't be completed.
         """
         self.entry.policy.on_admitted(self.call, self.placement.now())
         while not self.finished:
@@ -88,7 +92,7 @@
         return Cost(prefill, max(1, decode))
 
     async def _consume(self, attempt: EntryAttempt) -> cabc.AsyncGenerator[TokenChunk]:
-        """Yield what an attempt adds to the answer, until it ends or breaks."""
+        """Yield the chunks that an attempt adds, until it completes or fails."""
         ended = False
         self.kv_handle = ""
         before = self.tokens
@@ -130,7 +134,10 @@
     def _accept(
         self, attempt: EntryAttempt, chunk: messages.Chunk
     ) -> TokenChunk | None:
-        """Append a chunk to the answer; ``None`` if the caller has it already."""
+        """Append a chunk to the answer.
+
+        :returns: the chunk for the caller; ``None`` if it is empty or a duplicate.
+        """
         if chunk.index < self.tokens or not chunk.tokens:
             return None
         if self.tokens == 0:
@@ -162,7 +169,7 @@
         )
 
     async def _give_up(self, attempt: EntryAttempt) -> t.NoReturn:
-        """End the request at its deadline and say truly whether it ran."""
+        """End the request at its deadline with the outcome that the side reports."""
         state = await self.placement.resolve(attempt)
         if state == "never_started":
             raise self.placement.error(ResultCode.EXPIRED_IN_QUEUE, None)
@@ -179,7 +186,7 @@
             attempt.consumed_chunks = 0
 
     async def _release(self, attempt: EntryAttempt, ended: bool) -> None:
-        """Let go of an attempt; one that may still run is cancelled."""
+        """Stop tracking an attempt, and cancel it if it may still run."""
         self.placement.detach(attempt)
         if ended:
             return
--- a/src/bergamotmast/entry/openai.py
+++ b/src/bergamotmast/entry/openai.py
@@ -1,4 +1,4 @@
-"""Bodies of completions and chat completions, as callers send and expect them."""
+"""Request and response bodies of the OpenAI-style completion endpoints."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..errors import ResultCode
 
 PREFIX_CHARACTERS = 512
-"""Length of the head of a prompt by which engines' prefix caches are told apart."""
+"""Characters at the start of a prompt that form its prefix-cache key."""
 
 DEFAULT_MAX_TOKENS = 1024
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """What ``/v1/completions`` takes; unknown fields are ignored."""
+    """Request body of ``/v1/completions``; unknown fields are ignored."""
 
     model: str
     prompt: str
@@ -33,7 +33,7 @@
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """What ``/v1/chat/completions`` takes; unknown fields are ignored."""
+    """Request body of ``/v1/chat/completions``; unknown fields are ignored."""
 
     model: str
     messages: t.Annotated[tuple[ChatMessage, ...], msgspec.Meta(min_length=1)]
@@ -46,7 +46,7 @@
 
 
 def read_completion(body: bytes) -> CompletionBody:
-    """Decode the body of a completion.
+    """Decode the body of a completion request.
 
     :raises RequestError: ``MALFORMED_BODY``, naming the field.
     """
@@ -57,7 +57,7 @@
 
 
 def read_chat(body: bytes) -> CompletionBody:
-    """Decode the body of a chat completion into the one prompt an engine takes.
+    """Decode the body of a chat completion request and join its messages to one prompt.
 
     :raises RequestError: ``MALFORMED_BODY``, naming the field.
     """
@@ -71,51 +71,51 @@
 
 
 def estimate_tokens(prompt: str) -> int:
-    """Estimate a prompt's length in tokens from its words."""
+    """Estimate the length of a prompt in tokens as its number of words, at least 1."""
     return max(1, len(prompt.split()))
 
 
 def prefix_key(prompt: str) -> str:
-    """Return the key of a prompt's shareable head; empty if it is too short."""
+    """Return the prefix-cache key of a prompt; empty if the prompt is too short."""
     if len(prompt) < PREFIX_CHARACTERS:
         return ""
     return xxhash.xxh64_hexdigest(prompt[:PREFIX_CHARACTERS].encode())
 
 
 class ResponseFormat(t.Protocol):
-    """How one of the two interfaces words its answers."""
+    """Builds the response bodies of one completion endpoint."""
 
     def full_body(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
-        """Return the body of a whole answer."""
+        """Return the body of a response that is not streamed."""
         ...
 
     def stream_event(
         self, request_id: str, model: str, text: str, finish: str
     ) -> t.Any:
-        """Return one event of a streamed answer."""
+        """Return the body of one server-sent event of a streamed response."""
         ...
 
 
 class CompletionFormat:
-    """Answers of ``/v1/completions``."""
+    """Response bodies of ``/v1/completions``."""
 
     def full_body(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
-        """Return the body of a whole answer."""
+        """Return the body of a response that is not streamed."""
         choice = {"index": 0, "text": text, "finish_reason": finish or None}
         return _body(request_id, "text_completion", model, choice)
 
     def stream_event(
         self, request_id: str, model: str, text: str, finish: str
     ) -> t.Any:
-        """Return one event of a streamed answer."""
+        """Return the body of one server-sent event of a streamed response."""
         return self.full_body(request_id, model, text, finish)
 
 
 class ChatFormat:
-    """Answers of ``/v1/chat/completions``."""
+    """Response bodies of ``/v1/chat/completions``."""
 
     def full_body(self, request_id: str, model: str, text: str, finish: str) -> t.Any:
-        """Return the body of a whole answer."""
+        """Return the body of a response that is not streamed."""
         message = {"role": "assistant", "content": text}
         choice = {"index": 0, "message": message, "finish_reason": finish or None}
         return _body(request_id, "chat.completion", model, choice)
@@ -123,7 +123,7 @@
     def stream_event(
         self, request_id: str, model: str, text: str, finish: str
     ) -> t.Any:
-        """Return one event of a streamed answer."""
+        """Return the body of one server-sent event of a streamed response."""
         delta = {"content": text}
         choice = {"index": 0, "delta": delta, "finish_reason": finish or None}
         return _body(request_id, "chat.completion.chunk", model, choice)
--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -1,4 +1,7 @@
-"""One entry's connection to one side, in one task written straight down."""
+"""An entry's connection to one side: session, heartbeats, offers and their events.
+
+One task runs the connection sequentially: hello, welcome, messages, reconnection.
+"""
 
 from __future__ import annotations
 
@@ -36,20 +39,32 @@
 
 
 class Peer:
-    """A side as one entry knows it.
+    """The connection of one entry to one side, and what the side last reported.
 
     :param entry: name of the entry.
-    :param incarnation: random for each start of the entry.
-    :param info: the upstream, as the instance list names it.
-    :param counters: numbers the hellos of this incarnation, over all its peers: a
-        side refuses a hello that is not above the last it took.
+    :param incarnation: random identifier of this start of the entry.
+    :param info: the upstream's record in the instance list.
+    :param dialer: opens the connection.
+    :param holder: the configuration in force.
+    :param counters: numbers the hellos of this incarnation over all its peers; a side
+        ignores a hello whose number is not above that of the last one it accepted.
     :param interval: seconds between heartbeats; longer for a side that is only
-        observed and given no work.
-    :param session: open session, or ``None``.
-    :param version: protocol version of the session last opened.
-    :param plan_seen: highest plan that a side of this upstream has told of.
-    :param reconnect_by: until when a lost session may well come back.
-    :param report: the side's last word, or ``None`` without a session.
+        observed and gets no work.
+    :param telemetry: receives metrics; none are recorded without it.
+    :param session: name of the open session, or ``None``.
+    :param version: protocol version of the last session.
+    :param side_incarnation: identifier of the start of the side's process.
+    :param counter: number of the latest hello.
+    :param report: the side's last report, or ``None`` without a session.
+    :param reported_at: local monotonic time of that report.
+    :param reconnect_by: local monotonic time until which a lost session is likely to
+        be replaced by a new one.
+    :param generation: generation of the configuration that the side has in force.
+    :param frame_dropped: whether a frame could not be handed to the transport.
+    :param plan_seen: highest plan token that any side of this upstream has reported.
+    :param attempts: attempts offered to this side, by name.
+    :param offered_since_report: cost of the offers since the last report, which does
+        not contain them yet.
     """
 
     def __init__(
@@ -85,22 +100,22 @@
         self.attempts: dict[str, EntryAttempt] = {}
         self.offered_since_report = Cost(0, 0)
 
-    # What the rest of the entry asks of it
+    # Offers and their attempts
 
     @property
     def is_observer(self) -> bool:
-        """Whether the session only observes."""
+        """Whether the side is only observed and gets no work."""
         return self.interval > timing.BEAT_INTERVAL
 
     @property
     def is_ready(self) -> bool:
-        """Whether new work may be offered."""
+        """Whether new work may be offered to the side."""
         if self.is_observer or self.session is None or self.report is None:
             return False
         return self.report.readiness is Readiness.READY
 
     def candidate(self) -> Candidate:
-        """Return what the policy needs to know."""
+        """Return the side's state as input for the routing policy."""
         attempts = self.attempts.values()
         return Candidate(
             name=self.info.name,
@@ -114,9 +129,9 @@
         )
 
     async def offer(self, attempt: EntryAttempt, offer: messages.Offer) -> None:
-        """Hand an offer to the side; the attempt hears what becomes of it.
+        """Send an offer to the side; later messages about it become attempt events.
 
-        :raises NotReachedError: if it was certainly not handed over.
+        :raises NotReachedError: if the offer was certainly not handed over.
         """
         if self.session is None or self.link is None:
             raise NotReachedError(f"no session with {self.info.name}")
@@ -132,24 +147,24 @@
             raise
 
     async def cancel(self, attempt: EntryAttempt) -> bool:
-        """Ask for an attempt's end; ``False`` if the side can't be asked now."""
+        """Ask the side to cancel an attempt; ``False`` if it can't be reached now."""
         if self.session is None:
             return False
         return await self._send(messages.Cancel(self.session, attempt.name))
 
     async def grant(self, attempt: EntryAttempt, chunks: int) -> None:
-        """Let the side send more chunks."""
+        """Grant credit for more chunks of an attempt's stream."""
         if self.session is not None:
             await self._send(messages.Credit(self.session, attempt.name, chunks))
 
     def forget(self, attempt: EntryAttempt) -> None:
-        """Ignore everything that still comes of an attempt."""
+        """Stop tracking an attempt; later messages about it are ignored."""
         self.attempts.pop(attempt.name, None)
 
     # The connection
 
     async def run(self) -> None:
-        """Keep a session with the side until cancelled."""
+        """Maintain a session with the side until cancelled."""
         while True:
             retry = timing.HELLO_RETRY
             link = self.dialer.dial(self.info.side_address)
@@ -176,9 +191,10 @@
             heartbeats.cancel()
 
     async def _open_session(self, link: Link) -> messages.Welcome:
-        """Say hello until the side answers the latest one.
+        """Send hellos until the side welcomes the latest one.
 
-        :raises VersionError: if one of the two is too old for the other.
+        :raises VersionError: if the two have no protocol version in common.
+        :raises TimeoutError: if the side does not reply in time.
         """
         while True:
             self.counter = next(self.counters)
@@ -216,7 +232,10 @@
                 await self._on_message(message)
 
     async def _receive(self, link: Link, session: str) -> None:
-        """Take messages until the side falls silent or does not know us."""
+        """Handle messages until the side does not know the session or a frame is lost.
+
+        :raises TimeoutError: if the side sends nothing for too long.
+        """
         while True:
             for frame in await self._next_frames(link):
                 message = self._decode(frame)
@@ -229,11 +248,14 @@
                     await self._on_message(message)
 
     async def _next_frames(self, link: Link) -> list[bytes]:
-        """Return the next frames, or raise if the side is silent for too long.
+        """Return the next frames.
+
+        After the timeout the socket is read once more. If this process was suspended,
+        the side's heartbeats wait in the socket while the timer has already expired;
+        without another read, every session would end on resumption and requests would
+        be refused for lack of an upstream.
 
-        The silence may be this process's own: it was stopped, and the beats wait in
-        its socket while every timer has run out. Without a last look, all sessions
-        would be given up on waking and requests refused for want of an upstream.
+        :raises TimeoutError: if the side sent nothing for too long.
         """
         try:
             async with asyncio.timeout(self.interval * timing.MISSED_BY_ENTRY):
@@ -339,8 +361,8 @@
         try:
             await self.link.send(messages.encode(message))
         except NotReachedError:
-            # A lost grant of credit would stall its stream until the deadline, so
-            # the session ends with the first frame lost.
+            # Without a lost credit message its stream would stall until the deadline,
+            # so the session ends with the first frame that is dropped.
             self.frame_dropped = True
             return False
         return True
--- a/src/bergamotmast/entry/service_run.py
+++ b/src/bergamotmast/entry/service_run.py
@@ -1,4 +1,4 @@
-"""One call of a plain service at its entry; at most once where it must not repeat."""
+"""Execution of one call of a plain service, at most once if it is not repeatable."""
 
 from __future__ import annotations
 
@@ -24,21 +24,25 @@
 from .placement import Placement
 
 CLAIM_WRITE_TIMEOUT = 1.0
-"""Seconds an answer waits for its claim to be marked as completed."""
+"""Seconds for which an answer is held back while the end of its claim is written."""
 
 SESSION_RECOVERY_GRACE = 10.0
-"""Seconds for which a call that may be running waits for its side to be heard again.
+"""Seconds for which a call that may be running waits for a new session with its side.
 
-A cut of some seconds then ends in the true answer. A side that died never tells, and
-holding the caller until a deadline minutes away would only delay "unknown".
+After a network partition of a few seconds, the call still gets its real answer. A side
+that died never reports, and waiting for a deadline that is minutes away would only
+delay the outcome "unknown".
 """
 
 
 class ServiceRun:
     """Runs one call of a plain service.
 
-    :param entry: the entry that runs it.
-    :param call: the request.
+    A repeatable call is retried on another upstream. Any other call is offered again
+    only if it certainly did not run; with an idempotency key, it also needs a claim.
+
+    :param entry: the entry that runs the call.
+    :param call: the call.
     """
 
     def __init__(self, entry: EntryContext, call: ServiceCall) -> None:
@@ -47,9 +51,9 @@
         self.placement = Placement(entry, call)
 
     async def answer(self) -> ServiceAnswer:
-        """Return the whole answer.
+        """Run the call and return its answer.
 
-        :raises RequestError: if there is none.
+        :raises RequestError: if the call ends without an answer.
         """
         if self.call.repeatable:
             return await self._run_attempts()
@@ -58,7 +62,11 @@
         return await self._run_at_most_once()
 
     async def _run_at_most_once(self) -> ServiceAnswer:
-        """Claim the caller's key, then run; no claim, no run."""
+        """Claim the caller's idempotency key, then run the call.
+
+        Without a granted claim the call does not run. The answer stored for an earlier
+        call with the key is returned as it is.
+        """
         claims = self.entry.claims
         key = f"{self.call.tenant}/{self.call.route}/{self.call.idempotency_key}"
         earlier = await claims.claim(key, self._digest())
@@ -74,7 +82,11 @@
         return answer
 
     async def _finish_claim(self, writing: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Write the end of a claim; a claim left open only makes a replay unknown."""
+        """Record the end of a claim, within a time limit.
+
+        A failure is ignored: a claim left open only makes a replay of its key end as
+        "unknown".
+        """
         try:
             async with asyncio.timeout(CLAIM_WRITE_TIMEOUT):
                 await writing
@@ -117,7 +129,10 @@
         )
 
     async def _consume(self, attempt: EntryAttempt) -> ServiceAnswer | None:
-        """Return the answer, or ``None`` if another attempt may be made."""
+        """Handle the attempt's events until it ends.
+
+        :returns: the answer; ``None`` if another attempt may be made.
+        """
         while True:
             event = await attempt.events.get()
             match event:
@@ -153,7 +168,10 @@
                     pass
 
     def _set_resolution_deadline(self, attempt: EntryAttempt, at: float) -> None:
-        """Set the time at which the call ends as unknown without its side's word."""
+        """Set when the call ends as unknown if its side reports nothing.
+
+        :param at: local monotonic time; the call's deadline also applies.
+        """
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.timer = asyncio.get_running_loop().call_at(
@@ -161,7 +179,7 @@
         )
 
     def _on_outcome_unknown(self, attempt: EntryAttempt) -> None:
-        """Go on with a repeatable call; end any other as unknown."""
+        """Allow another attempt of a repeatable call; end any other as unknown."""
         self.placement.on_failed(attempt.upstream, ResultCode.OUTCOME_UNKNOWN, 0)
         if not self.call.repeatable:
             raise self.placement.error(ResultCode.OUTCOME_UNKNOWN, None)
@@ -169,7 +187,7 @@
     async def _wait_for_stored_answer(
         self, attempt: EntryAttempt
     ) -> ServiceAnswer | None:
-        """Wait for the answer that follows the word that the call is done."""
+        """Wait for the answer that follows the report that the call is done."""
         try:
             async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
                 while True:
@@ -181,7 +199,7 @@
             return None
 
     async def _give_up(self, attempt: EntryAttempt) -> ServiceAnswer | None:
-        """End the call at its deadline and say truly whether it ran."""
+        """End the call at its deadline with the outcome that the side reports."""
         state = await self.placement.resolve(attempt)
         if state == "never_started":
             raise self.placement.error(ResultCode.EXPIRED_IN_QUEUE, None)
