--- a/src/bergamotmast/side/__init__.py
+++ b/src/bergamotmast/side/__init__.py
@@ -1,1 +1,1 @@
-"""The side process: everything that touches its upstream goes through it."""
+"""The side: a sidecar process that carries all requests and orders to one upstream."""
--- a/src/bergamotmast/side/attempt.py
+++ b/src/bergamotmast/side/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a side: waiting, started, done, and the chunks on their way out."""
+"""One attempt at a side: its phase, and the buffer of its unsent chunks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AttemptPhase(enum.Enum):
-    """How far an attempt is; only the first phase may still be called not run."""
+    """Phase of an attempt; only a waiting one may still be reported as not run."""
 
     WAITING = "waiting"
     STARTED = "started"
@@ -24,12 +24,17 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """An offer that this side took.
-
-    :param session: where its messages go; replaced when the entry says hello again.
-    :param deadline: point on the local monotonic clock.
-    :param credit: chunks that may still be sent.
-    :param answer: the whole answer of a plain service, kept for a second asking.
+    """An offer that this side accepted.
+
+    :param offer: the offer.
+    :param session: the session that its messages go to; replaced when the entry opens
+        a new one.
+    :param deadline: local monotonic time, in seconds.
+    :param credit: number of chunks that may still be sent.
+    :param phase: waiting, started or done.
+    :param task: runs the attempt; ``None`` before it starts.
+    :param answer: the answer of a plain service, kept in case the entry asks again.
+    :param forget_at: local monotonic time at which a kept answer is dropped.
     """
 
     offer: Offer
@@ -53,11 +58,17 @@
 
 
 class ChunkBuffer:
-    """Chunks that wait for credit, merged so that a slow caller costs little.
+    """Merges the chunks of a stream that wait for credit.
+
+    This is the backpressure of streams: a caller that reads slowly must not stall the
+    engine's other streams, and its chunks must not pile up one by one. Without credit,
+    chunks are merged to one longer chunk, bounded by the length of the answer.
 
-    A caller that reads slowly must not stall the engine's other streams, and its
-    chunks must not pile up one by one: without credit, chunks become one longer
-    chunk, bounded by the answer's own length.
+    :param attempt: name of the attempt.
+    :param parts: text of the waiting chunks.
+    :param first: first waiting chunk, or ``None``.
+    :param last: last waiting chunk, or ``None``.
+    :param tokens: tokens of the waiting chunks.
     """
 
     def __init__(self, attempt: str) -> None:
@@ -68,14 +79,14 @@
         self.tokens = 0
 
     def clear(self) -> None:
-        """Drop what waits."""
+        """Remove all waiting chunks."""
         self.parts = []
         self.first = None
         self.last = None
         self.tokens = 0
 
     def add(self, chunk: TokenChunk) -> None:
-        """Append a chunk that follows the last one."""
+        """Append the chunk that follows the last one."""
         if self.first is None:
             self.first = chunk
         self.last = chunk
@@ -83,7 +94,7 @@
         self.parts.append(chunk.text)
 
     def message(self) -> Chunk | None:
-        """Return everything that waits as one message, and keep it."""
+        """Return all waiting chunks as one message, without removing them."""
         if self.first is None or self.last is None:
             return None
         return Chunk(
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -1,7 +1,8 @@
-"""The side process: sessions with entries, a queue, and one upstream behind it.
+"""Transport-independent core of a side: admission, queueing and execution of offers.
 
-Everything that touches the upstream passes through here, so the counts are exact, a
-leaving upstream refuses work itself, and what was told "not run" cannot run.
+All work for the upstream passes through here. The load counts are therefore exact, a
+leaving upstream refuses work by itself, and an attempt that was reported as "not run"
+can't run.
 """
 
 from __future__ import annotations
@@ -41,10 +42,10 @@
 logger = logging.getLogger(__name__)
 
 EXPIRY_INTERVAL = 0.1
-"""Seconds between two looks for waiting work that can no longer be answered."""
+"""Seconds between checks for waiting attempts that have expired."""
 
 ANSWER_RETENTION = 30.0
-"""Seconds a plain service's answer is kept for an entry that lost its session."""
+"""Seconds for which a service's answer is kept for an entry that lost its session."""
 
 _WIRE_STATES: dict[AttemptPhase, t.Literal["never_started", "started", "done"]] = {
     AttemptPhase.WAITING: "never_started",
@@ -55,18 +56,30 @@
 SHUTDOWN_DETAIL = "the side's time to end was over"
 
 RETRY_AFTER_FULL = 1.0
-"""Seconds after which a caller refused for load may come back."""
+"""Seconds in ``Retry-After`` of a refusal for load."""
 
 
 class SideCore:
-    """One side process without its sockets.
+    """Queues the offers of entries and runs them on one upstream, without sockets.
 
     :param name: name of the upstream.
-    :param listener: where entries connect.
+    :param listener: the socket that entries connect to.
     :param runner: runs an attempt on the upstream.
-    :param policy: what waits and what starts next.
+    :param policy: decides on admission and on what starts next.
     :param holder: the configuration in force.
-    :param incarnation: random for each start.
+    :param history: receives the events of attempts.
+    :param incarnation: random identifier of this start of the process.
+    :param telemetry: receives metrics; none are recorded without it.
+    :param attempts: attempts that wait or run, and done ones whose answer is kept.
+    :param running: names of the attempts that run on the upstream.
+    :param leaving: whether this process is shutting down.
+    :param admission_paused: whether a planned change keeps new work away.
+    :param engine: last state of the engine; ``None`` for a plain service.
+    :param plan_seen: highest plan token that an earlier side of the upstream obeyed.
+    :param plan_token: returns the token of the plan that this side obeys.
+    :param offered: demand offered since the start, in tokens.
+    :param done: work done since the start, in tokens.
+    :param shed: offers refused or expired since the start.
     """
 
     def __init__(
@@ -106,11 +119,11 @@
         self._idle = asyncio.Event()
         self._idle.set()
 
-    # What the rest of the side process asks of it
+    # Readiness and shutdown
 
     @property
     def readiness(self) -> Readiness:
-        """Whether new work is taken now."""
+        """Whether new work is accepted now."""
         if self.leaving or self.name in self.holder.selection.leaving:
             return Readiness.LEAVING
         if self.admission_paused:
@@ -118,7 +131,10 @@
         return self.engine_readiness
 
     def on_engine_state(self, state: EngineState | None, readiness: Readiness) -> None:
-        """Learn what the upstream is; waiting work leaves if it can't start here."""
+        """Update the state of the upstream.
+
+        Waiting attempts are refused if the upstream is not ready any more.
+        """
         if state is not None and state != self.engine:
             self.policy.configure(
                 state.max_streams,
@@ -132,12 +148,12 @@
         self._after_readiness_change()
 
     def pause_admission(self) -> None:
-        """Refuse new work and hand waiting work back, for a planned change."""
+        """Refuse new and waiting attempts, for a planned change."""
         self.admission_paused = True
         self._after_readiness_change()
 
     def resume_admission(self) -> None:
-        """Take new work again."""
+        """Accept new work again."""
         self.admission_paused = False
 
     async def drained(self) -> None:
@@ -145,9 +161,10 @@
         await self._idle.wait()
 
     async def leave(self) -> None:
-        """Refuse new work, hand waiting work back and wait for the rest.
+        """Shut down gracefully: refuse new and waiting attempts, drain running ones.
 
-        Offers that cross the news are refused meanwhile, and the last answers are read.
+        Offers that are still on their way are refused meanwhile. Returns once the
+        entries have read the last answers.
         """
         self.leaving = True
         self._after_readiness_change()
@@ -157,12 +174,12 @@
         await self.flush()
 
     async def abort_attempts(self) -> None:
-        """End what still runs and say so: the entries need not wait for this side.
+        """Cancel the running attempts and report them as failed to their entries.
 
-        Streams go on elsewhere; a call that may not be repeated ends as unknown now,
-        not when the side counts as lost.
+        Streams are resumed elsewhere, and a call that may not be repeated ends as
+        unknown now, not when the entry counts the side as lost.
         """
-        # Attempts end, and are forgotten, while others are told of.
+        # A copy, as attempts may end and be removed while a message is sent.
         for attempt in [self.attempts[name] for name in sorted(self.running)]:
             failed = messages.Failed(
                 attempt.name, ResultCode.OUTCOME_UNKNOWN, SHUTDOWN_DETAIL
@@ -175,7 +192,7 @@
         await self.flush()
 
     async def flush(self) -> None:
-        """Hand over all frames; they would else wait for a turn that may not come."""
+        """Send all queued frames now; the event loop may stop before its next turn."""
         await asyncio.gather(*self._background)
         await self.server.outbox.flush()
 
@@ -187,10 +204,10 @@
             group.create_task(self._watch_configuration())
 
     async def on_session_replaced(self, earlier: Session, session: Session) -> None:
-        """Move what an ended session still runs to the one that follows it.
+        """Move the attempts of an ended session to the session that replaces it.
 
-        Waiting attempts never start, streams end because the entry resumes them
-        elsewhere, and calls of plain services go on: their answers are owed.
+        Waiting attempts are refused, and streams are cancelled, as the entry resumes
+        them elsewhere. Calls of plain services go on: the entry waits for the answer.
         """
         for attempt in self._attempts_of(earlier):
             attempt.session = session
@@ -200,13 +217,13 @@
                 self._end_stream(attempt)
 
     def on_plan_seen(self, token: FencingToken) -> None:
-        """Learn of a plan that an earlier side of this upstream obeyed."""
+        """Record the token of a plan that an earlier side of this upstream obeyed."""
         self.plan_seen = max(self.plan_seen, token)
 
-    # Offers and what follows them
+    # Offers and attempts
 
     async def on_offer(self, session: Session, offer: messages.Offer) -> None:
-        """Queue an offer, or refuse it at once; a copy of one seen is ignored."""
+        """Queue an offer, or refuse it at once; a duplicate is ignored."""
         if not session.remember(offer.attempt):
             return
         code = self._admit(session, offer)
@@ -249,12 +266,12 @@
         await self._refuse(attempt.session, attempt.offer, code)
 
     def _withdraw(self, attempt: Attempt) -> None:
-        """Take a waiting attempt out of the queue: from here on it never starts."""
+        """Remove a waiting attempt from the queue; after this it never starts."""
         self.policy.withdraw(attempt.name)
         del self.attempts[attempt.name]
 
     def _end_attempt(self, attempt: Attempt) -> None:
-        """End an attempt; a call of a service that runs goes on."""
+        """End an attempt, unless it is a running call of a service, which goes on."""
         if attempt.phase is AttemptPhase.WAITING:
             self._withdraw(attempt)
             self._record(attempt.offer, "never_started")
@@ -262,7 +279,7 @@
             self._end_stream(attempt)
 
     def _start_ready_attempts(self) -> None:
-        """Start what the policy says may start now."""
+        """Start the waiting attempts that the policy selects."""
         while (item := self.policy.next(self._now())) is not None:
             attempt = self.attempts[item.attempt]
             attempt.phase = AttemptPhase.STARTED
@@ -285,10 +302,10 @@
             await self.runner.run(attempt, self)
 
     def _on_attempt_ended(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
-        """Free what an attempt held.
+        """Release the resources of an attempt, as a callback of its task.
 
-        A task that is cancelled before its first step never enters its body, so this
-        can't stand in a ``finally`` there: the upstream's place would stay taken.
+        A task that is cancelled before its first step never enters its body, so a
+        ``finally`` there would not run and the attempt's slot would stay occupied.
         """
         if not task.cancelled() and (error := task.exception()) is not None:
             logger.error("attempt %s failed", attempt.name, exc_info=error)
@@ -305,14 +322,14 @@
             self._idle.set()
 
     def on_credit(self, credit: messages.Credit) -> None:
-        """Let a stream send more chunks."""
+        """Grant more credit to a stream."""
         attempt = self.attempts.get(credit.attempt)
         if attempt is not None:
             attempt.credit += credit.chunks
             self.runner.on_credit(attempt)
 
     async def on_cancel(self, session: Session, cancel: messages.Cancel) -> None:
-        """End an attempt, except a call of a service that runs, and say its state."""
+        """End an attempt, except a running call of a service, and report its state."""
         attempt = self.attempts.get(cancel.attempt)
         if attempt is None:
             await self._on_cancel_of_unknown(session, cancel)
@@ -326,10 +343,10 @@
     async def _on_cancel_of_unknown(
         self, session: Session, cancel: messages.Cancel
     ) -> None:
-        """Answer for an attempt that is not here.
+        """Report the state of an attempt that is not known here any more, or not yet.
 
-        If it was ever started, it has ended. If not, remembering it leaves the
-        tombstone that keeps a later offer of it from starting.
+        If it was ever started, it has ended. Otherwise a tombstone is left, which keeps
+        an offer of it that arrives later from starting.
         """
         state: t.Literal["never_started", "done"] = "done"
         if not session.may_have_started(cancel.attempt):
@@ -341,7 +358,7 @@
         if attempt.task is not None:
             attempt.task.cancel()
 
-    # Time
+    # Expiry
 
     async def _expire(self) -> None:
         while True:
@@ -356,7 +373,7 @@
             self._start_ready_attempts()
 
     def on_session_ended(self, session: Session) -> None:
-        """Learn that a session is over: its calls of services go on."""
+        """End the attempts of a closed session, except running calls of services."""
         for attempt in self._attempts_of(session):
             self._end_attempt(attempt)
 
@@ -394,18 +411,22 @@
             self.telemetry.on_generation(generation)
             self._after_readiness_change()
 
-    # Small helpers
+    # Reports, messages and progress
 
     def report(self) -> SideReport:
-        """Return the exact state of this moment."""
+        """Return a report of the current state."""
         return read_report(self)
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
-        """Send to an entry, in the next turn of the event loop."""
+        """Send a message to an entry in the next iteration of the event loop."""
         await self.server.send(peer, message)
 
     def on_tokens(self, attempt: Attempt, tokens: int, prefilled: int) -> None:
-        """Learn of a stream's progress from the runner."""
+        """Record the progress of a stream.
+
+        :param tokens: output tokens that were added.
+        :param prefilled: prompt tokens whose prefill is complete.
+        """
         self.done = Cost(self.done.prefill + prefilled, self.done.decode + tokens)
         self.policy.on_progress(attempt.name, tokens, self._now())
         if prefilled:
--- a/src/bergamotmast/side/offers.py
+++ b/src/bergamotmast/side/offers.py
@@ -1,4 +1,4 @@
-"""What an offer means to the queue and to the demand: counts in tokens."""
+"""Conversion of offers to queue items and to demand, counted in tokens."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from ..protocol import messages
 
 OFFERS_PER_REFUSED_REQUEST = 3
-"""Sides that a refused request is usually offered to, before its caller hears of it."""
+"""Usual number of sides that a request is offered to before it is finally refused."""
 
 
 def queue_item(offer: messages.Offer, now: float) -> QueueItem:
-    """Return what the queue needs to know of an offer."""
+    """Return the queue item of an offer.
+
+    :param now: local monotonic time, in seconds.
+    """
     work = offer.work
     deadline = now + offer.budget
     if isinstance(work, messages.ServiceWork):
@@ -41,7 +44,10 @@
 
 
 def _remaining_cost(work: messages.ModelWork) -> Cost:
-    """Return what is left to do here of an answer that may be made in two stages."""
+    """Return the cost that remains for this engine.
+
+    Prefill and decode of one answer may run on two engines.
+    """
     prefill = 0 if work.kv_handle else work.prompt_tokens + work.resume_tokens
     return Cost(prefill, 1 if work.prefill_only else work.predicted_tokens)
 
@@ -49,12 +55,14 @@
 def offered_demand(
     work: messages.ModelWork | messages.ServiceWork, code: ResultCode
 ) -> Cost:
-    """Return what an offer adds to the demand that decides on roles.
+    """Return what an offer adds to the demand from which engines' roles are planned.
+
+    A request is counted whole where it is first offered. If each stage were counted on
+    its own, requests that prefill engines refuse would never count as decode work, and
+    the fleet would shift to prefill while decode is short. A refused request is offered
+    to other sides too, so each refusal counts as a share of a request.
 
-    A request is counted whole where it is first offered. Counted stage by stage, what
-    prefill engines refuse would never show as decode work, and the fleet would shift
-    to prefill while decode is short. A refused request is offered to others too, so a
-    refusal counts as a share of one.
+    :param code: result of the offer; ``OK`` if it was accepted.
     """
     if isinstance(work, messages.ServiceWork):
         return Cost(1, 1)
--- a/src/bergamotmast/side/order_states.py
+++ b/src/bergamotmast/side/order_states.py
@@ -1,4 +1,4 @@
-"""Where a side stands with the orders to its engine, as a state machine."""
+"""State machine of the orders that a side gives to its engine."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class OrderState(enum.Enum):
-    """Where a side stands with the orders to its engine."""
+    """State of the orders to one engine."""
 
     UNKNOWN = "unknown"
-    """What the engine is has not been read back since a start or a restart."""
+    """The engine's state has not been read since the side or the engine started."""
 
     SETTLED = "settled"
-    """The engine is what it should be, as far as the side has a plan for it."""
+    """The engine matches its plan, or keeps its assignment while no order is due."""
 
     DRAINING = "draining"
-    """Admission is closed, and work in flight ends before the order is given."""
+    """Admission is paused; the order is given once the work in flight has ended."""
 
     ORDERING = "ordering"
-    """An order is given, or its reply was lost and it may still arrive."""
+    """An order has been sent, or its reply was lost and it may still be delivered."""
 
     CHANGING = "changing"
-    """The engine carries an order out."""
+    """The engine is carrying out an order."""
 
 
 _ALL_STATES = list(OrderState)
@@ -57,12 +57,12 @@
 
 
 class OrderMachine:
-    """The state machine itself; a trigger without a transition is an error.
+    """State machine of the orders; a trigger without a transition raises an error.
 
-    While an order may be under way there is none for giving another: the engine's
-    state must have been read back first.
+    ``ORDERING`` has no transition for giving an order: while one may be under way, the
+    engine's state must be read first.
 
-    :param state: the present state.
+    :param state: the current state.
     """
 
     state: OrderState
--- a/src/bergamotmast/side/orders.py
+++ b/src/bergamotmast/side/orders.py
@@ -1,9 +1,9 @@
-"""Gives one engine its orders, one at a time, from its part of the plan.
+"""Reconciliation of one engine with its plan, by one order at a time.
 
-All orders to an engine go through its side, which is the serial point: an order is
-given only after the engine's state has been read back as settled, and never while an
-earlier order may still be on its way or be carried out. What an engine is, it says
-itself; a reply, or its absence, is never taken for it.
+All orders to an engine go through its side, which serializes them: an order is given
+only after the engine's state has been read as settled, and never while an earlier order
+may still be delivered or carried out. The state is always read from the engine; it is
+never inferred from the reply to an order or from a missing reply.
 """
 
 from __future__ import annotations
@@ -39,81 +39,83 @@
 from .order_states import OrderState
 
 STATE_POLL_SECONDS = 1.0
-"""Between two readings of the engine's state: how late a restart may be noticed."""
+"""Time between two reads of the engine's state, and thus to detect a restart."""
 
 STATE_TIMEOUT_SECONDS = 2.0
-"""Longest wait for the engine's state."""
+"""Timeout of a read of the engine's state."""
 
 MAX_FAILED_READS = 2
-"""Failed readings in a row before the engine's state counts as unknown."""
+"""Consecutive failed reads that are tolerated before the engine's state is unknown."""
 
 ORDER_REPLY_TIMEOUT_SECONDS = 5.0
-"""Longest wait for an engine to take an order."""
+"""Timeout of an engine's reply to an order."""
 
 MAX_ORDER_DELIVERY_SECONDS = 3.0
-"""How long an order may lie in a socket before its engine takes it.
+"""Time for which an order may remain in a socket before its engine receives it.
 
 An order whose sender gave up, or was killed, can still be delivered. Until this time
-has passed, or the engine shows that it has the order, no other is given.
+has passed, or the engine's state shows that it has the order, no other is given.
 """
 
 ORDER_RETRY_SECONDS = 2.0
 MAX_ORDER_RETRY_SECONDS = 30.0
-"""Bounds of the time between orders that the engine refuses or that have no effect.
+"""Bounds of the backoff between orders that the engine refuses or that have no effect.
 
-In between, an engine that is fit for work goes on with it as it is.
+Meanwhile a usable engine goes on serving with its present assignment.
 """
 
 PLAN_CONFIRM_TIMEOUT_SECONDS = 1.0
-"""Longest wait for the plan to be read again before an order."""
+"""Timeout of the read that confirms the plan before an order."""
 
 logger = logging.getLogger(__name__)
 
 
 class Workload(t.Protocol):
-    """The work at a side's engine, as far as a change has to wait for it."""
+    """Control of admission, and of the work that a change of the engine waits for."""
 
     def pause_admission(self) -> None:
-        """Start no more work; called again without effect."""
+        """Start no more work; idempotent."""
         ...
 
     def resume_admission(self) -> None:
-        """Start work again; called again without effect."""
+        """Start work again; idempotent."""
         ...
 
     async def drained(self) -> None:
-        """Return when no started work is left.
+        """Wait until all started work has ended.
 
-        Work ends by its deadline at the latest, so this does too.
+        Work ends by its deadline at the latest, so the wait is bounded.
         """
         ...
 
 
 class EngineStateCallback(t.Protocol):
-    """Is told what the engine is and whether it takes work."""
+    """Callback with the engine's state and its readiness for work."""
 
     def __call__(self, state: EngineState | None, readiness: Readiness) -> None:
-        """Take the newest word on the engine; ``None`` while nothing is known."""
+        """Handle the last read of the engine; ``None`` while its state is unknown."""
         ...
 
 
 def no_plan_seen() -> FencingToken:
-    """Know of no earlier plan."""
+    """Return ``NO_TOKEN``: no earlier plan is known."""
     return NO_TOKEN
 
 
 class OrderReconciler:
-    """One side's task that keeps its engine at the plan.
+    """Reconciliation loop of a side, which brings its engine to the plan.
 
     :param name: name of the engine.
     :param engine: the engine.
-    :param kv: the key-value service, which holds the plan.
-    :param workload: what a change has to wait for.
-    :param on_engine_state: told after each reading of the engine.
+    :param kv: the key-value service, which stores the plan.
+    :param workload: admission control, and the work that a change waits for.
+    :param on_engine_state: called after each read of the engine.
     :param rng: source of jitter.
-    :param plan_seen: tells the highest plan that an earlier side obeyed.
-    :param plan: the highest plan seen; it stays while the service is down.
-    :param engine_state: the last reading.
+    :param plan_seen: returns the highest plan token that an earlier side obeyed.
+    :param plan: the highest plan seen; it stays in force while the key-value service
+        is down.
+    :param engine_state: the last state read from the engine.
+    :param machine: the state of the orders.
     """
 
     def __init__(
@@ -149,12 +151,12 @@
 
     @property
     def state(self) -> OrderState:
-        """Where the side stands with its orders."""
+        """The state of the orders to the engine."""
         return self.machine.state
 
     @property
     def token(self) -> FencingToken:
-        """Authority of the plan that is obeyed; ``NO_TOKEN`` before the first."""
+        """Fencing token of the plan in force; ``NO_TOKEN`` before the first plan."""
         return self.plan.token if self.plan is not None else NO_TOKEN
 
     @property
@@ -169,7 +171,7 @@
         return Readiness.CHANGING
 
     async def run(self) -> None:
-        """Keep the engine at the plan until cancelled."""
+        """Reconcile the engine with the plan until cancelled."""
         self._no_order_before = _now() + MAX_ORDER_DELIVERY_SECONDS
         try:
             async with asyncio.TaskGroup() as group:
@@ -179,11 +181,11 @@
             self._stop_drain()
 
     def offer_plan(self, data: bytes) -> None:
-        """Take a part of the plan if its authority is above all seen."""
+        """Accept the engine's plan if its token is above those of all plans seen."""
         try:
             plan = decode_engine_plan(data)
         except msgspec.DecodeError as error:
-            logger.error("plan of %s can't be read: %s", self.name, error)
+            logger.error("plan of engine %s can't be decoded: %s", self.name, error)
             return
         if self.plan is None or plan.token > self.plan.token:
             self.plan = plan
@@ -210,7 +212,7 @@
                     await self._wake.wait()
 
     async def _reconcile(self) -> None:
-        """Read the engine back and do the one next thing that brings it to the plan."""
+        """Read the engine's state and take the next step that brings it to the plan."""
         state = await self._read_back()
         if state is None:
             return
@@ -241,12 +243,12 @@
         return state
 
     def _detect_restart(self, state: EngineState) -> None:
-        """Forget what was known of an engine that has another boot identity.
+        """Reset the known state of an engine whose boot identity has changed.
 
-        An engine may crash in the middle of a change and be back before any call
-        fails, with the change done, half done or not done. Work sent to it then would
-        meet a role or models it does not have. What it says after its restart is
-        compared with the plan anew, and no work goes there until they agree.
+        An engine may crash during a change and be back before any call fails, with the
+        change done, half done or not done. Work sent to it then could need a role or
+        models that it does not have. Its state is therefore compared with the plan
+        again, and it gets no work until the two agree.
         """
         before = self.engine_state
         if before is not None and before.boot_id != state.boot_id:
@@ -269,10 +271,10 @@
             self.machine.trigger("found_changing")
 
     def _on_settled(self, assignment: Assignment | None) -> None:
-        """Let an engine work as it is; ``None`` where it is not fit for that.
+        """Let the engine serve with an assignment; ``None`` if it is not usable.
 
-        It is unfit from a restart until it has been found at the plan: a crash in
-        the middle of a change may leave anything.
+        After a restart an engine is not usable until it has been found to match the
+        plan, as a crash during a change may leave it in any state.
         """
         if assignment is None:
             self._reset_to_unknown()
@@ -284,11 +286,11 @@
         self.machine.trigger("found_settled")
 
     def _order_may_arrive(self, state: EngineState) -> bool:
-        """Return whether an order may still lie in a socket to the engine.
+        """Return whether an earlier order may still be delivered to the engine.
 
-        The sender was this process, whose reply was lost, or an earlier one that was
-        killed. Ordering something else now would leave an engine that ignores fencing
-        tokens with two orders, the older of which comes last.
+        It may be an order of this process whose reply was lost, or of an earlier
+        process that was killed. With another order now, an engine that ignores fencing
+        tokens would get two, the older of which might arrive last.
         """
         in_doubt = self._in_doubt_order
         if in_doubt is not None:
@@ -305,12 +307,12 @@
         return False
 
     def _due_order(self, state: EngineState) -> Order | None:
-        """Return the order that is due, if the engine is not at the plan.
+        """Return the order that is due; ``None`` if the engine matches the plan.
 
-        A plan of less authority than the engine has already obeyed came from a
-        service restored from a backup; the engine stays as it is until a higher one.
-        Where side and engine were both replaced, neither remembers: then the entries
-        tell what the earlier side obeyed.
+        A plan with a lower token than one that the engine has already obeyed comes from
+        a key-value service that was restored from a backup; the engine stays as it is
+        until a higher one. If side and engine were both replaced, neither remembers
+        that token, and the entries report what the earlier side obeyed.
         """
         plan = self.plan
         if plan is None or plan.token < max(state.token, self.plan_seen()):
@@ -320,7 +322,10 @@
         return Order(plan.token, plan.assignment)
 
     async def _drain_if_needed(self, present: Assignment | None) -> bool:
-        """Return whether no work stands in the way, else see to it that it ends."""
+        """Return whether a change can be ordered now; start a drain if it needs one.
+
+        :param present: the engine's assignment; ``None`` if it does not know it.
+        """
         assert self.plan is not None
         if not needs_drain(present, self.plan.assignment):
             self._stop_drain()
@@ -338,11 +343,11 @@
         return True
 
     async def _order_if_still_due(self, state: EngineState) -> None:
-        """Give the order that the newest plan asks for, if it still asks for one.
+        """Read the plan again and give the order if it is still due.
 
-        A side that was paused wakes with the plan of before. Reading its part again
-        keeps it from giving an order whose planner was replaced meanwhile. With the
-        service down the last plan counts.
+        A side that was suspended resumes with an old plan. The read keeps it from
+        giving an order of a planner that was replaced meanwhile. While the key-value
+        service is down, the last plan stays in force.
         """
         before = self.plan
         await self._confirm_plan()
@@ -373,7 +378,9 @@
             self.machine.trigger("not_taken")
             self._on_settled(self._settled_assignment if self._is_usable else None)
         except (PortError, TimeoutError) as error:
-            logger.warning("engine %s: order of unknown end: %r", self.name, error)
+            logger.warning(
+                "outcome of order to engine %s is unknown: %r", self.name, error
+            )
             self._in_doubt_order = order
             self._no_order_before = _now() + MAX_ORDER_DELIVERY_SECONDS
         else:
@@ -385,10 +392,10 @@
             self._drain = None
 
     def _publish(self) -> None:
-        """Open or close admission and say what the engine is.
+        """Open or close admission and report the engine's state and readiness.
 
-        An engine that loads beside its work says that it is not settled; what it
-        carried before is still true of it, and work for that goes on.
+        An engine that loads a model while it serves has no settled assignment. Its
+        previous one still holds, so work for that goes on.
         """
         readiness = self.readiness
         state = self.engine_state
@@ -402,12 +409,13 @@
 
 
 def needs_drain(present: Assignment | None, wanted: Assignment) -> bool:
-    """Return whether a change would take something away from work in flight.
+    """Return whether the work in flight must end before a change.
 
-    A new role stops the engine for seconds, and dropping a model or an adapter ends
-    its streams. Loading one more goes on beside the work.
+    A new role stops the engine for seconds, and unloading a model or an adapter ends
+    its streams. Another model can be loaded while the engine serves.
 
-    :param present: what the engine is; ``None`` where it does not know.
+    :param present: the engine's assignment; ``None`` if it does not know it.
+    :param wanted: the assignment after the change.
     """
     if present is None:
         return True
--- a/src/bergamotmast/side/outbox.py
+++ b/src/bergamotmast/side/outbox.py
@@ -1,8 +1,8 @@
-"""Frames on their way to entries, those of one turn of the event loop together.
+"""Batching of frames to entries: one multipart message per entry and loop iteration.
 
-An engine ends a step for all its streams at once. Handed over one by one, each chunk
-would wake ZeroMQ's own thread and then the entry; a turn's frames for one entry go as
-one message of several parts, which the entry reads part by part as if they were many.
+An engine completes a step for all its streams at once. Sent one by one, each chunk
+would wake ZeroMQ's I/O thread and then the entry. The entry reads the parts of a
+message as if each were a message of its own.
 """
 
 from __future__ import annotations
@@ -15,10 +15,12 @@
 
 
 class Outbox:
-    """Collects frames and hands them over, in order for each entry.
+    """Collects frames and sends them in batches, in order for each entry.
 
-    :param listener: where entries are connected.
-    :param on_lost: called with the peer whose frames could not be handed over.
+    :param listener: the socket that entries connect to.
+    :param on_lost: called with the peer whose frames could not be sent.
+    :param frames: unsent frames by peer.
+    :param filled: set while there are unsent frames.
     """
 
     def __init__(
@@ -30,18 +32,18 @@
         self.filled = asyncio.Event()
 
     def put(self, peer: bytes, frame: bytes) -> None:
-        """Take a frame; it goes out in the next turn of the event loop."""
+        """Queue a frame, which is sent in the next iteration of the event loop."""
         self.frames.setdefault(peer, []).append(frame)
         self.filled.set()
 
     async def run(self) -> None:
-        """Hand over what is put in until cancelled."""
+        """Send queued frames until cancelled."""
         while True:
             await self.filled.wait()
             await self.flush()
 
     async def flush(self) -> None:
-        """Hand over everything now."""
+        """Send all queued frames now."""
         self.filled.clear()
         waiting = self.frames
         self.frames = {}
--- a/src/bergamotmast/side/report.py
+++ b/src/bergamotmast/side/report.py
@@ -1,4 +1,4 @@
-"""What a side says of itself on each heartbeat."""
+"""The report of a side's state that each heartbeat carries."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ReportSource(t.Protocol):
-    """A side as far as its report tells of it."""
+    """The state of a side that its report is made from."""
 
     policy: SidePolicy
     running: set[str]
@@ -26,12 +26,12 @@
 
     @property
     def readiness(self) -> Readiness:
-        """Whether new work is taken now."""
+        """Whether new work is accepted now."""
         ...
 
 
 def read_report(side: ReportSource) -> SideReport:
-    """Return the exact state of a side at this moment."""
+    """Return a report of the side's current state."""
     waiting = side.policy.waiting_cost()
     speed = side.policy.speed()
     engine = side.engine
--- a/src/bergamotmast/side/runners.py
+++ b/src/bergamotmast/side/runners.py
@@ -1,4 +1,4 @@
-"""Running an attempt on an upstream: a stream on an engine, a call of a service."""
+"""Execution of attempts on an upstream: streams of an engine, calls of a service."""
 
 from __future__ import annotations
 
@@ -20,14 +20,18 @@
 
 
 class AttemptSink(t.Protocol):
-    """A side as its runners see it."""
+    """The receiver of an attempt's messages and progress: the side."""
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
-        """Send to an entry, in the next turn of the event loop."""
+        """Send a message to an entry in the next iteration of the event loop."""
         ...
 
     def on_tokens(self, attempt: Attempt, tokens: int, prefilled: int) -> None:
-        """Learn of a stream's progress."""
+        """Record the progress of a stream.
+
+        :param tokens: output tokens that were added.
+        :param prefilled: prompt tokens whose prefill is complete.
+        """
         ...
 
 
@@ -35,18 +39,19 @@
     """Runs attempts on one kind of upstream."""
 
     async def run(self, attempt: Attempt, side: AttemptSink) -> None:
-        """Run a started attempt to its end and send what it gives."""
+        """Run a started attempt to its end and send its results."""
         ...
 
     def on_credit(self, attempt: Attempt) -> None:
-        """Learn that chunks were taken."""
+        """Handle new credit of a stream."""
         ...
 
 
 class EngineRunner:
     """Runs streams on an engine.
 
-    :param engine: the engine behind this side.
+    :param engine: the engine beside this side.
+    :param credit_events: set by new credit, by name of the attempt.
     """
 
     def __init__(self, engine: Engine) -> None:
@@ -54,13 +59,13 @@
         self.credit_events: dict[str, asyncio.Event] = {}
 
     def on_credit(self, attempt: Attempt) -> None:
-        """Let a stream that waits for credit go on."""
+        """Wake the stream if it waits for credit."""
         event = self.credit_events.get(attempt.name)
         if event is not None:
             event.set()
 
     async def run(self, attempt: Attempt, side: AttemptSink) -> None:
-        """Stream an answer, at most as far ahead of its caller as it has credit."""
+        """Stream an answer, sending chunks only while the stream has credit."""
         self.credit_events[attempt.name] = asyncio.Event()
         try:
             await self._stream(attempt, side)
@@ -69,7 +74,7 @@
         except PortError as error:
             await _failed(attempt, side, ResultCode.UPSTREAM_FAILED, error.message)
         except asyncio.CancelledError:
-            # The task is ended on purpose; closing the generator told the engine.
+            # Cancelled on purpose; closing the generator has ended the engine's stream.
             pass
         finally:
             del self.credit_events[attempt.name]
@@ -106,7 +111,7 @@
     async def _flush_last(
         self, attempt: Attempt, side: AttemptSink, buffer: ChunkBuffer
     ) -> None:
-        """Send what is left, when there is credit; until the caller's deadline."""
+        """Send the remaining chunks as credit allows, until the caller's deadline."""
         event = self.credit_events[attempt.name]
         while buffer.last is not None:
             await self._flush(attempt, side, buffer)
@@ -123,17 +128,17 @@
 class ServiceRunner:
     """Runs calls of a plain service.
 
-    :param service: the service behind this side.
+    :param service: the service beside this side.
     """
 
     def __init__(self, service: PlainService) -> None:
         self.service = service
 
     def on_credit(self, attempt: Attempt) -> None:
-        """Ignore credit: a plain service's answer is one message."""
+        """Ignore credit, as the answer of a plain service is one message."""
 
     async def run(self, attempt: Attempt, side: AttemptSink) -> None:
-        """Run a call and send its whole answer."""
+        """Run a call and send its answer."""
         work = attempt.offer.work
         assert isinstance(work, messages.ServiceWork)
         try:
--- a/src/bergamotmast/side/session.py
+++ b/src/bergamotmast/side/session.py
@@ -1,4 +1,4 @@
-"""A side's sessions: which entry may offer work now, and what it offered."""
+"""Sessions between a side and entries, and the memory of attempts offered in them."""
 
 from __future__ import annotations
 
@@ -10,29 +10,32 @@
 from ..protocol.messages import Hello
 
 MAX_TOMBSTONES = 4096
-"""Attempts a session remembers so that a copy of their offer never starts.
+"""Attempts that a session remembers, so that a duplicate offer never starts.
 
-Frames of one session arrive in order and an older session is refused as a whole, so
-a copy can only follow closely; the bound keeps a long session from growing.
+Frames of one session arrive in order, and frames of an older session are refused, so a
+duplicate can only follow closely. The bound limits the memory of a long session.
 """
 
 MAX_INCARNATIONS = 4096
-"""Incarnations of entries whose last hello is remembered; some weeks of restarts."""
+"""Entry incarnations whose last hello is remembered: some weeks of restarts."""
 
 
 @dataclasses.dataclass
 class Session:
-    """One entry's standing at this side.
+    """A session with one entry.
 
-    :param name: names the session in messages.
+    :param name: identifies the session in messages.
     :param peer: transport identity that the session's frames come from.
-    :param incarnation: of the entry.
-    :param counter: of the hello that opened it.
-    :param interval: seconds between heartbeats, both ways.
-    :param version: protocol version that both ends know.
-    :param expires_at: when the entry counts as lost unless it is heard again.
-    :param next_heartbeat_at: when the next beat to the entry is due.
-    :param heartbeats_received: beats heard from the entry.
+    :param entry: name of the entry.
+    :param incarnation: random identifier of the entry's start.
+    :param counter: number of the hello that opened the session.
+    :param interval: seconds between heartbeats, in both directions.
+    :param version: protocol version that both ends speak.
+    :param expires_at: local monotonic time at which the entry counts as lost, unless
+        another message of it arrives.
+    :param next_heartbeat_at: local monotonic time of the next heartbeat to the entry.
+    :param heartbeats_sent: number of heartbeats sent to the entry.
+    :param heartbeats_received: number of heartbeats received from the entry.
     :param seen: attempts offered or cancelled, and whether each was ever started.
     """
 
@@ -57,30 +60,30 @@
         return self.interval > timing.BEAT_INTERVAL
 
     def on_heard(self, now: float) -> None:
-        """Put off the moment at which the entry counts as lost."""
+        """Extend the session after a message of the entry."""
         self.expires_at = now + self.interval * timing.MISSED_BY_SIDE
 
     def remember(self, attempt: str) -> bool:
-        """Note an attempt; ``False`` if its offer or cancel was seen before."""
+        """Record an attempt; ``False`` if its offer or cancel was seen before."""
         if attempt in self.seen:
             return False
         self._note(attempt, False)
         return True
 
     def on_started(self, attempt: str) -> None:
-        """Note that an attempt has run, or runs."""
+        """Record that an attempt was started."""
         self._note(attempt, True)
 
     def may_have_started(self, attempt: str) -> bool:
-        """Return whether an attempt that was seen was ever started."""
+        """Return whether an attempt is known to have been started."""
         return self.seen.get(attempt, False)
 
     def inherit(self, earlier: Session) -> None:
-        """Take over what an earlier session of the same incarnation saw.
+        """Take over the attempts of an earlier session of the same incarnation.
 
-        A call may have run and its end have been lost with the earlier session: the
-        entry asks for it in this one. Without the memory it would hear "never
-        started" of a call that ran, and run it again elsewhere.
+        A call may have run, and the message of its end may have been lost with the
+        earlier session; the entry asks for its state in this one. Without this memory
+        it would get "never started" for a call that ran, and run it again elsewhere.
         """
         self.seen = earlier.seen
 
@@ -92,9 +95,12 @@
 
 
 class SessionTable:
-    """All sessions of a side, at most one for each incarnation of an entry.
+    """The sessions of a side, at most one for each incarnation of an entry.
 
-    :param side_incarnation: random for each start of the side.
+    :param side_incarnation: random identifier of this start of the side.
+    :param by_name: the open sessions by name.
+    :param by_incarnation: the last session of each entry incarnation, open or ended.
+    :param opened: number of sessions opened so far.
     """
 
     def __init__(self, side_incarnation: str) -> None:
@@ -108,11 +114,15 @@
     def open(
         self, peer: bytes, hello: Hello, now: float, version: int = PROTOCOL_VERSION
     ) -> tuple[Session, Session | None] | None:
-        """Open a session and return it with the one it ends.
+        """Open a session and return it with the last earlier one of its incarnation.
 
-        A hello may lie in a buffer while its connection is cut off and arrive after
-        a later one. Taking it would end the session in use and let offers from
-        before the cut start: it is refused by its counter.
+        A hello may be buffered during a network partition and arrive after a later
+        one. Accepting it would end the current session and let offers from before the
+        partition start, so a hello with an old counter is ignored.
+
+        :param now: local monotonic time, in seconds.
+        :returns: the session and the earlier one, if any; ``None`` if the hello is not
+            newer than the last one of its incarnation.
         """
         earlier = self.by_incarnation.get(hello.incarnation)
         if earlier is not None and hello.counter <= earlier.counter:
@@ -139,20 +149,20 @@
         return session, earlier
 
     def find(self, name: str, peer: bytes) -> Session | None:
-        """Return a session if it is open and the frame came from its own peer."""
+        """Return an open session if the frame came from the session's own peer."""
         session = self.by_name.get(name)
         if session is None or session.peer != peer:
             return None
         return session
 
     def from_peer(self, peer: bytes) -> list[Session]:
-        """Return the open sessions whose frames come from a peer."""
+        """Return the open sessions of a peer."""
         return [s for s in self.by_name.values() if s.peer == peer]
 
     def end(self, session: Session) -> None:
-        """Take a session out; its incarnation stays known with its counter."""
+        """Close a session; the counter of its incarnation is still remembered."""
         self.by_name.pop(session.name, None)
 
     def expired(self, now: float) -> list[Session]:
-        """Return the open sessions whose entries were not heard in time."""
+        """Return the open sessions whose entries sent nothing in time."""
         return [s for s in self.by_name.values() if s.expires_at <= now]
--- a/src/bergamotmast/side/session_server.py
+++ b/src/bergamotmast/side/session_server.py
@@ -1,4 +1,4 @@
-"""A side's conversations with entries: sessions, heartbeats, the configuration."""
+"""Server of a side's sessions: hellos, heartbeats and configuration exchange."""
 
 from __future__ import annotations
 
@@ -25,67 +25,70 @@
 
 
 HEARTBEATS_UNTIL_READ = 2
-"""Beats of an entry after which it has read what was handed over before them."""
+"""Heartbeats of an entry after which it has read the frames sent before them."""
 
 READ_CHECK_INTERVAL = 0.05
-"""Seconds between two looks whether those beats were heard."""
+"""Seconds between checks whether those heartbeats have arrived."""
 
 
 class SessionHandler(t.Protocol):
-    """The side's work, which sessions bring offers to."""
+    """Handler of the messages that arrive in sessions: the side's core."""
 
     def report(self) -> SideReport:
-        """Return the state that heartbeats tell."""
+        """Return the report that heartbeats carry."""
         ...
 
     def on_plan_seen(self, token: FencingToken) -> None:
-        """Learn of a plan that an earlier side of this upstream obeyed."""
+        """Record the token of a plan that an earlier side of this upstream obeyed."""
         ...
 
     async def on_offer(self, session: Session, offer: messages.Offer) -> None:
-        """Take an offer, or refuse it."""
+        """Accept an offer, or refuse it."""
         ...
 
     def on_credit(self, credit: messages.Credit) -> None:
-        """Let a stream send more."""
+        """Grant more credit to a stream."""
         ...
 
     async def on_cancel(self, session: Session, cancel: messages.Cancel) -> None:
-        """End an attempt and say what became of it."""
+        """End an attempt and report its state."""
         ...
 
     async def on_session_replaced(self, earlier: Session, session: Session) -> None:
-        """Learn that a session has taken an earlier one's place."""
+        """Move the attempts of an ended session to the session that replaces it."""
         ...
 
     def on_session_ended(self, session: Session) -> None:
-        """Learn that a session is over."""
+        """End the attempts of a closed session."""
         ...
 
 
 class SessionServer:
-    """Answers entries and keeps their sessions.
+    """Receives the messages of entries and maintains the sessions with them.
 
     :param upstream: name of the upstream.
-    :param listener: where entries connect.
-    :param user: the side's work.
+    :param listener: the socket that entries connect to.
+    :param handler: handles the messages of sessions.
     :param holder: the configuration in force.
-    :param table: the open sessions.
-    :param last_ran_at: when this process last ran its beat.
+    :param telemetry: receives metrics.
+    :param incarnation: random identifier of this start of the side.
+    :param outbox: frames to entries that are not sent yet.
+    :param table: the sessions.
+    :param last_ran_at: local monotonic time at which the heartbeat task last ran.
     """
 
     def __init__(
         self,
         upstream: str,
         listener: Listener,
-        user: SessionHandler,
+        handler: SessionHandler,
         holder: ConfigHolder,
         telemetry: Telemetry,
         incarnation: str,
     ) -> None:
         self.upstream = upstream
         self.listener = listener
-        self.user = user
+        self.handler = handler
         self.holder = holder
         self.telemetry = telemetry
         self.outbox = Outbox(listener, self._on_frames_lost)
@@ -110,17 +113,17 @@
                 self.telemetry.on_unknown_message()
                 continue
             except msgspec.MsgspecError as error:
-                logger.warning("frame refused: %s", error)
+                logger.warning("frame is not a valid message: %s", error)
                 continue
             await self._handle(peer, message)
 
     def _end_sessions_after_suspension(self) -> None:
-        """End every session if this process did not run for a while.
+        """End every session if this process was suspended for a session's lifetime.
 
-        A process that was stopped wakes up to offers whose entries gave up on them
-        long ago: starting them would burn the upstream on answers nobody waits for.
-        The beat task notes each half second that the process runs; a gap of a
-        session's lifetime means that every entry has turned away.
+        A process that resumes finds offers in its socket whose entries have long given
+        up on them; starting them would waste the upstream on answers that nobody waits
+        for. The heartbeat task records every half second that the process runs. A gap
+        of a session's lifetime means that every entry has closed its session.
         """
         now = _now()
         if now - self.last_ran_at > timing.SIDE_TIMEOUT:
@@ -161,11 +164,11 @@
                 session.heartbeats_received += 1
                 await self._compare_generation(session.peer, message.generation)
             case messages.Offer():
-                await self.user.on_offer(session, message)
+                await self.handler.on_offer(session, message)
             case messages.Credit():
-                self.user.on_credit(message)
+                self.handler.on_credit(message)
             case messages.Cancel():
-                await self.user.on_cancel(session, message)
+                await self.handler.on_cancel(session, message)
 
     async def _on_stale(
         self,
@@ -189,9 +192,9 @@
         if opened is None:
             return
         session, earlier = opened
-        self.user.on_plan_seen(FencingToken(hello.plan_epoch, hello.plan_revision))
+        self.handler.on_plan_seen(FencingToken(hello.plan_epoch, hello.plan_revision))
         if earlier is not None:
-            await self.user.on_session_replaced(earlier, session)
+            await self.handler.on_session_replaced(earlier, session)
         welcome = messages.Welcome(
             version=messages.PROTOCOL_VERSION,
             upstream=self.upstream,
@@ -219,35 +222,36 @@
 
     async def _heartbeat_loop(self) -> None:
         while True:
-            # On waking, this may run before the first frame is read.
+            # When the process resumes, this may run before the first frame is read.
             self._end_sessions_after_suspension()
             self.last_ran_at = _now()
-            self.telemetry.on_report(self.user.report())
+            self.telemetry.on_report(self.handler.report())
             for session in list(self.table.by_name.values()):
                 if session.next_heartbeat_at <= self.last_ran_at:
                     await self.send_report(session)
             await asyncio.sleep(timing.BEAT_INTERVAL)
 
     async def send_report(self, session: Session) -> None:
-        """Tell an entry the side's exact state now."""
+        """Send an entry a heartbeat with a report of the current state."""
         session.heartbeats_sent += 1
-        # A little early rather than a whole tick late.
+        # Due half an interval of the loop early rather than a whole interval late.
         session.next_heartbeat_at = _now() + session.interval - timing.BEAT_INTERVAL / 2
         beat = messages.ReportBeat(
             session.name,
             session.heartbeats_sent,
             self.holder.generation,
-            self.user.report(),
+            self.handler.report(),
         )
         await self.send(session.peer, beat)
 
     async def wait_until_read(self) -> None:
-        """Wait until every entry has had a turn to read what was handed over.
+        """Wait until every working entry has had time to read the frames sent so far.
 
-        ZeroMQ drops what an entry has not read when the connection closes: last answers
-        would be lost, and calls that ran end as unknown. The first beat heard may have
-        been under way before; an entry that sends the second has run since, and reads.
-        One that stays silent takes the side for lost after the same time.
+        When the connection closes, ZeroMQ drops the frames that an entry has not read:
+        last answers would be lost, and calls that ran would end as unknown. The first
+        heartbeat may have been under way before; an entry that sends the second one has
+        run since and reads its socket. The wait ends after the session timeout, when an
+        entry that does not respond counts the side as lost too.
         """
         working_sessions = [
             s for s in self.table.by_name.values() if not s.only_observes
@@ -276,27 +280,28 @@
             await self.send(peer, document)
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
-        """Send to an entry, in the next turn of the event loop."""
+        """Send a message to an entry in the next iteration of the event loop."""
         self.outbox.put(peer, messages.encode(message))
 
     def _on_frames_lost(self, peer: bytes) -> None:
-        """End the sessions of an entry that is gone or takes no more.
+        """End the sessions of an entry whose frames could not be sent.
 
-        A frame that is dropped, because the entry was stopped and its buffers are
-        full, may be the last of an answer: the entry would wait for it until the
-        caller's deadline. So the session ends with the first frames lost; the entry
-        learns that with its next heartbeat and resumes or asks in a new one.
+        The entry has ended, or it is suspended and its buffers are full. A dropped
+        frame may be the last of an answer, which the entry would wait for until the
+        caller's deadline, so the session ends with the first frame that is dropped. The
+        entry learns of that with its next heartbeat, opens a new session, and resumes
+        streams or asks for the state of calls there.
         """
         for session in self.table.from_peer(peer):
             self.end(session)
 
     def end(self, session: Session) -> None:
-        """End a session whose entry can't be answered any more."""
+        """Close a session and end its attempts."""
         self.table.end(session)
-        self.user.on_session_ended(session)
+        self.handler.on_session_ended(session)
 
     def end_expired(self, now: float) -> None:
-        """End the sessions whose entries were not heard in time."""
+        """Close the sessions whose entries sent nothing in time."""
         for session in self.table.expired(now):
             logger.info("entry %s was not heard in time", session.entry)
             self.end(session)
