--- a/src/bergamotmast/planner/__init__.py
+++ b/src/bergamotmast/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The planner: decides what each engine should be, under one authority."""
+"""Planner: assigns a role, models and adapters to each engine of the fleet."""
--- a/src/bergamotmast/planner/authority.py
+++ b/src/bergamotmast/planner/authority.py
@@ -1,8 +1,8 @@
-"""Which process plans: a lease in the key-value service, for liveness only.
+"""Leader election of the planner by a lease in the key-value service.
 
-The lease keeps two planners from getting in each other's way most of the time. It
-proves nothing: its holder may be paused and wake after it lapsed. What keeps a former
-holder from changing anything is the comparison in :mod:`.plan_store`.
+The lease provides liveness, not safety: it usually prevents two processes from
+planning at once, but a holder that was paused may resume after its lease has expired.
+The compare-and-swap in :mod:`.plan_store` is what fences a former holder off.
 """
 
 from __future__ import annotations
@@ -20,40 +20,43 @@
 from ..protocol.plan import HOLDER_KEY
 
 LEASE_SECONDS = 10
-"""Time to live: the fleet does without a planner for so long after its death."""
+"""Time to live of the lease: no planner runs for this long after one has crashed."""
 
 RENEWALS_PER_LEASE = 3
-"""Two renewals in a row may fail before the lease lapses."""
+"""Two consecutive renewals may fail before the lease expires."""
 
 FIRST_LOOK_SECONDS = 5.0
-"""Within so long after the start, evenly drawn, a candidate first looks."""
+"""Upper bound of the uniform delay before a candidate's first poll."""
 
 LEAST_POLL_SECONDS = 5.0
 MOST_POLL_SECONDS = 15.0
-"""Between a candidate's looks at the holder, evenly drawn: 330 candidates make 33
-reads a second, where as many waiting watches would count as 330 calls."""
+"""Bounds of the uniform interval between two polls of the holder's key.
+
+330 candidates make 33 reads a second; as many open watches would count as 330 calls.
+"""
 
 
 def holder_never_known() -> bool:
-    """Return ``False``, so that each attempt reads the holder's key."""
+    """Return ``False``, so that every attempt reads the holder's key."""
     return False
 
 
 class Authority:
-    """A candidate's share in the planner's lease.
+    """One candidate in the election of the planner.
 
     :param kv: the key-value service.
     :param planner: name of the candidate.
     :param rng: source of jitter and nonces.
-    :param lease_seconds: time to live of the lease.
-    :param first_look_seconds: bound of the first look's jitter.
-    :param vacancy_spread_seconds: candidates that are told of a free lease look within
-        so long, evenly drawn.
+    :param lease_seconds: time to live of the lease, in seconds.
+    :param first_look_seconds: upper bound of the delay before the first poll, in
+        seconds.
+    :param vacancy_spread_seconds: upper bound of the delay between the notification
+        that the lease is free and the next poll, in seconds.
     :param holder_known: whether the holder's key is already known to exist, in which
         case an attempt makes no call to the service.
-    :param lease: the lease held; 0 for none.
-    :param lapses_at: until then the lease held can't have lapsed by itself; a point on
-        the event loop's clock.
+    :param lease: id of the lease held; 0 for none.
+    :param lapses_at: time on the event loop's clock before which the lease held can't
+        have expired.
     """
 
     def __init__(
@@ -79,36 +82,37 @@
 
     @property
     def in_force(self) -> bool:
-        """Whether the lease held can't have lapsed by itself yet."""
+        """Whether a lease is held that can't have expired yet."""
         return self.lease != 0 and asyncio.get_running_loop().time() < self.lapses_at
 
     async def acquire(self) -> None:
         """Wait until this candidate holds the lease.
 
-        The first look is jittered too: candidates that start together, or that wait
-        out the same outage, would otherwise all write in one moment.
+        The first poll is jittered too: candidates that start together, or that wait
+        for the end of the same outage, would otherwise all write at once.
         """
         pause = self.rng.uniform(0.0, self.first_look_seconds)
         while True:
-            await self._wait(pause)
+            await self._wait_for_vacancy(pause)
             try:
-                if await self._try():
+                if await self._try_acquire():
                     return
             except PortError:
-                await self._drop()
+                await self._revoke()
             except asyncio.CancelledError:
-                # Told to end with a lease granted and not yet its holder: left behind,
-                # the lease would keep all others from planning until it lapses.
-                await self._drop()
+                # The candidate may be cancelled between the grant of its lease and its
+                # election. If the lease were left behind, nobody else could plan until
+                # it expires.
+                await self._revoke()
                 raise
             pause = self.rng.uniform(LEAST_POLL_SECONDS, MOST_POLL_SECONDS)
 
     def on_vacant(self) -> None:
-        """Learn that nobody holds the lease: a candidate then looks soon."""
+        """Schedule an early poll, because nobody holds the lease."""
         self._vacant.set()
 
-    async def _wait(self, seconds: float) -> None:
-        """Sleep, but not on while the lease is known to be free."""
+    async def _wait_for_vacancy(self, seconds: float) -> None:
+        """Sleep, or only until shortly after the lease is known to be free."""
         try:
             async with asyncio.timeout(seconds):
                 await self._vacant.wait()
@@ -117,7 +121,7 @@
         await asyncio.sleep(self.rng.uniform(0.0, self.vacancy_spread_seconds))
 
     async def hold(self) -> None:
-        """Renew the lease and return when it has lapsed."""
+        """Renew the lease until it is lost or may have expired."""
         loop = asyncio.get_running_loop()
         renewal = self.lease_seconds / RENEWALS_PER_LEASE
         backoff = Backoff(self.rng, longest=renewal)
@@ -135,8 +139,8 @@
         self.lease = 0
 
     async def while_held(self, *work: cabc.Coroutine[object, object, None]) -> None:
-        """Do some work until the lease lapses, or one of it ends or fails."""
-        tasks = [asyncio.create_task(part) for part in (self.hold(), *work)]
+        """Run coroutines until the lease is lost or one of them ends or fails."""
+        tasks = [asyncio.create_task(coro) for coro in (self.hold(), *work)]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in tasks:
@@ -148,19 +152,21 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def release(self) -> None:
-        """Give the lease up, so that another candidate need not wait for its end."""
-        await self._drop()
+        """Revoke the lease, so that others needn't wait until it expires."""
+        await self._revoke()
 
-    async def _try(self) -> bool:
-        # Cleared before the read: a vacancy reported during it triggers a retry.
+    async def _try_acquire(self) -> bool:
+        # Cleared before the read, so that a vacancy reported during it triggers
+        # another attempt.
         self._vacant.clear()
         if self.holder_known() or await self.kv.get(HOLDER_KEY) is not None:
             return False
-        # From before the call: a process that is paused as the reply comes in would
-        # otherwise count the lease from its awakening and hold it after its end.
-        asked_at = asyncio.get_running_loop().time()
+        # Taken before the call: a process paused while the reply arrives would
+        # otherwise count the lease from when it resumes, and consider itself the
+        # holder after the lease has expired.
+        requested_at = asyncio.get_running_loop().time()
         self.lease = await self.kv.grant_lease(self.lease_seconds)
-        self.lapses_at = asked_at + self.lease_seconds
+        self.lapses_at = requested_at + self.lease_seconds
         value = f"{self.planner} {self.rng.getrandbits(64):016x}".encode()
         put = Put(HOLDER_KEY, value, self.lease)
         try:
@@ -171,10 +177,10 @@
         else:
             held = result.succeeded
         if not held:
-            await self._drop()
+            await self._revoke()
         return held
 
-    async def _drop(self) -> None:
+    async def _revoke(self) -> None:
         lease, self.lease = self.lease, 0
         if not lease:
             return
--- a/src/bergamotmast/planner/fleet_view.py
+++ b/src/bergamotmast/planner/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the planner is told of the fleet."""
+"""Interface through which the planner reads the membership and load of the fleet."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from ..model import SideReport
 
 STALE_SECONDS = 8.0
-"""Least age at which a side's word is not acted on any more."""
+"""Age up to which a side's report is always fresh."""
 
 LATE_REPORTS = 1.5
-"""The same, in times between two of its words: one late word is no outage."""
+"""Report intervals after which a report is stale: one late report is no outage."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimedReport:
-    """A side's last word.
+    """The last report of a side and when it arrived.
 
-    :param at: when it arrived; a point on the local monotonic clock, seconds.
-    :param interval: seconds after which the next one is due.
+    :param at: time of arrival on the local monotonic clock, in seconds.
+    :param interval: seconds between two reports of the side.
     """
 
     report: SideReport
@@ -30,25 +30,26 @@
 
     @property
     def fresh_until(self) -> float:
-        """Until when it may be acted on.
+        """Time on the local monotonic clock until which the report is fresh.
 
-        A planner hears a side less often the more sides there are. Against a fixed
-        age, every picture of a large fleet would be stale and nothing ever planned.
+        The more sides there are, the less often each reports to a planner. With a
+        fixed maximum age, every view of a large fleet would be stale and no change
+        would ever be planned.
         """
         return self.at + max(STALE_SECONDS, LATE_REPORTS * self.interval)
 
 
 class FleetView(t.Protocol):
-    """Membership and load picture of the process that plans."""
+    """Membership and load of the fleet as seen by the planning process."""
 
     def instances(self) -> cabc.Collection[InstanceInfo]:
-        """Return the instances as last listed."""
+        """Return the instances of the last instance list."""
         ...
 
     def leaving(self) -> cabc.Container[str]:
-        """Return the names of upstreams that any signal says are leaving."""
+        """Return the names of upstreams that any source reports as leaving."""
         ...
 
     def last_report(self, upstream: str) -> TimedReport | None:
-        """Return a side's last word; ``None`` before the first."""
+        """Return the last report of an upstream's side; ``None`` before the first."""
         ...
--- a/src/bergamotmast/planner/groups.py
+++ b/src/bergamotmast/planner/groups.py
@@ -1,4 +1,4 @@
-"""Which engines belong together and what their selectors ask of them."""
+"""Groups of interchangeable engines, and the role bounds that hold for them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from ..model import Role
 
 Roles = cabc.Mapping[str, Role]
-"""The role that the plan gives each engine."""
+"""Planned role of each engine, by name."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """Engines that the same selectors name: they may stand in for each other.
+    """Engines that are matched by the same selectors and so are interchangeable.
 
-    :param name: names of the selectors, joined; stable while they are.
-    :param selectors: the selectors, all serving.
+    :param name: names of the selectors, joined; stable while they don't change.
+    :param selectors: the selectors, all in state serving.
     :param engines: names of the engines, sorted.
-    :param models: what each should carry, sorted.
-    :param adapters: adapters each should carry, sorted.
+    :param models: models that each engine should carry, sorted.
+    :param adapters: adapters that each engine should carry, sorted.
     """
 
     name: str
@@ -37,13 +37,13 @@
 def find_groups(
     configuration: Configuration, engines: cabc.Iterable[str]
 ) -> tuple[Group, ...]:
-    """Return the groups of the engines that serve, sorted by name.
+    """Return the groups of the serving engines, sorted by their selectors' names.
 
-    Engines that a draining or withdrawn selector names take no new work; they are in
-    no group, so that nothing is planned for them or counted on.
+    Engines matched by a draining or withdrawn selector take no new work. They are in
+    no group, so that no change is planned for them and they count towards no bounds.
     """
     members: dict[tuple[str, ...], list[str]] = collections.defaultdict(list)
-    named: dict[tuple[str, ...], tuple[Selector, ...]] = {}
+    selectors_by_key: dict[tuple[str, ...], tuple[Selector, ...]] = {}
     for engine in sorted(engines):
         selectors = configuration.group(engine)
         if not selectors or any(
@@ -52,11 +52,13 @@
             continue
         key = tuple(s.name for s in selectors)
         members[key].append(engine)
-        named[key] = selectors
-    return tuple(_group(named[key], members[key]) for key in sorted(members))
+        selectors_by_key[key] = selectors
+    return tuple(
+        _build_group(selectors_by_key[key], members[key]) for key in sorted(members)
+    )
 
 
-def _group(selectors: tuple[Selector, ...], engines: list[str]) -> Group:
+def _build_group(selectors: tuple[Selector, ...], engines: list[str]) -> Group:
     return Group(
         "+".join(s.name for s in selectors),
         selectors,
@@ -69,10 +71,10 @@
 def group_bounds(
     group: Group, groups: cabc.Iterable[Group], roles: Roles
 ) -> dict[Role, RoleBounds]:
-    """Return how many engines of this group may have each role.
+    """Return the bounds on the number of this group's engines in each role.
 
-    A selector's bounds hold for all engines it names. Where those are spread over
-    several groups, each group is left what the others don't use.
+    A selector's bounds apply to all engines that it matches. If these are spread over
+    several groups, each group gets what the other groups leave.
     """
     others = [other for other in groups if other.name != group.name]
     return {role: _role_bounds(group, others, roles, role) for role in Role}
@@ -93,13 +95,13 @@
         )
         least = max(least, bounds.least - outside)
         if bounds.most is not None:
-            room = max(0, bounds.most - outside)
-            most = room if most is None else min(most, room)
+            available = max(0, bounds.most - outside)
+            most = available if most is None else min(most, available)
     return RoleBounds(least=least, most=most)
 
 
 def count_roles(group: Group, roles: Roles) -> dict[Role, int]:
-    """Return how many engines of a group the plan gives each role."""
+    """Return the number of a group's engines that are planned in each role."""
     counts = dict.fromkeys(Role, 0)
     for engine in group.engines:
         if engine in roles:
@@ -109,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Repair:
-    """A role change that the bounds ask for."""
+    """A change of one engine of a group from one role to another."""
 
     source: Role
     target: Role
@@ -118,20 +120,23 @@
 def find_repair(
     counts: cabc.Mapping[Role, int], bounds: cabc.Mapping[Role, RoleBounds]
 ) -> Repair | None:
-    """Return the next change that brings a group into its bounds.
+    """Return the next change that brings a group within its bounds.
 
-    This makes the first split of a new group and follows edits of the bounds. A role
-    below its least comes first; one above its most gives to a role with room, mixed
-    before the others, because mixed engines can take whatever the mix turns out to be.
+    Used for the first assignment of roles in a new group and after edits of the
+    bounds. Roles below their minimum come first. A role above its maximum then gives
+    an engine to a role below its maximum: to mixed before the others, because mixed
+    engines can serve any mix of prefill and decode.
     """
     target = next((r for r in Role if counts[r] < bounds[r].least), None)
     source = next((r for r in Role if _surplus(counts[r], bounds[r]) > 0), None)
     if target is not None:
-        source = source or _richest(counts, bounds)
+        source = source or _role_with_most_spare(counts, bounds)
         return Repair(source, target) if source else None
     if source is None:
         return None
-    target = next((r for r in _BY_BREADTH if _has_room(counts[r], bounds[r])), None)
+    target = next(
+        (r for r in _MOST_VERSATILE_FIRST if _below_most(counts[r], bounds[r])), None
+    )
     return Repair(source, target) if target else None
 
 
@@ -141,24 +146,24 @@
     bounds: cabc.Mapping[Role, RoleBounds],
 ) -> bool:
     """Return whether a change keeps a group within its bounds."""
-    gives = counts[change.source] > bounds[change.source].least
-    return gives and _has_room(counts[change.target], bounds[change.target])
+    has_spare = counts[change.source] > bounds[change.source].least
+    return has_spare and _below_most(counts[change.target], bounds[change.target])
 
 
-_BY_BREADTH = (Role.MIXED, Role.DECODE, Role.PREFILL)
+_MOST_VERSATILE_FIRST = (Role.MIXED, Role.DECODE, Role.PREFILL)
 
 
 def _surplus(count: int, bounds: RoleBounds) -> int:
     return 0 if bounds.most is None else count - bounds.most
 
 
-def _has_room(count: int, bounds: RoleBounds) -> bool:
+def _below_most(count: int, bounds: RoleBounds) -> bool:
     return bounds.most is None or count < bounds.most
 
 
-def _richest(
+def _role_with_most_spare(
     counts: cabc.Mapping[Role, int], bounds: cabc.Mapping[Role, RoleBounds]
 ) -> Role | None:
-    spare = {role: counts[role] - bounds[role].least for role in _BY_BREADTH}
-    best = max(_BY_BREADTH, key=lambda role: spare[role])
+    spare = {role: counts[role] - bounds[role].least for role in _MOST_VERSATILE_FIRST}
+    best = max(_MOST_VERSATILE_FIRST, key=lambda role: spare[role])
     return best if spare[best] > 0 else None
--- a/src/bergamotmast/planner/pacing.py
+++ b/src/bergamotmast/planner/pacing.py
@@ -1,23 +1,25 @@
-"""Paces loads of models and adapters to the rate of the weight store."""
+"""Rate limiting of model and adapter loads to the weight store's transfer rate."""
 
 from __future__ import annotations
 
 import collections.abc as cabc
 
 UNKNOWN_GIGABYTES = 100.0
-"""Assumed of a version whose size the store does not tell."""
+"""Assumed size of a version that the weight store doesn't list."""
 
 
 class WeightPacer:
-    """Lets one load begin when those before it should have ended.
+    """Starts a load only when the earlier ones should have finished.
 
-    All loads share the store's rate. Begun together after an edit, they would each
-    take as long as all of them, with every engine of the fleet between two versions;
-    one after another, the first is done in its own time and the last no later.
+    All loads share the store's rate. If all engines began to load together after an
+    edit, each load would take as long as all of them, and every engine of the fleet
+    would be between two versions. One after another, the first load finishes early
+    and the last no later.
 
-    :param sizes: gigabytes of each version.
-    :param rate: gigabytes a second that all loads share.
-    :param free_at: when the loads begun so far should have ended.
+    :param sizes: size of each version, in gigabytes.
+    :param rate: transfer rate that all loads share, in gigabytes per second.
+    :param free_at: time when the loads begun so far should have finished, in seconds
+        on the clock of ``now``.
     """
 
     def __init__(self) -> None:
@@ -26,15 +28,15 @@
         self.free_at = 0.0
 
     def configure(self, sizes: cabc.Mapping[str, float], rate: float) -> None:
-        """Learn the store's sizes and rate."""
+        """Set the sizes and the rate that the weight store reports."""
         self.sizes = sizes
         self.rate = rate
 
     def may_begin(self, now: float) -> bool:
-        """Return whether a load may begin; never before the store was read."""
+        """Return whether a load may begin; never before :meth:`configure`."""
         return self.rate > 0.0 and now >= self.free_at
 
     def begin(self, versions: cabc.Iterable[str], now: float) -> None:
-        """Count a load that begins; :meth:`may_begin` must have allowed it."""
+        """Record the start of a load; :meth:`may_begin` must have allowed it."""
         gigabytes = sum(self.sizes.get(v, UNKNOWN_GIGABYTES) for v in versions)
         self.free_at = max(now, self.free_at) + gigabytes / self.rate
--- a/src/bergamotmast/planner/settling.py
+++ b/src/bergamotmast/planner/settling.py
@@ -1,4 +1,4 @@
-"""Which engines are not yet what the plan says, and since when."""
+"""Tracking of engines whose reported state does not match the plan yet."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from .fleet_view import TimedReport
 
 CHANGE_LIMIT_SECONDS = 900.0
-"""After so long an unfinished change holds up its group no more.
+"""Time after which an unfinished change no longer blocks its group.
 
-Longer than the longest work that a drain waits for, and the load that follows; an
-engine that never comes back must not keep its group from changing for ever.
+Longer than the longest drain and the load that follows it. Without the limit, an
+engine that never comes back would block changes of its group forever.
 """
 
 REISSUE_SECONDS = 60.0
-"""After so long a side that is not changing, and not at the plan, is told again."""
+"""Time after which a plan that an engine neither matches nor applies is reissued."""
 
 
 class Settling:
-    """Follows the reports of all engines.
+    """Tracks which engines have not converged to their plan, and since when.
 
-    :param since: when each engine was first found, or made, to differ from the plan.
+    :param since: time at which each engine's report and plan began to differ, in
+        seconds on the clock of ``now``.
     """
 
     def __init__(self) -> None:
@@ -29,47 +30,47 @@
         self._idle_since: dict[str, float] = {}
 
     def begin(self, engine: str, now: float) -> None:
-        """Learn that the plan of an engine has changed."""
+        """Record that the plan of an engine has changed."""
         self.since[engine] = now
         self._idle_since.pop(engine, None)
 
     def reissued(self, engine: str) -> None:
-        """Learn that the same plan was written again; its time runs on."""
+        """Record that an unchanged plan was rewritten; the change timeout runs on."""
         self._idle_since.pop(engine, None)
 
     def observe(
-        self, engine: str, word: TimedReport | None, plan: Assignment, now: float
+        self, engine: str, last: TimedReport | None, plan: Assignment, now: float
     ) -> None:
-        """Learn an engine's last report; one that is stale tells nothing."""
-        if word is None or now > word.fresh_until:
+        """Compare an engine's last report to its plan; a stale one is ignored."""
+        if last is None or now > last.fresh_until:
             return
-        if word.report.readiness is Readiness.READY and matches(word.report, plan):
+        if last.report.readiness is Readiness.READY and matches(last.report, plan):
             self.since.pop(engine, None)
             self._idle_since.pop(engine, None)
             return
         self.since.setdefault(engine, now)
-        if word.report.readiness is Readiness.CHANGING:
+        if last.report.readiness is Readiness.CHANGING:
             self._idle_since.pop(engine, None)
         else:
             self._idle_since.setdefault(engine, now)
 
     def is_changing(self, engine: str, now: float) -> bool:
-        """Return whether a change of the engine is under way."""
-        since = self.since.get(engine)
-        return since is not None and now - since < CHANGE_LIMIT_SECONDS
+        """Return whether a change of the engine is in progress."""
+        changing_from = self.since.get(engine)
+        return changing_from is not None and now - changing_from < CHANGE_LIMIT_SECONDS
 
     def needs_reissue(self, engine: str, now: float) -> bool:
-        """Return whether the plan should be written again, with new authority.
+        """Return whether the engine's plan should be rewritten with a new token.
 
-        A side holds a higher number than the plan after the service was restored from
-        a backup, and an engine may refuse to take a number twice after a failed load.
-        Both wait for a higher number, and without one would wait for ever.
+        After a restore of the key-value service, a side may hold a higher fencing token
+        than the plan. After a failed load, an engine may refuse to take the same token
+        again. Both would wait forever for a higher one.
         """
-        since = self._idle_since.get(engine)
-        return since is not None and now - since >= REISSUE_SECONDS
+        idle_from = self._idle_since.get(engine)
+        return idle_from is not None and now - idle_from >= REISSUE_SECONDS
 
 
 def matches(report: SideReport, plan: Assignment) -> bool:
-    """Return whether a side reports what the plan says."""
+    """Return whether a report shows the planned role, models and adapters."""
     carried = {*plan.models, *plan.adapters}
     return report.role is plan.role and set(report.models) == carried
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -150,7 +150,7 @@
             self.service.end_lease(held)
         planner = self.planners[number]
         with contextlib.suppress(PortError, AuthorityLostError):
-            if await planner.authority._try():
+            if await planner.authority._try_acquire():
                 await planner.store.open()
 
     async def give(self, number: int) -> None:
