--- a/src/bergamotmast/app.py
+++ b/src/bergamotmast/app.py
@@ -27,8 +27,8 @@
 from .model import NO_TOKEN
 from .model import EngineState
 from .model import Readiness
-from .planner.authority import LEASE_SECONDS
-from .planner.authority import Authority
+from .planner.election import LEASE_SECONDS
+from .planner.election import PlannerElection
 from .planner.plan_store import PlanStore
 from .planner.planner import Planner
 from .policy.presets import PolicySet
@@ -153,7 +153,7 @@
         self, parts: ProcessParts, weights: WeightStore | None, lease_seconds: int
     ) -> Planner:
         planner = Planner(
-            authority=Authority(parts.kv, parts.name, parts.rng, lease_seconds),
+            election=PlannerElection(parts.kv, parts.name, parts.rng, lease_seconds),
             store=PlanStore(
                 parts.kv, parts.name, parts.rng, parts.history, parts.epoch_hint
             ),
--- a/src/bergamotmast/bench/world.py
+++ b/src/bergamotmast/bench/world.py
@@ -31,7 +31,7 @@
 from ..model import ServiceAnswer
 from ..model import ServiceCall
 from ..model import UpstreamKind
-from ..planner.authority import Authority
+from ..planner.election import PlannerElection
 from ..planner.fleet_view import TimedReport
 from ..planner.plan_store import PlanStore
 from ..planner.planner import Planner
@@ -261,7 +261,7 @@
         rng = self.rng("planner")
         entry = self.entries[0]
         planner = Planner(
-            Authority(client, "planner", rng),
+            PlannerElection(client, "planner", rng),
             PlanStore(client, "planner", rng, self.history),
             entry.holder,
             EntryView(entry),
--- a/src/bergamotmast/claims/batch.py
+++ b/src/bergamotmast/claims/batch.py
@@ -24,16 +24,16 @@
 from ..protocol.claim_record import encode_claim
 from .retention import RetentionLease
 
-MOST_STEPS = 100
+MAX_STEPS_PER_TXN = 100
 """Steps in one transaction; etcd takes 128 operations by default."""
 
-MOST_ROUNDS = 6
+MAX_ROUNDS = 6
 """Transactions tried for one batch; each round leaves fewer steps in dispute."""
 
-LEASE_ATTEMPTS = 2
+MAX_LEASE_ATTEMPTS = 2
 """Times a lease is asked for, where the reply is lost."""
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Longest wait for one call of the key-value service."""
 
 logger = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
     RELEASE = "release"
 
 
-class StepEnd(enum.Enum):
+class StepOutcome(enum.Enum):
     """What became of a step."""
 
     DONE = "done"
@@ -71,9 +71,9 @@
     :param lease: the lease the record is on; 0 before it is written.
     :param revision: revision that the record must be at; 0 for none there, ``None``
         where it has to be read.
-    :param end: what became of it; ``None`` while under way.
-    :param other: the record found, where it is another's.
-    :param begun_at: when the claim was begun; a point on the local monotonic clock.
+    :param outcome: what became of it; ``None`` while under way.
+    :param conflicting_record: the record found, where it is another's.
+    :param claimed_at: when the claim was begun; a point on the local monotonic clock.
     """
 
     kind: StepKind
@@ -81,9 +81,9 @@
     record: ClaimRecord
     lease: int = 0
     revision: int | None = 0
-    end: StepEnd | None = None
-    other: ClaimRecord | None = None
-    begun_at: float = 0.0
+    outcome: StepOutcome | None = None
+    conflicting_record: ClaimRecord | None = None
+    claimed_at: float = 0.0
 
 
 class ClaimBatch:
@@ -105,7 +105,7 @@
         """Bring every step to its end; each must be of another key."""
         open_steps = list(steps)
         doubt = False
-        for _ in range(MOST_ROUNDS):
+        for _ in range(MAX_ROUNDS):
             try:
                 await self._read([s for s in open_steps if s.revision is None])
                 open_steps = _still_open(open_steps)
@@ -124,7 +124,7 @@
                 break
             open_steps = _still_open(open_steps)
         for step in open_steps:
-            step.end = StepEnd.UNKNOWN if doubt else StepEnd.FAILED
+            step.outcome = StepOutcome.UNKNOWN if doubt else StepOutcome.FAILED
 
     async def _write(self, steps: list[Step]) -> None:
         claims = [s for s in steps if s.kind is StepKind.CLAIM]
@@ -138,13 +138,13 @@
             return
         for step in steps:
             step.revision = result.revision
-            step.end = StepEnd.DONE
+            step.outcome = StepOutcome.DONE
 
     async def _lease(self, claims: int) -> int:
         """Return a lease; one whose reply is lost holds nothing and lapses."""
-        for _ in range(LEASE_ATTEMPTS):
+        for _ in range(MAX_LEASE_ATTEMPTS):
             with contextlib.suppress(KeyValueOutcomeUnknownError, TimeoutError):
-                async with asyncio.timeout(CALL_SECONDS):
+                async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                     return await self.retention.take(claims)
         raise KeyValueUnavailableError("no lease for claims")
 
@@ -152,7 +152,7 @@
         self, compares: list[Compare], writes: list[Put | Delete]
     ) -> TxnResult:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 return await self.kv.txn(compares, writes)
         except TimeoutError:
             raise KeyValueOutcomeUnknownError("no reply in time") from None
@@ -162,7 +162,7 @@
         if not steps:
             return
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 items = await asyncio.gather(*(self.kv.get(s.key) for s in steps))
         except TimeoutError:
             raise KeyValueUnavailableError("no answer in time") from None
@@ -179,7 +179,7 @@
         _forget_revisions(steps)
         for step in steps:
             if step.kind is StepKind.COMPLETE:
-                step.end = StepEnd.TAKEN
+                step.outcome = StepOutcome.TAKEN
 
 
 def _settle(step: Step, item: KeyValue | None) -> None:
@@ -187,15 +187,15 @@
     if item is None or record is None:
         step.revision = 0
         if step.kind is not StepKind.CLAIM:
-            step.end = StepEnd.TAKEN
+            step.outcome = StepOutcome.TAKEN
     elif record.nonce != step.record.nonce:
-        step.end = StepEnd.TAKEN
-        step.other = record
+        step.outcome = StepOutcome.TAKEN
+        step.conflicting_record = record
     else:
         step.revision = item.mod_revision
         step.lease = item.lease
         if step.kind is not StepKind.RELEASE and record.done == step.record.done:
-            step.end = StepEnd.DONE
+            step.outcome = StepOutcome.DONE
 
 
 def _write_of(step: Step) -> Put | Delete:
@@ -210,4 +210,4 @@
 
 
 def _still_open(steps: cabc.Iterable[Step]) -> list[Step]:
-    return [step for step in steps if step.end is None]
+    return [step for step in steps if step.outcome is None]
--- a/src/bergamotmast/claims/retention.py
+++ b/src/bergamotmast/claims/retention.py
@@ -9,10 +9,10 @@
 RETENTION_SECONDS = 24 * 3600
 """A key that is replayed later than this may run again."""
 
-SPAN_SECONDS = 3600
+LEASE_REUSE_SECONDS = 3600
 """How long new claims are put on the same lease."""
 
-MOST_CLAIMS = 10_000
+MAX_CLAIMS_PER_LEASE = 10_000
 """Claims on one lease: its end deletes them all at once."""
 
 
@@ -39,10 +39,12 @@
         :raises PortError: if a new one is needed and not granted.
         """
         now = asyncio.get_running_loop().time()
-        full = self._claims + claims > MOST_CLAIMS
+        full = self._claims + claims > MAX_CLAIMS_PER_LEASE
         if not self.lease or full or now >= self._used_until:
-            self.lease = await self.kv.grant_lease(RETENTION_SECONDS + SPAN_SECONDS)
-            self._used_until = now + SPAN_SECONDS
+            self.lease = await self.kv.grant_lease(
+                RETENTION_SECONDS + LEASE_REUSE_SECONDS
+            )
+            self._used_until = now + LEASE_REUSE_SECONDS
             self._claims = 0
         self._claims += claims
         return self.lease
--- a/src/bergamotmast/claims/store.py
+++ b/src/bergamotmast/claims/store.py
@@ -27,15 +27,15 @@
 from ..protocol.claim_record import ClaimRecord
 from ..protocol.claim_record import claim_key
 from ..protocol.claim_record import stored_answer
-from .batch import MOST_STEPS
+from .batch import MAX_STEPS_PER_TXN
 from .batch import ClaimBatch
 from .batch import Step
-from .batch import StepEnd
 from .batch import StepKind
+from .batch import StepOutcome
 from .retention import RETENTION_SECONDS
 from .retention import RetentionLease
 
-CLAIM_SECONDS = 5.0
+CLAIM_TIMEOUT_SECONDS = 5.0
 """Longest wait for a claim; the call is then refused and truly not run."""
 
 LINGER_SECONDS = 2.0
@@ -44,16 +44,16 @@
 Until it is written, a replay at another entry is told that the call may have run.
 """
 
-LONGEST_RETRY_SECONDS = 5.0
+MAX_RETRY_DELAY_SECONDS = 5.0
 """Bound of the time between attempts to write what an outage has held up."""
 
 WRITE_INTERVAL_SECONDS = 0.02
 """Least time between two writes of one entry: at most 50 a second."""
 
-MOST_LAZY = 2_000
+MAX_DEFERRED_STEPS = 2_000
 """Completions and releases kept through an outage, each of at most some 2 KB."""
 
-MOST_OPEN = 4_000
+MAX_REMEMBERED_CLAIMS = 4_000
 """Own claims remembered; the service knows the rest."""
 
 
@@ -85,7 +85,7 @@
         self._lazy: collections.OrderedDict[str, Step] = collections.OrderedDict()
         self._lazy_due = 0.0
         self._open: collections.OrderedDict[str, Step] = collections.OrderedDict()
-        self._backoff = Backoff(rng, first=1.0, longest=LONGEST_RETRY_SECONDS)
+        self._backoff = Backoff(rng, first=1.0, longest=MAX_RETRY_DELAY_SECONDS)
         self._wake = asyncio.Event()
 
     async def claim(self, key: str, digest: bytes) -> ServiceAnswer | None:
@@ -103,13 +103,13 @@
             return self._own(known, digest)
         nonce = self.rng.getrandbits(64).to_bytes(8, "big")
         record = ClaimRecord(nonce, digest, self.owner)
-        step = Step(StepKind.CLAIM, place, record, begun_at=_now())
+        step = Step(StepKind.CLAIM, place, record, claimed_at=_now())
         self._remember(step)
         await self._wait_for(step)
-        if step.end is StepEnd.DONE:
+        if step.outcome is StepOutcome.DONE:
             return None
-        if step.other is not None:
-            return _earlier(step.other, digest)
+        if step.conflicting_record is not None:
+            return _earlier(step.conflicting_record, digest)
         raise RequestError(ResultCode.CLAIM_UNAVAILABLE)
 
     async def complete(self, key: str, answer: ServiceAnswer) -> None:
@@ -149,7 +149,7 @@
     def _known(self, place: str) -> Step | None:
         """Return an own claim of this key, if the service still has it too."""
         step = self._open.get(place)
-        if step is not None and _now() - step.begun_at > RETENTION_SECONDS:
+        if step is not None and _now() - step.claimed_at > RETENTION_SECONDS:
             del self._open[place]
             return None
         return step
@@ -158,7 +158,7 @@
         step = self._open.get(claim_key(key))
         if step is None or step.kind is not StepKind.CLAIM:
             return None
-        return step if step.end is StepEnd.DONE else None
+        return step if step.outcome is StepOutcome.DONE else None
 
     def _own(self, known: Step, digest: bytes) -> ServiceAnswer | None:
         """Answer a claim of a key that this entry itself has claimed."""
@@ -168,7 +168,7 @@
 
     def _remember(self, step: Step) -> None:
         self._open[step.key] = step
-        if len(self._open) > MOST_OPEN:
+        if len(self._open) > MAX_REMEMBERED_CLAIMS:
             self._open.popitem(last=False)
 
     def _forget(self, step: Step) -> None:
@@ -186,14 +186,14 @@
         self._waiting.append(waiting)
         self._wake.set()
         try:
-            async with asyncio.timeout(CLAIM_SECONDS):
+            async with asyncio.timeout(CLAIM_TIMEOUT_SECONDS):
                 await waiting.future
         except TimeoutError:
             waiting.unwanted = True
             raise RequestError(ResultCode.CLAIM_UNAVAILABLE) from None
         except asyncio.CancelledError:
             waiting.unwanted = True
-            if step.end is not None:
+            if step.outcome is not None:
                 self._unclaim(step)
             raise
 
@@ -223,7 +223,7 @@
 
     def _take_claims(self) -> list[_Waiting]:
         taken: list[_Waiting] = []
-        while self._waiting and len(taken) < MOST_STEPS:
+        while self._waiting and len(taken) < MAX_STEPS_PER_TXN:
             waiting = self._waiting.popleft()
             if waiting.unwanted:
                 self._forget(waiting.step)
@@ -233,7 +233,7 @@
 
     def _take_lazy(self, claims: list[_Waiting]) -> list[Step]:
         keys = {waiting.step.key for waiting in claims}
-        room = MOST_STEPS - len(claims)
+        room = MAX_STEPS_PER_TXN - len(claims)
         taken = [step for step in self._lazy.values() if step.key not in keys][:room]
         for step in taken:
             del self._lazy[step.key]
@@ -241,14 +241,14 @@
 
     def _end_claim(self, waiting: _Waiting) -> None:
         step = waiting.step
-        if waiting.unwanted or step.end is not StepEnd.DONE:
+        if waiting.unwanted or step.outcome is not StepOutcome.DONE:
             self._unclaim(step)
         if not waiting.future.done():
             waiting.future.set_result(None)
 
     def _unclaim(self, step: Step) -> None:
         """Give back a claim that was not wanted, or not known to be written."""
-        if step.end in (StepEnd.DONE, StepEnd.UNKNOWN):
+        if step.outcome in (StepOutcome.DONE, StepOutcome.UNKNOWN):
             self._put_off(step, StepKind.RELEASE, step.record)
         else:
             self._forget(step)
@@ -257,23 +257,23 @@
         linger = LINGER_SECONDS if kind is StepKind.COMPLETE else 0.0
         due = _now() + linger
         self._lazy_due = min(self._lazy_due, due) if self._lazy else due
-        revision = step.revision if step.end is StepEnd.DONE else None
+        revision = step.revision if step.outcome is StepOutcome.DONE else None
         later = Step(
-            kind, step.key, record, step.lease, revision, begun_at=step.begun_at
+            kind, step.key, record, step.lease, revision, claimed_at=step.claimed_at
         )
         self._open[step.key] = later
         self._lazy[step.key] = later
-        if len(self._lazy) > MOST_LAZY:
+        if len(self._lazy) > MAX_DEFERRED_STEPS:
             _, dropped = self._lazy.popitem(last=False)
             self._forget(dropped)
         self._wake.set()
 
     def _end_lazy(self, step: Step) -> None:
-        if step.end in (StepEnd.DONE, StepEnd.TAKEN):
+        if step.outcome in (StepOutcome.DONE, StepOutcome.TAKEN):
             self._backoff.reset()
             self._forget(step)
             return
-        step.end = None
+        step.outcome = None
         step.revision = None
         self._lazy[step.key] = step
         self._lazy_due = _now() + self._backoff.next_delay()
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -20,7 +20,7 @@
 from ..errors import OrderRefusedError
 from ..errors import PortError
 from ..model import Assignment
-from ..planner.authority import Authority
+from ..planner.election import PlannerElection
 from ..planner.plan_store import PlanStore
 from ..policy.direct_roles import EngineRole
 from ..policy.direct_roles import MixMeter
@@ -128,7 +128,7 @@
     def __init__(
         self,
         name: str,
-        authority: Authority,
+        election: PlannerElection,
         store: PlanStore,
         fleet: Fleet,
         placing: Placing,
@@ -138,7 +138,7 @@
         rng: random.Random,
     ) -> None:
         self.name = name
-        self.authority = authority
+        self.election = election
         self.store = store
         self.fleet = fleet
         self.placing = placing
@@ -154,12 +154,10 @@
     async def run(self) -> None:
         """Plan whenever this entry holds the lease, until cancelled."""
         while True:
-            await self.authority.acquire()
-            logger.info(
-                "planner's lease is held", extra={"lease": self.authority.lease}
-            )
+            await self.election.acquire()
+            logger.info("planner's lease is held", extra={"lease": self.election.lease})
             try:
-                await self.authority.while_held(self._plan())
+                await self.election.run_while_held(self._plan())
             except (AuthorityLostError, OrderRefusedError, PortError) as error:
                 logger.warning("planner gives up", extra={"error": error.message})
             except Exception:
@@ -168,7 +166,7 @@
                 logger.exception("planner has failed")
             finally:
                 self.pending.clear()
-                await self.authority.release()
+                await self.election.release()
             await asyncio.sleep(self.rng.uniform(*PAUSE_SECONDS))
 
     async def _plan(self) -> None:
@@ -204,7 +202,7 @@
         now = asyncio.get_running_loop().time()
         self.all_quiet_until = now + self.quiet_seconds if self.store.restored else 0.0
         self.quiet_until = {}
-        for name, token in self.store.found.items():
+        for name, token in self.store.tokens_at_open.items():
             planned = known.get(name)
             at = planned.at if planned and planned.token == token else now
             if at + self.quiet_seconds > now:
@@ -268,13 +266,13 @@
         # Paused between the write and here, this machine would order on an authority
         # that another one has taken over meanwhile. The engine's own check knows only
         # tokens that have reached it.
-        if not self.authority.in_force:
+        if not self.election.lease_is_valid:
             raise AuthorityLostError("The lease may have lapsed before the order.")
         if loop.time() - read_at > MOST_READING_AGE:
             logger.info("order is put off", extra={"upstream": upstream.name})
             return
         call = RoleOrderCall(
-            upstream, order, sequence, self.name, self.store.seen.epoch
+            upstream, order, sequence, self.name, self.store.highest_token.epoch
         )
         self.pending[upstream.name] = Pending(
             order, upstream.boot, now + OVERDUE_SECONDS, now + UNRESOLVED_SECONDS
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -31,7 +31,7 @@
 from .lifecycle import exposition
 from .lifecycle import running
 from .lifecycle import told_to_end
-from .planner.authority import Authority
+from .planner.election import PlannerElection
 from .planner.plan_store import PlanStore
 from .platform.directory import PlatformDirectory
 from .platform.headers import PlatformDialect
@@ -69,7 +69,7 @@
 VACANCY_SPREAD_SECONDS = 0.3
 """Within so long the entries look for a lease that has become free."""
 
-FIRST_LOOK_SECONDS = 1.5
+FIRST_POLL_SPREAD_SECONDS = 1.5
 """Bound of the first look at the lease: roles should be settled before callers come."""
 
 MOST_PLAN_WRITES = 24
@@ -149,28 +149,28 @@
 ) -> RolePlanner:
     name = settings.name
     fleet = context.fleet
-    authority = Authority(
+    election = PlannerElection(
         store,
         name,
         context.rng,
         PLANNER_LEASE_SECONDS,
-        first_look_seconds=FIRST_LOOK_SECONDS,
-        vacancy_spread_seconds=VACANCY_SPREAD_SECONDS,
+        first_poll_spread_seconds=FIRST_POLL_SPREAD_SECONDS,
+        vacancy_poll_spread_seconds=VACANCY_SPREAD_SECONDS,
         holder_known=lambda: HOLDER_KEY in fleet.existing_keys,
     )
-    fleet.on_removal[HOLDER_KEY] = authority.on_vacant
+    fleet.on_removal[HOLDER_KEY] = election.on_vacant
     plan = PlanStore(
         store,
         name,
         context.rng,
         NullHistory(),
         epoch_hint=store.least_epoch,
-        most_writes=MOST_PLAN_WRITES,
+        max_engines_per_txn=MOST_PLAN_WRITES,
         carry_over=False,
     )
     return RolePlanner(
         name,
-        authority,
+        election,
         plan,
         fleet,
         context.placing,
--- a/src/bergamotmast/entry/membership.py
+++ b/src/bergamotmast/entry/membership.py
@@ -82,7 +82,7 @@
         self.infos = {info.name: info for info in instances}
         wanted = self._wanted()
         for name in sorted(wanted):
-            self._keep(self.infos[name], timing.BEAT_INTERVAL)
+            self._keep(self.infos[name], timing.HEARTBEAT_INTERVAL_SECONDS)
         if self.observes_all():
             wanted |= self._observe(set(self.infos) - wanted)
         wanted |= self._observe(self._leaving() - wanted)
@@ -150,5 +150,5 @@
 
 def _fits(peer: Peer, info: InstanceInfo, interval: float) -> bool:
     """Return whether a peer can stay as it is; small changes of pace don't count."""
-    same_kind = peer.is_observer == (interval > timing.BEAT_INTERVAL)
+    same_kind = peer.is_observer == (interval > timing.HEARTBEAT_INTERVAL_SECONDS)
     return same_kind and peer.info.side_address == info.side_address
--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -60,7 +60,7 @@
         dialer: Dialer,
         holder: ConfigHolder,
         counters: cabc.Iterator[int],
-        interval: float = timing.BEAT_INTERVAL,
+        interval: float = timing.HEARTBEAT_INTERVAL_SECONDS,
         telemetry: Telemetry | None = None,
     ) -> None:
         self.entry = entry
@@ -90,7 +90,7 @@
     @property
     def is_observer(self) -> bool:
         """Whether the session only observes."""
-        return self.interval > timing.BEAT_INTERVAL
+        return self.interval > timing.HEARTBEAT_INTERVAL_SECONDS
 
     @property
     def is_ready(self) -> bool:
@@ -151,7 +151,7 @@
     async def run(self) -> None:
         """Keep a session with the side until cancelled."""
         while True:
-            retry = timing.HELLO_RETRY
+            retry = timing.HELLO_RETRY_SECONDS
             link = self.dialer.dial(self.info.side_address)
             try:
                 await self._connection(link)
@@ -159,7 +159,7 @@
                 logger.info("side %s is not heard", self.info.name)
             except VersionError as error:
                 logger.warning("no session with side %s: %s", self.info.name, error)
-                retry = timing.VERSION_RETRY
+                retry = timing.VERSION_RETRY_SECONDS
             finally:
                 self._on_lost()
                 link.close()
@@ -194,10 +194,10 @@
             )
             try:
                 await link.send(messages.encode(hello))
-                async with asyncio.timeout(timing.SIDE_TIMEOUT):
+                async with asyncio.timeout(timing.SIDE_TIMEOUT_SECONDS):
                     return await self._welcome(link)
             except NotReachedError:
-                await asyncio.sleep(timing.HELLO_RETRY)
+                await asyncio.sleep(timing.HELLO_RETRY_SECONDS)
 
     async def _welcome(self, link: Link) -> messages.Welcome:
         while True:
@@ -236,10 +236,12 @@
         would be given up on waking and requests refused for want of an upstream.
         """
         try:
-            async with asyncio.timeout(self.interval * timing.MISSED_BY_ENTRY):
+            async with asyncio.timeout(
+                self.interval * timing.ENTRY_MAX_MISSED_HEARTBEATS
+            ):
                 return await link.receive_many()
         except TimeoutError:
-            async with asyncio.timeout(timing.LAST_LOOK):
+            async with asyncio.timeout(timing.FINAL_RECEIVE_SECONDS):
                 return await link.receive_many()
 
     def _decode(self, frame: bytes) -> messages.ToEntry | None:
@@ -271,7 +273,9 @@
         self.session = None
         self.report = None
         self.link = None
-        self.reconnect_by = asyncio.get_running_loop().time() + timing.RECONNECT_GRACE
+        self.reconnect_by = (
+            asyncio.get_running_loop().time() + timing.RECONNECT_GRACE_SECONDS
+        )
         for attempt in list(self.attempts.values()):
             attempt.events.put_nowait(SessionLost())
             if not attempt.survives_session:
@@ -286,7 +290,7 @@
         match message:
             case messages.Chunk():
                 self._on_chunk(message)
-            case messages.ReportBeat():
+            case messages.ReportHeartbeat():
                 await self._on_report(message)
             case messages.Started():
                 if attempt := self.attempts.get(message.attempt):
@@ -303,7 +307,7 @@
             case messages.ConfigPull():
                 await self._send_document(message.generation)
             case messages.ConfigDocument():
-                config_exchange.take_document(self.holder, message)
+                config_exchange.offer_document(self.holder, message)
 
     def _on_chunk(self, chunk: messages.Chunk) -> None:
         attempt = self.attempts.get(chunk.attempt)
@@ -312,7 +316,7 @@
         attempt.on_progress(chunk.tokens)
         attempt.events.put_nowait(chunk)
 
-    async def _on_report(self, beat: messages.ReportBeat) -> None:
+    async def _on_report(self, beat: messages.ReportHeartbeat) -> None:
         if beat.session != self.session:
             return
         self.report = beat.report
@@ -326,11 +330,11 @@
 
     async def _compare_generation(self, generation: int) -> None:
         self.generation = generation
-        if question := config_exchange.pull(self.holder, generation):
+        if question := config_exchange.config_pull(self.holder, generation):
             await self._send(question)
 
     async def _send_document(self, generation: int) -> None:
-        if document := config_exchange.newer_document(self.holder, generation):
+        if document := config_exchange.newer_config_document(self.holder, generation):
             await self._send(document)
 
     async def _send(self, message: messages.ToSide) -> bool:
@@ -347,10 +351,10 @@
 
 
 def _agreed(welcome: messages.Welcome) -> int:
-    version = messages.agreed_version(welcome.version)
+    version = messages.negotiate_version(welcome.version)
     if version is None:
         raise VersionError(
             f"it speaks protocol {welcome.version}, this entry takes "
-            f"{messages.OLDEST_VERSION} to {messages.PROTOCOL_VERSION}"
+            f"{messages.MIN_PROTOCOL_VERSION} to {messages.PROTOCOL_VERSION}"
         )
     return version
--- a/src/bergamotmast/entry/placement.py
+++ b/src/bergamotmast/entry/placement.py
@@ -220,7 +220,7 @@
         if peer is None or not await peer.cancel(attempt):
             return "unknown"
         try:
-            async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
+            async with asyncio.timeout(timing.CANCEL_REPLY_TIMEOUT_SECONDS):
                 return await _state(attempt)
         except TimeoutError:
             return "unknown"
--- a/src/bergamotmast/entry/service_run.py
+++ b/src/bergamotmast/entry/service_run.py
@@ -167,7 +167,7 @@
     async def _answer_kept(self, attempt: EntryAttempt) -> ServiceAnswer | None:
         """Wait for the answer that follows the word that the call is done."""
         try:
-            async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
+            async with asyncio.timeout(timing.CANCEL_REPLY_TIMEOUT_SECONDS):
                 while True:
                     event = await attempt.events.get()
                     if isinstance(event, messages.ServiceDone):
--- a/src/bergamotmast/planner/settling.py
+++ b/src/bergamotmast/planner/convergence.py
@@ -7,7 +7,7 @@
 from ..model import SideReport
 from .fleet_view import TimedReport
 
-CHANGE_LIMIT_SECONDS = 900.0
+CHANGE_TIMEOUT_SECONDS = 900.0
 """Time after which an unfinished change no longer blocks its group.
 
 Longer than the longest drain and the load that follows it. Without the limit, an
@@ -18,20 +18,20 @@
 """Time after which a plan that an engine neither matches nor applies is reissued."""
 
 
-class Settling:
+class ConvergenceTracker:
     """Tracks which engines have not converged to their plan, and since when.
 
-    :param since: time at which each engine's report and plan began to differ, in
-        seconds on the clock of ``now``.
+    :param diverged_since: time at which each engine's report and plan began to
+        differ, in seconds on the clock of ``now``.
     """
 
     def __init__(self) -> None:
-        self.since: dict[str, float] = {}
+        self.diverged_since: dict[str, float] = {}
         self._idle_since: dict[str, float] = {}
 
     def begin(self, engine: str, now: float) -> None:
         """Record that the plan of an engine has changed."""
-        self.since[engine] = now
+        self.diverged_since[engine] = now
         self._idle_since.pop(engine, None)
 
     def reissued(self, engine: str) -> None:
@@ -45,10 +45,10 @@
         if last is None or now > last.fresh_until:
             return
         if last.report.readiness is Readiness.READY and matches(last.report, plan):
-            self.since.pop(engine, None)
+            self.diverged_since.pop(engine, None)
             self._idle_since.pop(engine, None)
             return
-        self.since.setdefault(engine, now)
+        self.diverged_since.setdefault(engine, now)
         if last.report.readiness is Readiness.CHANGING:
             self._idle_since.pop(engine, None)
         else:
@@ -56,8 +56,10 @@
 
     def is_changing(self, engine: str, now: float) -> bool:
         """Return whether a change of the engine is in progress."""
-        changing_from = self.since.get(engine)
-        return changing_from is not None and now - changing_from < CHANGE_LIMIT_SECONDS
+        changing_from = self.diverged_since.get(engine)
+        return (
+            changing_from is not None and now - changing_from < CHANGE_TIMEOUT_SECONDS
+        )
 
     def needs_reissue(self, engine: str, now: float) -> bool:
         """Return whether the engine's plan should be rewritten with a new token.
--- a/src/bergamotmast/planner/authority.py
+++ b/src/bergamotmast/planner/election.py
@@ -25,38 +25,38 @@
 RENEWALS_PER_LEASE = 3
 """Two consecutive renewals may fail before the lease expires."""
 
-FIRST_LOOK_SECONDS = 5.0
+FIRST_POLL_SPREAD_SECONDS = 5.0
 """Upper bound of the uniform delay before a candidate's first poll."""
 
-LEAST_POLL_SECONDS = 5.0
-MOST_POLL_SECONDS = 15.0
+MIN_POLL_SECONDS = 5.0
+MAX_POLL_SECONDS = 15.0
 """Bounds of the uniform interval between two polls of the holder's key.
 
 330 candidates make 33 reads a second; as many open watches would count as 330 calls.
 """
 
 
-def holder_never_known() -> bool:
+def assume_no_holder() -> bool:
     """Return ``False``, so that every attempt reads the holder's key."""
     return False
 
 
-class Authority:
+class PlannerElection:
     """One candidate in the election of the planner.
 
     :param kv: the key-value service.
     :param planner: name of the candidate.
     :param rng: source of jitter and nonces.
     :param lease_seconds: time to live of the lease, in seconds.
-    :param first_look_seconds: upper bound of the delay before the first poll, in
+    :param first_poll_spread_seconds: upper bound of the delay before the first poll, in
         seconds.
-    :param vacancy_spread_seconds: upper bound of the delay between the notification
-        that the lease is free and the next poll, in seconds.
+    :param vacancy_poll_spread_seconds: upper bound of the delay between the
+        notification that the lease is free and the next poll, in seconds.
     :param holder_known: whether the holder's key is already known to exist, in which
         case an attempt makes no call to the service.
     :param lease: id of the lease held; 0 for none.
-    :param lapses_at: time on the event loop's clock before which the lease held can't
-        have expired.
+    :param lease_expires_at: time on the event loop's clock before which the lease
+        held can't have expired.
     """
 
     def __init__(
@@ -65,25 +65,28 @@
         planner: str,
         rng: random.Random,
         lease_seconds: int = LEASE_SECONDS,
-        first_look_seconds: float = FIRST_LOOK_SECONDS,
-        vacancy_spread_seconds: float = LEAST_POLL_SECONDS,
-        holder_known: cabc.Callable[[], bool] = holder_never_known,
+        first_poll_spread_seconds: float = FIRST_POLL_SPREAD_SECONDS,
+        vacancy_poll_spread_seconds: float = MIN_POLL_SECONDS,
+        holder_known: cabc.Callable[[], bool] = assume_no_holder,
     ) -> None:
         self.kv = kv
         self.lease_seconds = lease_seconds
-        self.first_look_seconds = first_look_seconds
-        self.vacancy_spread_seconds = vacancy_spread_seconds
+        self.first_poll_spread_seconds = first_poll_spread_seconds
+        self.vacancy_poll_spread_seconds = vacancy_poll_spread_seconds
         self.holder_known = holder_known
         self.planner = planner
         self.rng = rng
         self.lease = 0
-        self.lapses_at = 0.0
+        self.lease_expires_at = 0.0
         self._vacant = asyncio.Event()
 
     @property
-    def in_force(self) -> bool:
+    def lease_is_valid(self) -> bool:
         """Whether a lease is held that can't have expired yet."""
-        return self.lease != 0 and asyncio.get_running_loop().time() < self.lapses_at
+        return (
+            self.lease != 0
+            and asyncio.get_running_loop().time() < self.lease_expires_at
+        )
 
     async def acquire(self) -> None:
         """Wait until this candidate holds the lease.
@@ -91,7 +94,7 @@
         The first poll is jittered too: candidates that start together, or that wait
         for the end of the same outage, would otherwise all write at once.
         """
-        pause = self.rng.uniform(0.0, self.first_look_seconds)
+        pause = self.rng.uniform(0.0, self.first_poll_spread_seconds)
         while True:
             await self._wait_for_vacancy(pause)
             try:
@@ -105,7 +108,7 @@
                 # it expires.
                 await self._revoke()
                 raise
-            pause = self.rng.uniform(LEAST_POLL_SECONDS, MOST_POLL_SECONDS)
+            pause = self.rng.uniform(MIN_POLL_SECONDS, MAX_POLL_SECONDS)
 
     def on_vacant(self) -> None:
         """Schedule an early poll, because nobody holds the lease."""
@@ -118,14 +121,14 @@
                 await self._vacant.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(self.rng.uniform(0.0, self.vacancy_spread_seconds))
+        await asyncio.sleep(self.rng.uniform(0.0, self.vacancy_poll_spread_seconds))
 
     async def hold(self) -> None:
         """Renew the lease until it is lost or may have expired."""
         loop = asyncio.get_running_loop()
         renewal = self.lease_seconds / RENEWALS_PER_LEASE
         backoff = Backoff(self.rng, longest=renewal)
-        while self.in_force:
+        while self.lease_is_valid:
             sent_at = loop.time()
             try:
                 if not await self.kv.keep_alive(self.lease):
@@ -134,11 +137,11 @@
                 await asyncio.sleep(backoff.next_delay())
                 continue
             backoff.reset()
-            self.lapses_at = sent_at + self.lease_seconds
+            self.lease_expires_at = sent_at + self.lease_seconds
             await asyncio.sleep(renewal)
         self.lease = 0
 
-    async def while_held(self, *work: cabc.Coroutine[object, object, None]) -> None:
+    async def run_while_held(self, *work: cabc.Coroutine[object, object, None]) -> None:
         """Run coroutines until the lease is lost or one of them ends or fails."""
         tasks = [asyncio.create_task(coro) for coro in (self.hold(), *work)]
         try:
@@ -166,7 +169,7 @@
         # holder after the lease has expired.
         requested_at = asyncio.get_running_loop().time()
         self.lease = await self.kv.grant_lease(self.lease_seconds)
-        self.lapses_at = requested_at + self.lease_seconds
+        self.lease_expires_at = requested_at + self.lease_seconds
         value = f"{self.planner} {self.rng.getrandbits(64):016x}".encode()
         put = Put(HOLDER_KEY, value, self.lease)
         try:
--- a/src/bergamotmast/planner/fleet_view.py
+++ b/src/bergamotmast/planner/fleet_view.py
@@ -9,10 +9,10 @@
 from ..model import InstanceInfo
 from ..model import SideReport
 
-STALE_SECONDS = 8.0
+MIN_STALE_SECONDS = 8.0
 """Age up to which a side's report is always fresh."""
 
-LATE_REPORTS = 1.5
+STALE_INTERVALS = 1.5
 """Report intervals after which a report is stale: one late report is no outage."""
 
 
@@ -36,7 +36,7 @@
         fixed maximum age, every view of a large fleet would be stale and no change
         would ever be planned.
         """
-        return self.at + max(STALE_SECONDS, LATE_REPORTS * self.interval)
+        return self.at + max(MIN_STALE_SECONDS, STALE_INTERVALS * self.interval)
 
 
 class FleetView(t.Protocol):
--- a/src/bergamotmast/planner/groups.py
+++ b/src/bergamotmast/planner/groups.py
@@ -110,16 +110,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Repair:
+class RoleShift:
     """A change of one engine of a group from one role to another."""
 
     source: Role
     target: Role
 
 
-def find_repair(
+def find_required_shift(
     counts: cabc.Mapping[Role, int], bounds: cabc.Mapping[Role, RoleBounds]
-) -> Repair | None:
+) -> RoleShift | None:
     """Return the next change that brings a group within its bounds.
 
     Used for the first assignment of roles in a new group and after edits of the
@@ -131,17 +131,17 @@
     source = next((r for r in Role if _surplus(counts[r], bounds[r]) > 0), None)
     if target is not None:
         source = source or _role_with_most_spare(counts, bounds)
-        return Repair(source, target) if source else None
+        return RoleShift(source, target) if source else None
     if source is None:
         return None
     target = next(
         (r for r in _MOST_VERSATILE_FIRST if _below_most(counts[r], bounds[r])), None
     )
-    return Repair(source, target) if target else None
+    return RoleShift(source, target) if target else None
 
 
-def allows(
-    change: Repair,
+def bounds_allow(
+    change: RoleShift,
     counts: cabc.Mapping[Role, int],
     bounds: cabc.Mapping[Role, RoleBounds],
 ) -> bool:
--- a/src/bergamotmast/planner/pacing.py
+++ b/src/bergamotmast/planner/pacing.py
@@ -4,7 +4,7 @@
 
 import collections.abc as cabc
 
-UNKNOWN_GIGABYTES = 100.0
+DEFAULT_VERSION_GIGABYTES = 100.0
 """Assumed size of a version that the weight store doesn't list."""
 
 
@@ -38,5 +38,5 @@
 
     def begin(self, versions: cabc.Iterable[str], now: float) -> None:
         """Record the start of a load; :meth:`may_begin` must have allowed it."""
-        gigabytes = sum(self.sizes.get(v, UNKNOWN_GIGABYTES) for v in versions)
+        gigabytes = sum(self.sizes.get(v, DEFAULT_VERSION_GIGABYTES) for v in versions)
         self.free_at = max(now, self.free_at) + gigabytes / self.rate
--- a/src/bergamotmast/planner/plan_store.py
+++ b/src/bergamotmast/planner/plan_store.py
@@ -43,7 +43,7 @@
 
 logger = logging.getLogger(__name__)
 
-MOST_WRITES = 100
+MAX_ENGINES_PER_TXN = 100
 """Engines changed by one transaction; etcd takes 128 operations by default."""
 
 
@@ -64,13 +64,13 @@
         after a restore a new process does not know the lost epochs, and a hint that
         only increases exceeds them. It is no safeguard; a wrong clock only delays
         obedience after a restore.
-    :param most_writes: engines changed by one transaction.
+    :param max_engines_per_txn: engines changed by one transaction.
     :param carry_over: whether a takeover writes all parts anew under its authority. Not
         needed where engines compare the tokens of orders themselves; the parts are then
         taken out, so that the plan holds this planner's orders only.
     :param plans: the plan as last read or written, by engine.
-    :param found: authority of each part as :meth:`open` found it.
-    :param seen: highest authority this process has seen.
+    :param tokens_at_open: authority of each part as :meth:`open` found it.
+    :param highest_token: highest authority this process has seen.
     :param restored: whether :meth:`open` found a last epoch below ``epoch_hint``, as
         after a restore of the service; the last holder's orders may be missing.
     """
@@ -82,7 +82,7 @@
         rng: random.Random,
         history: HistorySink,
         epoch_hint: cabc.Callable[[], int] = no_epoch_hint,
-        most_writes: int = MOST_WRITES,
+        max_engines_per_txn: int = MAX_ENGINES_PER_TXN,
         *,
         carry_over: bool = True,
     ) -> None:
@@ -91,11 +91,11 @@
         self.rng = rng
         self.history = history
         self.epoch_hint = epoch_hint
-        self.most_writes = most_writes
+        self.max_engines_per_txn = max_engines_per_txn
         self.carry_over = carry_over
         self.plans: dict[str, EnginePlan] = {}
-        self.found: dict[str, FencingToken] = {}
-        self.seen = NO_TOKEN
+        self.tokens_at_open: dict[str, FencingToken] = {}
+        self.highest_token = NO_TOKEN
         self.restored = False
         self.head: PlanHead | None = None
         self.head_revision = 0
@@ -116,15 +116,15 @@
         stored = self._read(found)
         lost = self._lost_by_restore(stored)
         stored_epoch = self.head.epoch if self.head else 0
-        last_epoch = max(stored_epoch, self.seen.epoch)
+        last_epoch = max(stored_epoch, self.highest_token.epoch)
         least_epoch = self.epoch_hint()
         self.restored = 0 < last_epoch < least_epoch
         stored_revision = self.head.revision if self.head else 0
         token = FencingToken(
             max(last_epoch + 1, least_epoch),
-            max(stored_revision, self.seen.revision) + 1,
+            max(stored_revision, self.highest_token.revision) + 1,
         )
-        self.found = {name: part.token for name, part in stored.items()}
+        self.tokens_at_open = {name: part.token for name, part in stored.items()}
         self.plans = stored | lost
         await self._commit(token, {}, ())
         if not self.carry_over:
@@ -147,12 +147,12 @@
         if self.head is None:
             raise AuthorityLostError("The plan has to be opened first.")
         names = sorted({*assignments, *removed})
-        for start in range(0, len(names), self.most_writes):
-            part = names[start : start + self.most_writes]
+        for start in range(0, len(names), self.max_engines_per_txn):
+            part = names[start : start + self.max_engines_per_txn]
             token = FencingToken(self.head.epoch, self.head.revision + 1)
             wanted = {n: assignments[n] for n in part if n in assignments}
             await self._commit(token, wanted, [n for n in part if n not in wanted])
-        return self.seen
+        return self.highest_token
 
     def _read(self, found: RangeResult) -> dict[str, EnginePlan]:
         stored: dict[str, EnginePlan] = {}
@@ -175,7 +175,7 @@
         refuse them, so the plan and the fleet would differ until the next change.
         """
         head = self.head.token if self.head else NO_TOKEN
-        gone_back = head < self.seen
+        gone_back = head < self.highest_token
         lost: dict[str, EnginePlan] = {}
         for name, part in self.plans.items():
             known = stored.get(name)
@@ -203,7 +203,7 @@
         writes += [Delete(engine_key(name)) for name in removed]
         self.head_revision = await self._swap(writes, nonce)
         self.head = head
-        self.seen = token
+        self.highest_token = token
         self.plans.update(parts)
         for name in removed:
             self.plans.pop(name, None)
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -23,27 +23,27 @@
 from ..policy.interfaces import FleetPicture
 from ..policy.interfaces import ShiftPolicy
 from ..ports import WeightStore
-from .authority import Authority
+from .convergence import ConvergenceTracker
+from .election import PlannerElection
 from .fleet_view import FleetView
 from .fleet_view import TimedReport
 from .groups import Group
-from .groups import Repair
-from .groups import allows
+from .groups import RoleShift
+from .groups import bounds_allow
 from .groups import count_roles
 from .groups import find_groups
-from .groups import find_repair
+from .groups import find_required_shift
 from .groups import group_bounds
 from .pacing import WeightPacer
 from .plan_store import PlanStore
-from .settling import Settling
 
 TICK_SECONDS = 1.0
 """Between two looks at the fleet."""
 
-WEIGHTS_SECONDS = 60.0
+WEIGHT_STORE_POLL_SECONDS = 60.0
 """Between two readings of the weight store's sizes and rate."""
 
-MOST_STALE_SHARE = 0.25
+MAX_STALE_SHARE = 0.25
 """Share of a group's engines without a fresh report above which it is left alone.
 
 With a partition or the end of a process, reports stop together. The picture then
@@ -72,7 +72,7 @@
 class Planner:
     """One candidate for planning the fleet.
 
-    :param authority: its share in the lease.
+    :param election: its share in the lease.
     :param store: the plan.
     :param holder: the configuration in force.
     :param fleet: membership and load picture.
@@ -84,7 +84,7 @@
 
     def __init__(
         self,
-        authority: Authority,
+        election: PlannerElection,
         store: PlanStore,
         holder: ConfigHolder,
         fleet: FleetView,
@@ -92,7 +92,7 @@
         weights: WeightStore,
         rng: random.Random,
     ) -> None:
-        self.authority = authority
+        self.election = election
         self.store = store
         self.holder = holder
         self.fleet = fleet
@@ -100,7 +100,7 @@
         self.weights = weights
         self.rng = rng
         self.pacer = WeightPacer()
-        self.settling = Settling()
+        self.convergence = ConvergenceTracker()
         self.planning = False
         self._grouped: tuple[int, frozenset[str]] = (-1, frozenset())
         self._found: tuple[Group, ...] = ()
@@ -108,17 +108,17 @@
     async def run(self) -> None:
         """Plan whenever this candidate holds the lease, until cancelled."""
         while True:
-            await self.authority.acquire()
+            await self.election.acquire()
             try:
-                await self.authority.while_held(self._plan(), self._follow_weights())
+                await self.election.run_while_held(self._plan(), self._follow_weights())
             except (AuthorityLostError, PortError) as error:
                 logger.warning("planner %s: %s", self.store.planner, error.message)
             finally:
                 self.planning = False
-                await self.authority.release()
+                await self.election.release()
 
     async def _plan(self) -> None:
-        self.settling = Settling()
+        self.convergence = ConvergenceTracker()
         await self.store.open()
         self.planning = True
         while True:
@@ -137,7 +137,7 @@
                 self.pacer.configure(sizes, await self.weights.rate())
             except PortError as error:
                 logger.info("weight store: %s", error.message)
-            await asyncio.sleep(WEIGHTS_SECONDS * self.rng.uniform(0.5, 1.0))
+            await asyncio.sleep(WEIGHT_STORE_POLL_SECONDS * self.rng.uniform(0.5, 1.0))
 
     async def _tick(self) -> None:
         now = asyncio.get_running_loop().time()
@@ -152,16 +152,16 @@
         if written or removed:
             await self.store.write(written, removed)
         for engine in reissued:
-            self.settling.reissued(engine)
+            self.convergence.reissued(engine)
         for engine in (*adopted, *planned):
-            self.settling.begin(engine, now)
+            self.convergence.begin(engine, now)
         for change in changes:
             logger.info("plan of %s: %s", change.engine, change.reason)
 
     def _observe(self, now: float) -> None:
         for engine, part in self.store.plans.items():
             word = self.fleet.last_report(engine)
-            self.settling.observe(engine, word, part.assignment, now)
+            self.convergence.observe(engine, word, part.assignment, now)
 
     def _groups(self) -> tuple[Group, ...]:
         leaving = self.fleet.leaving()
@@ -195,7 +195,8 @@
             engine: self.store.plans[engine].assignment
             for group in groups
             for engine in group.engines
-            if engine in self.store.plans and self.settling.needs_reissue(engine, now)
+            if engine in self.store.plans
+            and self.convergence.needs_reissue(engine, now)
         }
 
     def _forgotten(self) -> list[str]:
@@ -211,7 +212,7 @@
             selector.name
             for group in groups
             for engine in group.engines
-            if self.settling.is_changing(engine, now)
+            if self.convergence.is_changing(engine, now)
             for selector in group.selectors
         }
         changes: list[PlanChange] = []
@@ -240,17 +241,17 @@
         able = self._able(group, now)
         if not free or not able:
             return None
-        repair = find_repair(counts, bounds)
+        repair = find_required_shift(counts, bounds)
         if repair is not None:
             return self._repair(able, repair)
         carry = self._carry(group, able, now)
         if carry is not None or wish is None or wish.engine not in able:
             return carry
-        if not allows(Repair(roles[wish.engine], wish.role), counts, bounds):
+        if not bounds_allow(RoleShift(roles[wish.engine], wish.role), counts, bounds):
             return None
         return self._role_change(wish.engine, wish.role, wish.reason)
 
-    def _repair(self, able: list[str], repair: Repair) -> PlanChange | None:
+    def _repair(self, able: list[str], repair: RoleShift) -> PlanChange | None:
         for engine in able:
             if self.store.plans[engine].assignment.role is repair.source:
                 return self._role_change(engine, repair.target, "role bounds")
@@ -284,7 +285,7 @@
             for engine in group.engines
             if (word := self._fresh(engine, now)) is not None
         }
-        if len(group.engines) - len(fresh) > MOST_STALE_SHARE * len(group.engines):
+        if len(group.engines) - len(fresh) > MAX_STALE_SHARE * len(group.engines):
             return []
         ready = [
             engine
@@ -308,7 +309,7 @@
                     word.report if word else None,
                     word.at if word else 0.0,
                     part.assignment.role,
-                    self.settling.is_changing(engine, now),
+                    self.convergence.is_changing(engine, now),
                     word.fresh_until if word else 0.0,
                 )
             )
--- a/src/bergamotmast/policy/shifting.py
+++ b/src/bergamotmast/policy/shifting.py
@@ -13,7 +13,7 @@
 wish has lasted as long as the payback itself (:data:`LEAST_HOLD` at least): a swing
 that turns back sooner never gets its change. Changes are paced by a token bucket, an
 engine keeps a role for :data:`DWELL_SECONDS`, one change runs at a time in a group,
-and the last engine of a role stays. Where more than :data:`MOST_STALE_SHARE` of the
+and the last engine of a role stays. Where more than :data:`MAX_STALE_SHARE` of the
 reports are older than :data:`STALE_SECONDS`, nothing is changed: during an outage the
 last known mix is as good as any guess, and a change made on it can't be seen to work.
 """
@@ -63,7 +63,7 @@
 STALE_SECONDS = 8.0
 """Age beyond which a report says nothing about the mix."""
 
-MOST_STALE_SHARE = 0.25
+MAX_STALE_SHARE = 0.25
 """Share of stale reports above which roles are frozen."""
 
 LEAST_GAIN = 0.03
@@ -146,7 +146,7 @@
         engines = picture.engines
         if not engines or any(e.changing for e in engines):
             return True
-        return len(engines) - len(fresh) > MOST_STALE_SHARE * len(engines)
+        return len(engines) - len(fresh) > MAX_STALE_SHARE * len(engines)
 
     def _best(self, picture: FleetPicture, state: GroupState) -> Gain | None:
         """Return the change that wins most by the fast and the slow demand alike."""
--- a/src/bergamotmast/protocol/claim_record.py
+++ b/src/bergamotmast/protocol/claim_record.py
@@ -10,7 +10,7 @@
 
 CLAIMS_PREFIX = "/bergamotmast/claims/"
 
-MOST_ANSWER_BYTES = 2048
+MAX_ANSWER_BYTES = 2048
 """Longest body that is kept, so that a replay gets the first answer."""
 
 
@@ -51,7 +51,7 @@
 
 def stored_answer(answer: ServiceAnswer) -> StoredAnswer | None:
     """Return what is kept of an answer; ``None`` if it is too long."""
-    if len(answer.body) > MOST_ANSWER_BYTES:
+    if len(answer.body) > MAX_ANSWER_BYTES:
         return None
     return StoredAnswer(answer.status, answer.body, answer.content_type)
 
--- a/src/bergamotmast/protocol/config_exchange.py
+++ b/src/bergamotmast/protocol/config_exchange.py
@@ -12,14 +12,14 @@
 logger = logging.getLogger(__name__)
 
 
-def pull(holder: ConfigHolder, generation: int) -> messages.ConfigPull | None:
+def config_pull(holder: ConfigHolder, generation: int) -> messages.ConfigPull | None:
     """Return what to ask of a peer that has a generation; ``None`` for nothing."""
     if not holder.should_pull(generation):
         return None
     return messages.ConfigPull(holder.generation)
 
 
-def newer_document(
+def newer_config_document(
     holder: ConfigHolder, generation: int
 ) -> messages.ConfigDocument | None:
     """Return the answer to a peer that has a generation; ``None`` if none is newer."""
@@ -28,7 +28,7 @@
     return messages.ConfigDocument(holder.generation, holder.document)
 
 
-def take_document(holder: ConfigHolder, message: messages.ConfigDocument) -> None:
+def offer_document(holder: ConfigHolder, message: messages.ConfigDocument) -> None:
     """Offer a peer's document to the holder; what is no configuration is logged."""
     try:
         holder.offer(message.document)
--- a/src/bergamotmast/protocol/messages.py
+++ b/src/bergamotmast/protocol/messages.py
@@ -16,19 +16,19 @@
 from ..errors import ResultCode
 from ..model import Priority
 from ..model import SideReport
-from .timing import BEAT_INTERVAL
+from .timing import HEARTBEAT_INTERVAL_SECONDS
 
 PROTOCOL_VERSION = 2
 """What this end speaks; 2 added :class:`VersionRefused`."""
 
-OLDEST_VERSION = 1
+MIN_PROTOCOL_VERSION = 1
 """What the other end must speak at least."""
 
-LONGEST = 1e9
+MAX_SECONDS = 1e9
 """Most seconds in any message; what is endless or no number is refused with it."""
 
 Count: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=0)]
-Seconds: t.TypeAlias = t.Annotated[float, msgspec.Meta(ge=-LONGEST, le=LONGEST)]
+Seconds: t.TypeAlias = t.Annotated[float, msgspec.Meta(ge=-MAX_SECONDS, le=MAX_SECONDS)]
 """A budget; negative where the deadline has passed."""
 
 Interval: t.TypeAlias = t.Annotated[float, msgspec.Meta(gt=0, le=86_400)]
@@ -37,12 +37,12 @@
 Weight: t.TypeAlias = t.Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 
 
-def agreed_version(theirs: int) -> int | None:
+def negotiate_version(theirs: int) -> int | None:
     """Return the version of a session, or ``None`` if theirs is too old.
 
     :param theirs: highest version that the other end speaks.
     """
-    if theirs < OLDEST_VERSION:
+    if theirs < MIN_PROTOCOL_VERSION:
         return None
     return min(PROTOCOL_VERSION, theirs)
 
@@ -79,7 +79,7 @@
     incarnation: str
     counter: int
     generation: int
-    interval: Interval = BEAT_INTERVAL
+    interval: Interval = HEARTBEAT_INTERVAL_SECONDS
     plan_epoch: Count = 0
     plan_revision: Count = 0
 
@@ -107,7 +107,7 @@
     generation: int
 
 
-class ReportBeat(Message, frozen=True, tag=4):
+class ReportHeartbeat(Message, frozen=True, tag=4):
     """Side to entry: alive, with its exact state.
 
     :param sequence: counts beats of the session.
@@ -272,7 +272,7 @@
 )
 ToEntry: t.TypeAlias = (
     Welcome
-    | ReportBeat
+    | ReportHeartbeat
     | SessionUnknown
     | Refused
     | Started
--- a/src/bergamotmast/side/session.py
+++ b/src/bergamotmast/side/session.py
@@ -54,11 +54,11 @@
     @property
     def only_observes(self) -> bool:
         """Whether the entry offers no work in this session."""
-        return self.interval > timing.BEAT_INTERVAL
+        return self.interval > timing.HEARTBEAT_INTERVAL_SECONDS
 
     def on_heard(self, now: float) -> None:
         """Put off the moment at which the entry counts as lost."""
-        self.expires_at = now + self.interval * timing.MISSED_BY_SIDE
+        self.expires_at = now + self.interval * timing.SIDE_MAX_MISSED_HEARTBEATS
 
     def remember(self, attempt: str) -> bool:
         """Note an attempt; ``False`` if its offer or cancel was seen before."""
@@ -124,7 +124,7 @@
             entry=hello.entry,
             incarnation=hello.incarnation,
             counter=hello.counter,
-            interval=max(hello.interval, timing.BEAT_INTERVAL),
+            interval=max(hello.interval, timing.HEARTBEAT_INTERVAL_SECONDS),
             version=version,
         )
         session.on_heard(now)
--- a/src/bergamotmast/side/session_server.py
+++ b/src/bergamotmast/side/session_server.py
@@ -123,7 +123,7 @@
         session's lifetime means that every entry has turned away.
         """
         now = _now()
-        if now - self.alive_at > timing.SIDE_TIMEOUT:
+        if now - self.alive_at > timing.SIDE_TIMEOUT_SECONDS:
             logger.warning("did not run for %.1f s: sessions end", now - self.alive_at)
             for session in list(self.table.by_name.values()):
                 self.end(session)
@@ -134,7 +134,7 @@
             await self._on_hello(peer, message)
             return
         if isinstance(message, messages.ConfigDocument):
-            config_exchange.take_document(self.holder, message)
+            config_exchange.offer_document(self.holder, message)
             return
         if isinstance(message, messages.ConfigPull):
             await self._send_document(peer, message.generation)
@@ -179,7 +179,7 @@
         await self.send(peer, messages.SessionUnknown(message.session))
 
     async def _on_hello(self, peer: bytes, hello: messages.Hello) -> None:
-        version = messages.agreed_version(hello.version)
+        version = messages.negotiate_version(hello.version)
         if version is None:
             await self._refuse_version(peer, hello)
             return
@@ -207,11 +207,11 @@
             "entry %s speaks protocol %d, this side takes %d to %d: no session",
             hello.entry,
             hello.version,
-            messages.OLDEST_VERSION,
+            messages.MIN_PROTOCOL_VERSION,
             messages.PROTOCOL_VERSION,
         )
         refused = messages.VersionRefused(
-            messages.PROTOCOL_VERSION, messages.OLDEST_VERSION, hello.counter
+            messages.PROTOCOL_VERSION, messages.MIN_PROTOCOL_VERSION, hello.counter
         )
         await self.send(peer, refused)
 
@@ -224,14 +224,16 @@
             for session in list(self.table.by_name.values()):
                 if session.beat_at <= self.alive_at:
                     await self.send_report(session)
-            await asyncio.sleep(timing.BEAT_INTERVAL)
+            await asyncio.sleep(timing.HEARTBEAT_INTERVAL_SECONDS)
 
     async def send_report(self, session: Session) -> None:
         """Tell an entry the side's exact state now."""
         session.beats += 1
         # A little early rather than a whole tick late.
-        session.beat_at = _now() + session.interval - timing.BEAT_INTERVAL / 2
-        beat = messages.ReportBeat(
+        session.beat_at = (
+            _now() + session.interval - timing.HEARTBEAT_INTERVAL_SECONDS / 2
+        )
+        beat = messages.ReportHeartbeat(
             session.name, session.beats, self.holder.generation, self.user.report()
         )
         await self.send(session.peer, beat)
@@ -246,7 +248,7 @@
         """
         working = [s for s in self.table.by_name.values() if not s.only_observes]
         awaited = {s.name: s.heartbeats + BEATS_UNTIL_READ for s in working}
-        end_by = _now() + timing.SIDE_TIMEOUT
+        end_by = _now() + timing.SIDE_TIMEOUT_SECONDS
         while awaited and _now() < end_by:
             await asyncio.sleep(READ_CHECK_INTERVAL)
             open_sessions = self.table.by_name
@@ -257,11 +259,11 @@
             }
 
     async def _compare_generation(self, peer: bytes, generation: int) -> None:
-        if question := config_exchange.pull(self.holder, generation):
+        if question := config_exchange.config_pull(self.holder, generation):
             await self.send(peer, question)
 
     async def _send_document(self, peer: bytes, generation: int) -> None:
-        if document := config_exchange.newer_document(self.holder, generation):
+        if document := config_exchange.newer_config_document(self.holder, generation):
             await self.send(peer, document)
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from bergamotmast.claims.batch import MOST_STEPS
+from bergamotmast.claims.batch import MAX_STEPS_PER_TXN
+from bergamotmast.claims.retention import LEASE_REUSE_SECONDS
 from bergamotmast.claims.retention import RETENTION_SECONDS
-from bergamotmast.claims.retention import SPAN_SECONDS
-from bergamotmast.claims.store import CLAIM_SECONDS
+from bergamotmast.claims.store import CLAIM_TIMEOUT_SECONDS
 from bergamotmast.claims.store import LINGER_SECONDS
 from bergamotmast.claims.store import ClaimStore
 from bergamotmast.errors import RequestError
 from bergamotmast.errors import ResultCode
 from bergamotmast.model import ServiceAnswer
-from bergamotmast.protocol.claim_record import MOST_ANSWER_BYTES
+from bergamotmast.protocol.claim_record import MAX_ANSWER_BYTES
 from bergamotmast.protocol.claim_record import claim_key
 from bergamotmast.protocol.claim_record import decode_claim
 from bergamotmast.standins.key_value import KeyValueStandIn
@@ -82,7 +82,7 @@
         assert await outcome(b.entry("new")) == ANSWER
 
 
-@pytest.mark.parametrize("size", [MOST_ANSWER_BYTES, MOST_ANSWER_BYTES + 1])
+@pytest.mark.parametrize("size", [MAX_ANSWER_BYTES, MAX_ANSWER_BYTES + 1])
 async def test_a_long_answer_is_not_kept(size):
     async with bench() as b:
         one = b.entry("one")
@@ -90,7 +90,7 @@
         answer = ServiceAnswer(200, b"x" * size, "text/plain")
         await one.complete("k", answer)
         await asyncio.sleep(LINGER_SECONDS + 1)
-        short = size <= MOST_ANSWER_BYTES
+        short = size <= MAX_ANSWER_BYTES
         assert await outcome(one) == (answer if short else ResultCode.ALREADY_RAN)
 
 
@@ -221,7 +221,7 @@
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         assert await outcome(one) is UNAVAILABLE
-        assert loop.time() - began_at <= CLAIM_SECONDS
+        assert loop.time() - began_at <= CLAIM_TIMEOUT_SECONDS
 
 
 async def test_a_writer_that_hangs_is_given_up_in_time():
@@ -229,7 +229,7 @@
     loop = asyncio.get_running_loop()
     began_at = loop.time()
     assert await outcome(store) is UNAVAILABLE
-    assert loop.time() - began_at == pytest.approx(CLAIM_SECONDS, abs=0.1)
+    assert loop.time() - began_at == pytest.approx(CLAIM_TIMEOUT_SECONDS, abs=0.1)
 
 
 async def test_a_caller_that_goes_in_the_moment_of_its_claim_leaves_none():
@@ -254,7 +254,7 @@
 
 async def test_no_write_names_a_key_twice(monkeypatch):
     # The entry has forgotten a claim of its own whose completion still waits.
-    monkeypatch.setattr("bergamotmast.claims.store.MOST_OPEN", 1)
+    monkeypatch.setattr("bergamotmast.claims.store.MAX_REMEMBERED_CLAIMS", 1)
     async with bench() as b:
         one = b.entry("one")
         await one.claim("k", b"d")
@@ -300,7 +300,7 @@
         await one.claim("k", b"d")
         await asyncio.sleep(RETENTION_SECONDS - 60)
         assert await outcome(b.entry("other")) is HELD
-        await asyncio.sleep(SPAN_SECONDS + 120)
+        await asyncio.sleep(LEASE_REUSE_SECONDS + 120)
         assert b.records() == []
         assert await outcome(one) is CLAIMED
 
@@ -323,7 +323,7 @@
         one = b.entry("one")
         results = await asyncio.gather(*(outcome(one, f"k{i}") for i in range(1000)))
         assert set(results) == {CLAIMED}
-        assert b.service.writes == 1000 // MOST_STEPS + 1
+        assert b.service.writes == 1000 // MAX_STEPS_PER_TXN + 1
 
 
 async def test_a_steady_load_costs_fewer_writes_than_claims():
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -18,8 +18,8 @@
 from bergamotmast.errors import AuthorityLostError
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Role
-from bergamotmast.planner import authority
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner import election
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.orders import PlatformOrders
@@ -95,13 +95,15 @@
             found.append(
                 RolePlanner(
                     name,
-                    Authority(adapter, name, rng, 2, first_look_seconds=0.01),
+                    PlannerElection(
+                        adapter, name, rng, 2, first_poll_spread_seconds=0.01
+                    ),
                     PlanStore(
                         adapter,
                         name,
                         rng,
                         NullHistory(),
-                        most_writes=24,
+                        max_engines_per_txn=24,
                         carry_over=False,
                     ),
                     fleet,
@@ -178,10 +180,10 @@
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts, count=2, quiet=0.6) as (store, (one, two)):
-        await one.authority.acquire()
+        await one.election.acquire()
         await one.store.open()
         await order_all(one)
-        store.end_lease(one.authority.lease)
+        store.end_lease(one.election.lease)
         began = asyncio.get_running_loop().time()
         async with run(two):
             await until(lambda: any(len(script.orders) > 1 for script in scripts))
@@ -210,11 +212,11 @@
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts, count=2, quiet=5.0) as (store, (one, two)):
-        await one.authority.acquire()
+        await one.election.acquire()
         await one.store.open()
         first = one.fleet.present("llm", 0.0)[0]
         await one._give(first, RoleOrder(first.name, Role.PREFILL, ""), 0.0)
-        store.end_lease(one.authority.lease)
+        store.end_lease(one.election.lease)
         async with run(two):
             await until(lambda: scripts[1].orders, seconds=2.0)
     assert [order["holder"] for order in scripts[0].orders] == ["entry-0"]
@@ -252,51 +254,51 @@
     Its watch tells it that the holder's key is gone, so that it looks at once.
     """
     async with planners(OrderedEngine(), count=2) as (store, (one, two)):
-        two.authority.vacancy_spread_seconds = 0.05
-        await one.authority.acquire()
-        waiting = asyncio.create_task(two.authority.acquire())
+        two.election.vacancy_poll_spread_seconds = 0.05
+        await one.election.acquire()
+        waiting = asyncio.create_task(two.election.acquire())
         await asyncio.sleep(0.1)
-        store.end_lease(one.authority.lease)
+        store.end_lease(one.election.lease)
         assert not waiting.done()
-        two.authority.on_vacant()
+        two.election.on_vacant()
         await asyncio.wait_for(waiting, 1.0)
 
 
 async def test_candidate_does_not_read_known_holder(monkeypatch):
     """Polling by every candidate would load the store in a large fleet."""
-    monkeypatch.setattr(authority, "LEAST_POLL_SECONDS", 0.01)
-    monkeypatch.setattr(authority, "MOST_POLL_SECONDS", 0.02)
+    monkeypatch.setattr(election, "MIN_POLL_SECONDS", 0.01)
+    monkeypatch.setattr(election, "MAX_POLL_SECONDS", 0.02)
     async with planners(OrderedEngine(), count=2) as (store, (one, two)):
-        await one.authority.acquire()
+        await one.election.acquire()
         known = True
-        two.authority.holder_known = lambda: known
-        two.authority.vacancy_spread_seconds = 0.01
+        two.election.holder_known = lambda: known
+        two.election.vacancy_poll_spread_seconds = 0.01
         store.calls.clear()
-        waiting = asyncio.create_task(two.authority.acquire())
+        waiting = asyncio.create_task(two.election.acquire())
         await asyncio.sleep(0.2)
         assert store.calls == []
         known = False
-        store.end_lease(one.authority.lease)
-        two.authority.on_vacant()
+        store.end_lease(one.election.lease)
+        two.election.on_vacant()
         await asyncio.wait_for(waiting, 1.0)
 
 
 async def test_lease_freed_during_holder_read_is_retried():
     """A lost notification would delay the next attempt by a full poll interval."""
     async with planners(OrderedEngine(), count=2) as (store, (one, two)):
-        await one.authority.acquire()
-        get = two.authority.kv.get
-        two.authority.vacancy_spread_seconds = 0.01
+        await one.election.acquire()
+        get = two.election.kv.get
+        two.election.vacancy_poll_spread_seconds = 0.01
 
         async def get_then_end_lease(key):
             holder = await get(key)
             if holder is not None:
-                store.end_lease(one.authority.lease)
-                two.authority.on_vacant()
+                store.end_lease(one.election.lease)
+                two.election.on_vacant()
             return holder
 
-        two.authority.kv.get = get_then_end_lease
-        await asyncio.wait_for(two.authority.acquire(), 2.0)
+        two.election.kv.get = get_then_end_lease
+        await asyncio.wait_for(two.election.acquire(), 2.0)
 
 
 async def test_plan_of_the_last_holder_is_not_taken_for_new_orders():
@@ -307,13 +309,13 @@
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts, count=2) as (store, (one, two)):
-        await one.authority.acquire()
+        await one.election.acquire()
         await one.store.open()
         await order_all(one)
         assert any("/plan/engines/" in key for key in store.items)
         await two.store.open()
         assert not any("/plan/engines/" in key for key in store.items)
-        assert len(two.store.found) == 2
+        assert len(two.store.tokens_at_open) == 2
 
 
 async def test_holder_suspended_before_an_order_looks_at_the_time_anew():
@@ -332,7 +334,7 @@
             awake = loop.time
             loop.time = lambda: awake() + 60
 
-        await planner.authority.acquire()
+        await planner.election.acquire()
         await planner.store.open()
         planner.store.write = suspended
         with pytest.raises(AuthorityLostError):
@@ -349,8 +351,8 @@
     scripts = [OrderedEngine(), OrderedEngine()]
     loop = asyncio.get_running_loop()
     async with planners(*scripts) as (_, (planner,)):
-        planner.authority.lease_seconds = 60
-        await planner.authority.acquire()
+        planner.election.lease_seconds = 60
+        await planner.election.acquire()
         await planner.store.open()
         write = planner.store.write
 
@@ -375,7 +377,7 @@
     """
     loop = asyncio.get_running_loop()
     async with planners(OrderedEngine()) as (store, (planner,)):
-        service = planner.authority.kv
+        service = planner.election.kv
         grant = service.grant_lease
 
         async def slow(seconds):
@@ -385,19 +387,19 @@
             return lease
 
         service.grant_lease = slow
-        await planner.authority.acquire()
-        assert planner.authority.lease
-        assert not planner.authority.in_force
+        await planner.election.acquire()
+        assert planner.election.lease
+        assert not planner.election.lease_is_valid
 
 
 async def test_released_lease_is_taken_by_the_next():
     scripts = [OrderedEngine("conflict"), OrderedEngine("conflict")]
     async with planners(*scripts, count=2) as (store, (one, two)):
         async with run(one):
-            await until(lambda: one.authority.lease > 0)
+            await until(lambda: one.election.lease > 0)
         await until(lambda: not store.leases)
         async with run(two):
-            await until(lambda: two.authority.lease > 0)
+            await until(lambda: two.election.lease > 0)
 
 
 async def test_entry_that_ends_as_it_takes_over_leaves_no_lease_behind():
@@ -406,7 +408,7 @@
     The lease it was granted would keep the others from planning until it lapses.
     """
     async with planners(OrderedEngine()) as (store, (planner,)):
-        service = planner.authority.kv
+        service = planner.election.kv
         write = service.txn
         asked = asyncio.Event()
 
@@ -428,7 +430,7 @@
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts) as (store, (planner,)):
         if known:
-            await planner.authority.acquire()
+            await planner.election.acquire()
         store.outage = 503
         async with run(planner) as task:
             await asyncio.sleep(0.6)
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -25,7 +25,7 @@
 from bergamotmast.direct.role_planner import RolePlanner
 from bergamotmast.direct_daemon import serve_direct
 from bergamotmast.logs import ContextFilter
-from bergamotmast.planner import authority
+from bergamotmast.planner import election
 from bergamotmast.protocol.plan import HEAD_KEY
 from bergamotmast.protocol.plan import HOLDER_KEY
 from bergamotmast.protocol.plan import engine_key
@@ -215,13 +215,13 @@
     It gives the lease back and tries again; the entry serves on.
     """
     monkeypatch.setattr(role_planner, "PAUSE_SECONDS", (0.05, 0.05))
-    monkeypatch.setattr(direct_daemon, "FIRST_LOOK_SECONDS", 0.01)
-    monkeypatch.setattr(authority, "LEAST_POLL_SECONDS", 0.01)
-    monkeypatch.setattr(authority, "MOST_POLL_SECONDS", 0.02)
+    monkeypatch.setattr(direct_daemon, "FIRST_POLL_SPREAD_SECONDS", 0.01)
+    monkeypatch.setattr(election, "MIN_POLL_SECONDS", 0.01)
+    monkeypatch.setattr(election, "MAX_POLL_SECONDS", 0.02)
     failed = []
 
     async def plan(self) -> None:
-        failed.append(self.authority.lease)
+        failed.append(self.election.lease)
         raise RuntimeError("unforeseen")
 
     monkeypatch.setattr(RolePlanner, "_plan", plan)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -71,7 +71,7 @@
 REPORT = SideReport(Readiness.READY, Role.MIXED, (f"{MODEL}@1",), waits_ms=(1, 2, 3))
 TO_ENTRY = [
     messages.Welcome(2, "engine-2", SESSION, "i", 1, 1),
-    messages.ReportBeat(SESSION, 1, 1, REPORT),
+    messages.ReportHeartbeat(SESSION, 1, 1, REPORT),
     messages.SessionUnknown(SESSION),
     messages.Refused(ATTEMPT, ResultCode.QUEUE_FULL, 1.0),
     messages.Started(ATTEMPT),
@@ -161,7 +161,7 @@
         match messages.decode_to_side(frame):
             case messages.Hello(counter=counter):
                 welcome = messages.Welcome(2, "engine-2", "s", "i", counter, 1)
-                beat = messages.ReportBeat("s", 1, 1, REPORT)
+                beat = messages.ReportHeartbeat("s", 1, 1, REPORT)
                 answers = [messages.encode(welcome), messages.encode(beat)]
             case messages.Offer(attempt=attempt):
                 names[ATTEMPT] = attempt
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -84,8 +84,8 @@
     stranger_secret, _ = certificate(tmp_path, "stranger")
     sides = peers_file(tmp_path, "sides", side_public)
     entries = peers_file(tmp_path, "entries", entry_public)
-    authority = trustme.CA()
-    issued = authority.issue_cert("127.0.0.1")
+    election = trustme.CA()
+    issued = election.issue_cert("127.0.0.1")
     issued.private_key_pem.write_to_path(tmp_path / "key.pem")
     for part in issued.cert_chain_pems:
         part.write_to_path(tmp_path / "chain.pem", append=True)
@@ -108,7 +108,7 @@
         f.entry_flags = (*curve, stranger_secret)
         await f.start_entry("entry-2")
         context = ssl.create_default_context()
-        authority.configure_trust(context)
+        election.configure_trust(context)
         url = f.urls["entry-1"].replace("http:", "https:")
         connector = aiohttp.TCPConnector(ssl=context)
         async with aiohttp.ClientSession(connector=connector) as session:
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -17,7 +17,7 @@
     "message",
     [
         messages.Welcome(1, "engine-1", "s", "i", 1, 7),
-        messages.ReportBeat("s", 1, 7, REPORT),
+        messages.ReportHeartbeat("s", 1, 7, REPORT),
         messages.Chunk("a", 0, 1, "x", "", 0, ""),
     ],
 )
@@ -62,10 +62,10 @@
         messages.Refused("a", 201, math.inf),
         replace(CHUNK, tokens=-1),
         replace(CHUNK, index=-1),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, max_streams=0)),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, decode_rate=math.nan)),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, prefill_rate=-1.0)),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, kv_free=math.nan)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, max_streams=0)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, decode_rate=math.nan)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, prefill_rate=-1.0)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, kv_free=math.nan)),
     ],
 )
 def test_numbers_that_would_upset_an_entry_are_refused(message):
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -27,7 +27,7 @@
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Role
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.policy.direct_roles import MixMeter
@@ -133,7 +133,7 @@
         client = self.service.client(name)
         return RolePlanner(
             name,
-            Authority(client, name, rng, LEASE_SECONDS),
+            PlannerElection(client, name, rng, LEASE_SECONDS),
             PlanStore(client, name, rng, NullHistory(), carry_over=False),
             fleet,
             Placing(fleet, name, "z", rng),
@@ -145,22 +145,22 @@
 
     async def take_over(self, number: int) -> None:
         """Let the lease lapse without its holder's knowledge; another planner opens."""
-        held = self.planners[1 - number].authority.lease
+        held = self.planners[1 - number].election.lease
         if held:
             self.service.end_lease(held)
         planner = self.planners[number]
         with contextlib.suppress(PortError, AuthorityLostError):
-            if await planner.authority._try_acquire():
+            if await planner.election._try_acquire():
                 await planner.store.open()
 
     async def give(self, number: int) -> None:
         planner = self.planners[number]
-        if not planner.authority.lease:
+        if not planner.election.lease:
             await self.take_over(number)
         try:
             await planner._give(ENGINE, ORDER, self.loop.time())
         except AuthorityLostError:
-            await planner.authority.release()
+            await planner.election.release()
         except PortError:
             pass
 
--- a/tests/test_plan_store.py
+++ b/tests/test_plan_store.py
@@ -12,10 +12,10 @@
 from bergamotmast.model import Assignment
 from bergamotmast.model import FencingToken
 from bergamotmast.model import Role
-from bergamotmast.planner.authority import LEASE_SECONDS
-from bergamotmast.planner.authority import MOST_POLL_SECONDS
-from bergamotmast.planner.authority import Authority
-from bergamotmast.planner.plan_store import MOST_WRITES
+from bergamotmast.planner.election import LEASE_SECONDS
+from bergamotmast.planner.election import MAX_POLL_SECONDS
+from bergamotmast.planner.election import PlannerElection
+from bergamotmast.planner.plan_store import MAX_ENGINES_PER_TXN
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.protocol.plan import HEAD_KEY
 from bergamotmast.protocol.plan import decode_engine_plan
@@ -52,7 +52,7 @@
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     await planner.open()
-    names = {f"e{i:03}": PREFILL for i in range(MOST_WRITES + 1)}
+    names = {f"e{i:03}": PREFILL for i in range(MAX_ENGINES_PER_TXN + 1)}
     assert await planner.write(names) == FencingToken(1, 3)
     assert set(planner.plans) == set(names)
 
@@ -74,7 +74,7 @@
     assert stored(service, "e1").assignment == PREFILL
     with pytest.raises(AuthorityLostError):
         await old.write({"e1": DECODE})
-    assert await old.open() > new.seen
+    assert await old.open() > new.highest_token
 
 
 @pytest.mark.looptime
@@ -191,8 +191,8 @@
 @pytest.mark.looptime
 async def test_one_candidate_holds_the_lease_and_another_follows_its_death():
     service = KeyValueStandIn(delay=0.01)
-    first = Authority(service.client("a"), "a", random.Random(1))
-    second = Authority(service.client("b"), "b", random.Random(2))
+    first = PlannerElection(service.client("a"), "a", random.Random(1))
+    second = PlannerElection(service.client("b"), "b", random.Random(2))
     loop = asyncio.get_running_loop()
     await first.acquire()
     holding = asyncio.create_task(first.hold())
@@ -203,13 +203,13 @@
     holding.cancel()
     died_at = loop.time()
     await waiting
-    assert loop.time() - died_at <= LEASE_SECONDS + MOST_POLL_SECONDS + 1
+    assert loop.time() - died_at <= LEASE_SECONDS + MAX_POLL_SECONDS + 1
 
 
 @pytest.mark.looptime
 async def test_a_holder_that_cannot_renew_stops_by_the_end_of_its_lease():
     service = KeyValueStandIn(delay=0.01)
-    holder = Authority(service.client("a"), "a", random.Random(1))
+    holder = PlannerElection(service.client("a"), "a", random.Random(1))
     await holder.acquire()
     service.cut("a")
     started_at = asyncio.get_running_loop().time()
@@ -220,7 +220,7 @@
 @pytest.mark.looptime
 async def test_the_lease_is_held_though_the_reply_to_its_write_was_lost():
     service = KeyValueStandIn()
-    holder = Authority(service.client("a"), "a", random.Random(1))
+    holder = PlannerElection(service.client("a"), "a", random.Random(1))
     service.lose_next_reply(count=2)
     async with asyncio.timeout(60):
         await holder.acquire()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -24,17 +24,17 @@
 from bergamotmast.model import Role
 from bergamotmast.model import SideReport
 from bergamotmast.model import UpstreamKind
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner.convergence import CHANGE_TIMEOUT_SECONDS
+from bergamotmast.planner.convergence import REISSUE_SECONDS
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.fleet_view import TimedReport
-from bergamotmast.planner.groups import Repair
-from bergamotmast.planner.groups import allows
+from bergamotmast.planner.groups import RoleShift
+from bergamotmast.planner.groups import bounds_allow
 from bergamotmast.planner.groups import find_groups
-from bergamotmast.planner.groups import find_repair
+from bergamotmast.planner.groups import find_required_shift
 from bergamotmast.planner.groups import group_bounds
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.planner.planner import Planner
-from bergamotmast.planner.settling import CHANGE_LIMIT_SECONDS
-from bergamotmast.planner.settling import REISSUE_SECONDS
 from bergamotmast.policy.interfaces import RoleChange
 from bergamotmast.side.orders import OrderKeeper
 from bergamotmast.standins.engine import EngineStandIn
@@ -124,7 +124,7 @@
         rng = random.Random(name)
         client = self.service.client(name)
         return Planner(
-            Authority(client, name, rng),
+            PlannerElection(client, name, rng),
             PlanStore(client, name, rng, self.history),
             self.holder,
             self,
@@ -273,7 +273,7 @@
         wishes.engine, wishes.role = "e1", D
         await asyncio.sleep(20)
         assert f.taken() == []
-        await asyncio.sleep(CHANGE_LIMIT_SECONDS)
+        await asyncio.sleep(CHANGE_TIMEOUT_SECONDS)
         assert [r.engine for r in f.taken()] == ["e1"]
         planned = planner.store.plans["e0"].assignment
         wishes.engine = "e0"
@@ -366,8 +366,8 @@
             async def always(planner=planner):
                 await asyncio.sleep(planner.rng.uniform(0, 3))
 
-            planner.authority.acquire = always
-            planner.authority.hold = lambda: asyncio.sleep(1000)
+            planner.election.acquire = always
+            planner.election.hold = lambda: asyncio.sleep(1000)
             planners.append(f.start(planner.run()))
         await asyncio.sleep(120)
         writers = {r.writer for r in f.history.records if isinstance(r, PlanWritten)}
@@ -442,16 +442,16 @@
 @pytest.mark.parametrize(
     ("counts", "asked", "wanted"),
     [
-        ({P: 0, D: 0, M: 4}, {"prefill": (1, 2)}, Repair(M, P)),
-        ({P: 3, D: 1, M: 0}, {"prefill": (0, 2)}, Repair(P, M)),
-        ({P: 3, D: 1, M: 0}, {"prefill": (0, 2), "mixed": (0, 0)}, Repair(P, D)),
+        ({P: 0, D: 0, M: 4}, {"prefill": (1, 2)}, RoleShift(M, P)),
+        ({P: 3, D: 1, M: 0}, {"prefill": (0, 2)}, RoleShift(P, M)),
+        ({P: 3, D: 1, M: 0}, {"prefill": (0, 2), "mixed": (0, 0)}, RoleShift(P, D)),
         ({P: 1, D: 1, M: 2}, {"prefill": (1, 2), "decode": (1, 1)}, None),
         ({P: 1, D: 0, M: 0}, {"prefill": (1, 1), "decode": (1, 1)}, None),
     ],
 )
 def test_bounds_ask_for_one_change_at_a_time(counts, asked, wanted):
     full = {role: RoleBounds() for role in Role} | bounds(**asked)
-    assert find_repair(counts, full) == wanted
+    assert find_required_shift(counts, full) == wanted
 
 
 def test_bounds_of_a_selector_span_the_groups_it_names():
@@ -470,7 +470,7 @@
     roles = {"e1": P, "e2": M, "e3": P}
     left = group_bounds(groups[0], groups, roles)
     assert left[P] == RoleBounds(1, 2)
-    assert not allows(Repair(P, M), {P: 1, D: 0, M: 1}, left)
+    assert not bounds_allow(RoleShift(P, M), {P: 1, D: 0, M: 1}, left)
 
 
 def test_a_report_stays_fresh_for_as_long_as_the_next_one_may_take():
--- a/tests/test_restore_machine.py
+++ b/tests/test_restore_machine.py
@@ -23,7 +23,7 @@
 from bergamotmast.direct.role_planner import RolePlanner
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.history import NullHistory
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.store import PlatformStore
@@ -164,7 +164,7 @@
         client = self.memory.client(name)
         return RolePlanner(
             name,
-            Authority(client, name, rng, LEASE_SECONDS),
+            PlannerElection(client, name, rng, LEASE_SECONDS),
             PlanStore(
                 client,
                 name,
@@ -197,7 +197,7 @@
 
     @stateful.rule(number=st.integers(0, 1))
     def planner_starts_again(self, number) -> None:
-        held = self.planners[number].authority.lease
+        held = self.planners[number].election.lease
         if held:
             self.memory.end_lease(held)
         self.planners[number] = self.planner(number)
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -87,11 +87,11 @@
 @pytest.fixture(scope="module")
 def tls():
     """Return the contexts of a server and of its callers."""
-    authority = trustme.CA()
+    election = trustme.CA()
     server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-    authority.issue_cert("127.0.0.1").configure_cert(server)
+    election.issue_cert("127.0.0.1").configure_cert(server)
     caller = ssl.create_default_context()
-    authority.configure_trust(caller)
+    election.configure_trust(caller)
     return server, caller
 
 
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -25,7 +25,7 @@
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.store import PlatformStore
@@ -282,8 +282,8 @@
     """Guards against two holders when another entry takes the lost lease."""
     async with store_adapters(2) as (store, (first, second)):
         backup = store.backup()
-        former = Authority(first, "a", random.Random(1), 3, 0.01)
-        successor = Authority(second, "b", random.Random(2), 3, 0.01)
+        former = PlannerElection(first, "a", random.Random(1), 3, 0.01)
+        successor = PlannerElection(second, "b", random.Random(2), 3, 0.01)
         plans = plan_store(first, "a"), plan_store(second, "b")
         await former.acquire()
         before = await plans[0].open()
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -83,7 +83,7 @@
     generation: int
 
 
-class ReportBeat(Message, frozen=True, tag=4):
+class ReportHeartbeat(Message, frozen=True, tag=4):
     session: str
     sequence: int
     generation: int
@@ -194,7 +194,7 @@
 )
 ToEntry: t.TypeAlias = (
     Welcome
-    | ReportBeat
+    | ReportHeartbeat
     | SessionUnknown
     | Refused
     | Started
@@ -223,7 +223,7 @@
     async def next(self, kind):
         while True:
             message = decode_to_entry(await self.link.receive())
-            self.beats += isinstance(message, ReportBeat)
+            self.beats += isinstance(message, ReportHeartbeat)
             if isinstance(message, kind):
                 return message
 
@@ -265,11 +265,13 @@
             case Hello():
                 self.sessions += 1
                 yield Welcome(1, "u", "s1", "old", message.counter, 1)
-                yield ReportBeat("s1", 1, 1, Report("ready", "mixed", (f"{MODEL}@1",)))
+                yield ReportHeartbeat(
+                    "s1", 1, 1, Report("ready", "mixed", (f"{MODEL}@1",))
+                )
             case Heartbeat():
                 self.heartbeats += 1
                 report = Report("ready", "mixed", (f"{MODEL}@1",))
-                yield ReportBeat("s1", 1 + self.heartbeats, 1, report)
+                yield ReportHeartbeat("s1", 1 + self.heartbeats, 1, report)
             case Offer(work=ModelWork()):
                 yield Started(message.attempt)
                 for i in range(message.work.max_tokens):
@@ -414,7 +416,7 @@
 async def test_an_entry_that_is_too_old_is_told_so(monkeypatch, caplog):
     # The side takes no version 1 any more. The entry's hello opens nothing: it hears
     # which versions the side takes, and the side's log names the entry.
-    monkeypatch.setattr(messages, "OLDEST_VERSION", 2)
+    monkeypatch.setattr(messages, "MIN_PROTOCOL_VERSION", 2)
     async with fleet(entries=0, services=1) as f:
         link = f.network.dial("service-1")
         await link.send(encode(Hello(1, "entry-1", "old", 7, 1)))
@@ -439,7 +441,7 @@
         counter = messages.decode_to_side(frame).counter
         refused = messages.VersionRefused(9, 8, counter)
         await listener.send(peer, messages.encode(refused))
-        await asyncio.sleep(timing.VERSION_RETRY - 0.1)
+        await asyncio.sleep(timing.VERSION_RETRY_SECONDS - 0.1)
         assert listener.incoming.empty()
     assert caplog.text.count("it takes protocol 8 to 9") == 3
     with pytest.raises(RequestError) as caught:
@@ -449,7 +451,7 @@
 
 
 async def test_a_side_that_is_too_old_gets_no_work(monkeypatch, caplog):
-    monkeypatch.setattr(messages, "OLDEST_VERSION", 2)
+    monkeypatch.setattr(messages, "MIN_PROTOCOL_VERSION", 2)
     f = Fleet()
     side = FirstSide(f.network, "service-1")
     task = asyncio.create_task(side.run())
