--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -295,8 +295,8 @@
         with pytest.raises((AuthorityLostError, KeyValueUnavailableError)):
             await plans[0].write({"i-1": Assignment(Role.PREFILL)})
         await asyncio.wait_for(holding, 2.0)
-        assert not former.in_force
-        assert successor.in_force
+        assert not former.lease_is_valid
+        assert successor.lease_is_valid
 
 
 async def test_new_planner_epoch_exceeds_epochs_missing_from_a_backup():
