--- a/src/bergamotmast/planner/plan_store.py
+++ b/src/bergamotmast/planner/plan_store.py
@@ -1,8 +1,9 @@
-"""The plan in the key-value service, written under one planner's authority.
+"""Storage of the plan in the key-value service, fenced by compare-and-swap.
 
-Every write is one transaction that compares the head record's last write. A planner
-that was paused past its lease, or cut off while another took over, therefore fails its
-next write whatever it believes of itself: authority is the comparison, not the lease.
+Every write is one transaction that compares the revision of the head record. The next
+write of a planner that was paused past its lease, or partitioned while another took
+over, therefore fails even if it still believes that it holds the lease: the
+comparison decides who may write, not the lease.
 """
 
 from __future__ import annotations
@@ -44,33 +45,35 @@
 logger = logging.getLogger(__name__)
 
 MAX_ENGINES_PER_TXN = 100
-"""Engines changed by one transaction; etcd takes 128 operations by default."""
+"""Engine plans written by one transaction; etcd allows 128 operations by default."""
 
 
 def no_epoch_hint() -> int:
-    """Return 0: the epoch then rises by one with each planner."""
+    """Return 0, so that each takeover raises the epoch by one."""
     return 0
 
 
 class PlanStore:
-    """One planner's hold on the plan.
+    """One planner's read and write access to the plan.
 
     :param kv: the key-value service.
     :param planner: name of this planner, for operators and the history.
     :param rng: source of nonces.
     :param history: where accepted writes are recorded.
-    :param epoch_hint: least epoch of a new hold. The composition root gives one that
-        increases with each restore of the service, or else seconds of the wall clock:
-        after a restore a new process does not know the lost epochs, and a hint that
-        only increases exceeds them. It is no safeguard; a wrong clock only delays
-        obedience after a restore.
-    :param max_engines_per_txn: engines changed by one transaction.
-    :param carry_over: whether a takeover writes all parts anew under its authority. Not
-        needed where engines compare the tokens of orders themselves; the parts are then
-        taken out, so that the plan holds this planner's orders only.
+    :param epoch_hint: returns the minimum epoch of a takeover. The composition root
+        passes a value that increases with each restore of the service, or else seconds
+        of the wall clock: after a restore, a new process does not know the lost epochs,
+        and a hint that only increases exceeds them. Safety does not depend on it; with
+        a wrong clock, sides only obey later after a restore.
+    :param max_engines_per_txn: maximum number of engine plans that one transaction
+        writes.
+    :param carry_over: whether a takeover rewrites all engine plans under its own
+        token. This is not needed where engines compare the tokens of orders
+        themselves; the engine plans are then deleted, so that the plan holds only this
+        planner's orders.
     :param plans: the plan as last read or written, by engine.
-    :param tokens_at_open: authority of each part as :meth:`open` found it.
-    :param highest_token: highest authority this process has seen.
+    :param tokens_at_open: fencing tokens of the engine plans that :meth:`open` found.
+    :param highest_token: highest fencing token that this process has seen.
     :param restored: whether :meth:`open` found a last epoch below ``epoch_hint``, as
         after a restore of the service; the last holder's orders may be missing.
     """
@@ -101,86 +104,91 @@
         self.head_revision = 0
 
     async def open(self) -> FencingToken:
-        """Take authority: read the plan, raise its epoch and write every part under it.
+        """Take over the plan: read it, raise its epoch and rewrite the engine plans.
 
-        A part that stayed under an earlier epoch could be older than what its engine
-        has obeyed, where the service was restored and the processes that knew were
-        replaced: a new side would give its engine an order below the last one. A few
-        transactions at each takeover are enough to put every part above all before.
+        An engine plan left at an earlier epoch could be older than what its engine has
+        obeyed, if the service was restored and the processes that had seen the newer
+        plan were replaced: a new side would then send its engine an order with a lower
+        token than the last. Rewriting takes a few transactions per takeover and puts
+        every engine plan above all earlier ones.
 
-        :raises AuthorityLostError: if another planner wrote in the same moment.
-        :raises KeyValueUnavailableError: if the service is down, or its head record is
-            none; nothing changed.
+        :raises AuthorityLostError: if another planner wrote at the same time.
+        :raises KeyValueUnavailableError: if the service is down, or the head record
+            can't be decoded; nothing changed.
         """
-        found = await self.kv.range(PLAN_PREFIX)
-        stored = self._read(found)
-        lost = self._lost_by_restore(stored)
+        result = await self.kv.range(PLAN_PREFIX)
+        stored = self._decode(result)
+        lost = self._plans_lost_by_restore(stored)
         stored_epoch = self.head.epoch if self.head else 0
         last_epoch = max(stored_epoch, self.highest_token.epoch)
-        least_epoch = self.epoch_hint()
-        self.restored = 0 < last_epoch < least_epoch
+        min_epoch = self.epoch_hint()
+        self.restored = 0 < last_epoch < min_epoch
         stored_revision = self.head.revision if self.head else 0
         token = FencingToken(
-            max(last_epoch + 1, least_epoch),
+            max(last_epoch + 1, min_epoch),
             max(stored_revision, self.highest_token.revision) + 1,
         )
-        self.tokens_at_open = {name: part.token for name, part in stored.items()}
+        self.tokens_at_open = {name: plan.token for name, plan in stored.items()}
         self.plans = stored | lost
         await self._commit(token, {}, ())
         if not self.carry_over:
             return await self.write({}, removed=stored)
-        parts = {name: part.assignment for name, part in self.plans.items()}
-        return await self.write(parts)
+        assignments = {name: plan.assignment for name, plan in self.plans.items()}
+        return await self.write(assignments)
 
     async def write(
         self,
         assignments: cabc.Mapping[str, Assignment],
         removed: cabc.Collection[str] = (),
     ) -> FencingToken:
-        """Write the parts of some engines and return the authority of the last write.
+        """Write the plans of some engines and return the token of the last write.
 
-        :param removed: engines whose parts are taken out of the plan.
-        :raises AuthorityLostError: if the plan is not this planner's any more, or if
-            it can't be told whether the write took effect; open again.
+        :param removed: engines whose plans are deleted.
+        :raises AuthorityLostError: if another planner has taken the plan over, or if
+            it is unknown whether the write took effect; :meth:`open` again.
         :raises KeyValueUnavailableError: if the service is down; nothing changed.
         """
         if self.head is None:
             raise AuthorityLostError("The plan has to be opened first.")
         names = sorted({*assignments, *removed})
         for start in range(0, len(names), self.max_engines_per_txn):
-            part = names[start : start + self.max_engines_per_txn]
+            batch = names[start : start + self.max_engines_per_txn]
             token = FencingToken(self.head.epoch, self.head.revision + 1)
-            wanted = {n: assignments[n] for n in part if n in assignments}
-            await self._commit(token, wanted, [n for n in part if n not in wanted])
+            wanted = {n: assignments[n] for n in batch if n in assignments}
+            await self._commit(token, wanted, [n for n in batch if n not in wanted])
         return self.highest_token
 
-    def _read(self, found: RangeResult) -> dict[str, EnginePlan]:
+    def _decode(self, result: RangeResult) -> dict[str, EnginePlan]:
+        """Set the head from a range read and return the engine plans in it."""
         stored: dict[str, EnginePlan] = {}
         self.head = None
         self.head_revision = 0
-        for item in found.items:
+        for item in result.items:
             if item.key == HEAD_KEY:
-                self.head = _head(item)
+                self.head = _decode_head_item(item)
                 self.head_revision = item.mod_revision
             elif item.key.startswith(ENGINES_PREFIX):
-                part = _part(item)
-                if part is not None:
-                    stored[engine_of_key(item.key)] = part
+                plan = _decode_engine_item(item)
+                if plan is not None:
+                    stored[engine_of_key(item.key)] = plan
         return stored
 
-    def _lost_by_restore(self, stored: dict[str, EnginePlan]) -> dict[str, EnginePlan]:
-        """Return parts that this process has seen and the service has lost.
+    def _plans_lost_by_restore(
+        self, stored: dict[str, EnginePlan]
+    ) -> dict[str, EnginePlan]:
+        """Return engine plans that this process has seen and the service has lost.
 
-        A service restored from a backup holds older parts than the sides obey. Sides
-        refuse them, so the plan and the fleet would differ until the next change.
+        A service restored from a backup holds older engine plans than the sides obey.
+        Sides refuse these, so the plan and the fleet would differ until the next
+        change.
         """
         head = self.head.token if self.head else NO_TOKEN
-        gone_back = head < self.highest_token
+        rolled_back = head < self.highest_token
         lost: dict[str, EnginePlan] = {}
-        for name, part in self.plans.items():
+        for name, plan in self.plans.items():
             known = stored.get(name)
-            if (known is None and gone_back) or (known and known.token < part.token):
-                lost[name] = part
+            if (known is None and rolled_back) or (known and known.token < plan.token):
+                lost[name] = plan
         return lost
 
     async def _commit(
@@ -191,7 +199,7 @@
     ) -> None:
         nonce = f"{self.rng.getrandbits(64):016x}"
         head = PlanHead(token.epoch, token.revision, nonce, self.planner)
-        parts = {
+        plans = {
             name: EnginePlan(token.epoch, token.revision, assignment)
             for name, assignment in assignments.items()
         }
@@ -199,12 +207,12 @@
         writes.append(Put(guard_key(nonce), b""))
         if self.head:
             writes.append(Delete(guard_key(self.head.nonce)))
-        writes += [Put(engine_key(n), encode_record(p)) for n, p in parts.items()]
+        writes += [Put(engine_key(n), encode_record(p)) for n, p in plans.items()]
         writes += [Delete(engine_key(name)) for name in removed]
-        self.head_revision = await self._swap(writes, nonce)
+        self.head_revision = await self._compare_and_swap(writes, nonce)
         self.head = head
         self.highest_token = token
-        self.plans.update(parts)
+        self.plans.update(plans)
         for name in removed:
             self.plans.pop(name, None)
         at = asyncio.get_running_loop().time()
@@ -214,13 +222,15 @@
             )
         )
 
-    async def _swap(self, writes: cabc.Sequence[Put | Delete], nonce: str) -> int:
+    async def _compare_and_swap(
+        self, writes: cabc.Sequence[Put | Delete], nonce: str
+    ) -> int:
         """Replace the head and return its new revision in the store.
 
-        A write whose reply is lost and that reading back does not show may still be
-        under way and take effect later. Going on from the old head would then make two
-        writes of one planner race. Opening again raises the epoch, and with the head
-        changed the late write fails its comparison.
+        If the reply is lost and reading the head back does not show the write, the
+        write may still be in flight and take effect later. Continuing from the old
+        head would make two writes of one planner race. :meth:`open` raises the epoch
+        and replaces the head, so that the late write fails its comparison.
         """
         compares = [Compare(HEAD_KEY, self.head_revision)]
         if self.head:
@@ -229,37 +239,41 @@
             result = await self.kv.txn(compares, writes)
         except KeyValueOutcomeUnknownError:
             self.head = None
-            return await self._read_back(nonce)
+            return await self._confirm_write(nonce)
         if not result.succeeded:
             self.head = None
             raise AuthorityLostError("Another planner has written the plan.")
         return result.revision
 
-    async def _read_back(self, nonce: str) -> int:
+    async def _confirm_write(self, nonce: str) -> int:
+        """Return the head's revision if it was written with this nonce.
+
+        :raises AuthorityLostError: if it was not, or can't be read.
+        """
         item = None
         with contextlib.suppress(KeyValueUnavailableError):
             item = await self.kv.get(HEAD_KEY)
-        if item is None or _head(item).nonce != nonce:
-            raise AuthorityLostError("A write of the plan has no known end.")
+        if item is None or _decode_head_item(item).nonce != nonce:
+            raise AuthorityLostError("The outcome of a write of the plan is unknown.")
         return item.mod_revision
 
 
-def _head(item: KeyValue) -> PlanHead:
-    """Read the head record.
+def _decode_head_item(item: KeyValue) -> PlanHead:
+    """Decode the head record.
 
-    :raises KeyValueUnavailableError: for what is none. Written anew without its epoch,
-        the plan could fall behind what engines have obeyed.
+    :raises KeyValueUnavailableError: if the value can't be decoded. A new head written
+        without the old one's epoch could be older than what engines have obeyed.
     """
     try:
         return decode_head(item.value)
     except msgspec.DecodeError as error:
         raise KeyValueUnavailableError(
-            f"The plan's head is not understood: {error}"
+            f"The plan's head record can't be decoded: {error}"
         ) from error
 
 
-def _part(item: KeyValue) -> EnginePlan | None:
-    """Read one engine's part; what is none is left out as if nobody had written it."""
+def _decode_engine_item(item: KeyValue) -> EnginePlan | None:
+    """Decode one engine's plan; one that can't be decoded is logged and ignored."""
     try:
         return decode_engine_plan(item.value)
     except msgspec.DecodeError as error:
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -1,8 +1,8 @@
-"""The task that plans the fleet, in whichever process holds the planner's lease.
+"""Planning loop of the process that holds the planner's lease.
 
-The plan changes one engine of a group at a time, and only on a fresh picture: first
-what the role bounds ask for, then what engines should carry, and last what the shift
-policy wants of the mix.
+The plan changes one engine of a group at a time, and only while most reports of the
+group are fresh. Role changes that the bounds require come first, then changes of
+models and adapters, and last the role changes that the shift policy requests.
 """
 
 from __future__ import annotations
@@ -38,30 +38,30 @@
 from .plan_store import PlanStore
 
 TICK_SECONDS = 1.0
-"""Between two looks at the fleet."""
+"""Seconds between two planning rounds."""
 
 WEIGHT_STORE_POLL_SECONDS = 60.0
-"""Between two readings of the weight store's sizes and rate."""
+"""Maximum interval between two reads of the weight store's sizes and rate."""
 
 MAX_STALE_SHARE = 0.25
-"""Share of a group's engines without a fresh report above which it is left alone.
+"""Share of a group's engines without a fresh report above which nothing is changed.
 
-With a partition or the end of a process, reports stop together. The picture then
-shows a load that is gone, and a change made on it takes an engine from whoever has
-the work now.
+In a partition, or when a process ends, many reports stop at once. The last reports
+then show a load that is gone, and a change based on them would take an engine away
+from where the load is now.
 """
 
 ROLE_CHANGE_SECONDS = 8.0
-"""How long a role change takes an engine away, as the shift policy is told."""
+"""Time for which a role change makes an engine unavailable, for the shift policy."""
 
 logger = logging.getLogger(__name__)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlanChange:
-    """One engine's next assignment.
+    """A change of one engine's planned assignment.
 
-    :param reason: for the log.
+    :param reason: why it is changed, for the log.
     """
 
     engine: str
@@ -70,16 +70,17 @@
 
 
 class Planner:
-    """One candidate for planning the fleet.
+    """Planner of the fleet; several processes run one, and the elected one plans.
 
-    :param election: its share in the lease.
-    :param store: the plan.
+    :param election: this candidate's part in the leader election.
+    :param store: storage of the plan.
     :param holder: the configuration in force.
-    :param fleet: membership and load picture.
-    :param policy: when roles follow the mix.
+    :param fleet: membership and load of the fleet.
+    :param policy: decides which roles to change as the mix of work shifts.
     :param weights: the weight store.
     :param rng: source of jitter.
-    :param planning: whether it plans now, as far as it knows.
+    :param planning: whether this candidate has opened the plan and, as far as it knows,
+        still holds the lease.
     """
 
     def __init__(
@@ -102,15 +103,17 @@
         self.pacer = WeightPacer()
         self.convergence = ConvergenceTracker()
         self.planning = False
-        self._grouped: tuple[int, frozenset[str]] = (-1, frozenset())
-        self._found: tuple[Group, ...] = ()
+        self._groups_key: tuple[int, frozenset[str]] = (-1, frozenset())
+        self._cached_groups: tuple[Group, ...] = ()
 
     async def run(self) -> None:
         """Plan whenever this candidate holds the lease, until cancelled."""
         while True:
             await self.election.acquire()
             try:
-                await self.election.run_while_held(self._plan(), self._follow_weights())
+                await self.election.run_while_held(
+                    self._plan(), self._poll_weight_store()
+                )
             except (AuthorityLostError, PortError) as error:
                 logger.warning("planner %s: %s", self.store.planner, error.message)
             finally:
@@ -125,12 +128,12 @@
             try:
                 await self._tick()
             except PortError as error:
-                # An outage stops changes of the plan and nothing else; the lease
-                # tells when it has lasted too long.
+                # During an outage the plan is not changed and engines keep working. If
+                # the outage outlasts the lease, the planner loses the election.
                 logger.info("plan not written: %s", error.message)
             await asyncio.sleep(TICK_SECONDS)
 
-    async def _follow_weights(self) -> None:
+    async def _poll_weight_store(self) -> None:
         while True:
             try:
                 sizes = await self.weights.sizes()
@@ -145,10 +148,10 @@
         groups = self._groups()
         adopted = self._adopted(groups, now)
         reissued = self._reissued(groups, now)
-        changes = self._changes(groups, now)
+        changes = self._next_changes(groups, now)
         planned = {change.engine: change.assignment for change in changes}
         written = adopted | reissued | planned
-        removed = self._forgotten()
+        removed = self._unconfigured_engines()
         if written or removed:
             await self.store.write(written, removed)
         for engine in reissued:
@@ -159,9 +162,9 @@
             logger.info("plan of %s: %s", change.engine, change.reason)
 
     def _observe(self, now: float) -> None:
-        for engine, part in self.store.plans.items():
-            word = self.fleet.last_report(engine)
-            self.convergence.observe(engine, word, part.assignment, now)
+        for engine, plan in self.store.plans.items():
+            last = self.fleet.last_report(engine)
+            self.convergence.observe(engine, last, plan.assignment, now)
 
     def _groups(self) -> tuple[Group, ...]:
         leaving = self.fleet.leaving()
@@ -172,22 +175,24 @@
             and not info.leaving
             and info.name not in leaving
         )
-        if self._grouped != (self.holder.generation, engines):
-            self._grouped = (self.holder.generation, engines)
-            self._found = find_groups(self.holder.current, engines)
-        return self._found
+        if self._groups_key != (self.holder.generation, engines):
+            self._groups_key = (self.holder.generation, engines)
+            self._cached_groups = find_groups(self.holder.current, engines)
+        return self._cached_groups
 
     def _adopted(self, groups: tuple[Group, ...], now: float) -> dict[str, Assignment]:
-        """Return plans for engines that have none yet: what they are.
+        """Return the reported state, as the plan, of engines that have no plan yet.
 
-        Planning what they should be at once would change a whole group together.
+        Planning their target state at once would change a whole group together.
         """
         adopted: dict[str, Assignment] = {}
         for group in groups:
             for engine in group.engines:
-                word = self._fresh(engine, now)
-                if engine not in self.store.plans and word and word.report.role:
-                    adopted[engine] = _reported(word, group, word.report.role)
+                last = self._fresh_report(engine, now)
+                if engine not in self.store.plans and last and last.report.role:
+                    adopted[engine] = _reported_assignment(
+                        last, group, last.report.role
+                    )
         return adopted
 
     def _reissued(self, groups: tuple[Group, ...], now: float) -> dict[str, Assignment]:
@@ -199,16 +204,16 @@
             and self.convergence.needs_reissue(engine, now)
         }
 
-    def _forgotten(self) -> list[str]:
-        """Return engines in the plan that the configuration does not name any more."""
+    def _unconfigured_engines(self) -> list[str]:
+        """Return the planned engines that the configuration no longer contains."""
         configuration = self.holder.current
         if not configuration.generation:
             return []
         return [name for name in self.store.plans if name not in configuration.labels]
 
-    def _changes(self, groups: tuple[Group, ...], now: float) -> list[PlanChange]:
-        """Return at most one change for each selector's engines."""
-        busy = {
+    def _next_changes(self, groups: tuple[Group, ...], now: float) -> list[PlanChange]:
+        """Return at most one change per selector, counting changes in progress."""
+        changing = {
             selector.name
             for group in groups
             for engine in group.engines
@@ -218,53 +223,61 @@
         changes: list[PlanChange] = []
         for group in groups:
             names = {selector.name for selector in group.selectors}
-            change = self._change(group, groups, now, not names & busy)
+            change = self._next_change(group, groups, now, not names & changing)
             if change is not None:
                 changes.append(change)
-                busy |= names
+                changing |= names
         return changes
 
-    def _change(
-        self, group: Group, groups: tuple[Group, ...], now: float, free: bool
+    def _next_change(
+        self, group: Group, groups: tuple[Group, ...], now: float, may_change: bool
     ) -> PlanChange | None:
         """Return a group's next change.
 
-        :param free: whether one may begin; the policy learns of the mix in any case.
+        :param may_change: whether a change may begin. The policy is called in any
+            case, so that it can follow the mix of work.
         """
-        roles = {name: part.assignment.role for name, part in self.store.plans.items()}
+        roles = {name: plan.assignment.role for name, plan in self.store.plans.items()}
         bounds = group_bounds(group, groups, roles)
         counts = count_roles(group, roles)
         picture = FleetPicture(
             group.name, self._views(group, now), bounds, ROLE_CHANGE_SECONDS
         )
-        wish = self.policy.decide(picture, now)
-        able = self._able(group, now)
-        if not free or not able:
+        requested = self.policy.decide(picture, now)
+        changeable = self._changeable_engines(group, now)
+        if not may_change or not changeable:
             return None
-        repair = find_required_shift(counts, bounds)
-        if repair is not None:
-            return self._repair(able, repair)
-        carry = self._carry(group, able, now)
-        if carry is not None or wish is None or wish.engine not in able:
-            return carry
-        if not bounds_allow(RoleShift(roles[wish.engine], wish.role), counts, bounds):
+        required = find_required_shift(counts, bounds)
+        if required is not None:
+            return self._required_change(changeable, required)
+        load = self._load_change(group, changeable, now)
+        if load is not None or requested is None or requested.engine not in changeable:
+            return load
+        if not bounds_allow(
+            RoleShift(roles[requested.engine], requested.role), counts, bounds
+        ):
             return None
-        return self._role_change(wish.engine, wish.role, wish.reason)
+        return self._role_change(requested.engine, requested.role, requested.reason)
 
-    def _repair(self, able: list[str], repair: RoleShift) -> PlanChange | None:
-        for engine in able:
-            if self.store.plans[engine].assignment.role is repair.source:
-                return self._role_change(engine, repair.target, "role bounds")
+    def _required_change(
+        self, changeable: list[str], required: RoleShift
+    ) -> PlanChange | None:
+        for engine in changeable:
+            if self.store.plans[engine].assignment.role is required.source:
+                return self._role_change(engine, required.target, "role bounds")
         return None
 
     def _role_change(self, engine: str, role: Role, reason: str) -> PlanChange:
         assignment = dataclasses.replace(self.store.plans[engine].assignment, role=role)
         return PlanChange(engine, assignment, f"{role.value}: {reason}")
 
-    def _carry(self, group: Group, able: list[str], now: float) -> PlanChange | None:
+    def _load_change(
+        self, group: Group, changeable: list[str], now: float
+    ) -> PlanChange | None:
+        """Return a change to the group's models and adapters, if a load may begin."""
         if not self.pacer.may_begin(now):
             return None
-        for engine in able:
+        for engine in changeable:
             plan = self.store.plans[engine].assignment
             wanted = Assignment(plan.role, group.models, group.adapters)
             if wanted != plan:
@@ -275,59 +288,63 @@
                 return PlanChange(engine, wanted, f"carries {', '.join(loads)}")
         return None
 
-    def _able(self, group: Group, now: float) -> list[str]:
-        """Return the engines that can be changed, least busy first.
+    def _changeable_engines(self, group: Group, now: float) -> list[str]:
+        """Return the engines that can be changed, least loaded first.
 
-        None where too much of the picture is stale.
+        Returns none if too many reports of the group are stale.
         """
         fresh = {
-            engine: word
+            engine: last
             for engine in group.engines
-            if (word := self._fresh(engine, now)) is not None
+            if (last := self._fresh_report(engine, now)) is not None
         }
         if len(group.engines) - len(fresh) > MAX_STALE_SHARE * len(group.engines):
             return []
         ready = [
             engine
-            for engine, word in fresh.items()
-            if word.report.readiness is Readiness.READY and engine in self.store.plans
+            for engine, last in fresh.items()
+            if last.report.readiness is Readiness.READY and engine in self.store.plans
         ]
-        return sorted(ready, key=lambda engine: _busyness(fresh[engine]))
+        return sorted(ready, key=lambda engine: _load(fresh[engine]))
 
     def _views(self, group: Group, now: float) -> tuple[EngineView, ...]:
         zones = {info.name: info.zone for info in self.fleet.instances()}
         views = []
         for engine in group.engines:
-            part = self.store.plans.get(engine)
-            if part is None:
+            plan = self.store.plans.get(engine)
+            if plan is None:
                 continue
-            word = self.fleet.last_report(engine)
+            last = self.fleet.last_report(engine)
             views.append(
                 EngineView(
                     engine,
                     zones.get(engine, ""),
-                    word.report if word else None,
-                    word.at if word else 0.0,
-                    part.assignment.role,
+                    last.report if last else None,
+                    last.at if last else 0.0,
+                    plan.assignment.role,
                     self.convergence.is_changing(engine, now),
-                    word.fresh_until if word else 0.0,
+                    last.fresh_until if last else 0.0,
                 )
             )
         return tuple(views)
 
-    def _fresh(self, engine: str, now: float) -> TimedReport | None:
-        word = self.fleet.last_report(engine)
-        return word if word and now <= word.fresh_until else None
+    def _fresh_report(self, engine: str, now: float) -> TimedReport | None:
+        last = self.fleet.last_report(engine)
+        return last if last and now <= last.fresh_until else None
 
 
-def _busyness(word: TimedReport) -> int:
-    report = word.report
+def _load(last: TimedReport) -> int:
+    """Return the number of an engine's running decodes and queued requests."""
+    report = last.report
     return report.running_decode + report.queued_prefill + report.queued_decode
 
 
-def _reported(word: TimedReport, group: Group, role: Role) -> Assignment:
-    """Return what an engine says it is; a side does not tell models from adapters."""
-    carried = sorted(word.report.models)
+def _reported_assignment(last: TimedReport, group: Group, role: Role) -> Assignment:
+    """Return the assignment that an engine reports.
+
+    Reports list models and adapters together; the group's adapters tell them apart.
+    """
+    carried = sorted(last.report.models)
     return Assignment(
         role,
         tuple(item for item in carried if item not in group.adapters),
