--- a/src/bergamotmast/entry/http.py
+++ b/src/bergamotmast/entry/http.py
@@ -1,4 +1,4 @@
-"""The caller interface of an entry over HTTP."""
+"""HTTP interface of an entry for callers."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 from .core import EntryCore
 from .http_errors import error_body
 from .http_errors import error_response
-from .openai import ChatWording
+from .openai import ChatFormat
 from .openai import CompletionBody
-from .openai import CompletionWording
-from .openai import Wording
+from .openai import CompletionFormat
+from .openai import ResponseFormat
 from .openai import estimate_tokens
 from .openai import prefix_key
 from .openai import read_chat
@@ -41,10 +41,10 @@
 logger = logging.getLogger(__name__)
 
 SERVICES_PATH = "/services"
-"""Plain services' paths stand below it; what follows goes to the service as sent."""
+"""Path prefix of plain services; the rest of a path is passed on unchanged."""
 
-GONE_CHECK_INTERVAL = 0.5
-"""Seconds between two looks whether a caller without a stream is still there."""
+DISCONNECT_CHECK_INTERVAL = 0.5
+"""Seconds between checks whether a caller that waits for a response is connected."""
 
 _REQUEST_ID = web.RequestKey("request_id", str)
 _Result = t.TypeVar("_Result")
@@ -53,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """How much one caller may ask for.
+    """Limits of a single request.
 
-    :param body_bytes: largest body.
-    :param context_tokens: longest prompt and answer together.
+    :param body_bytes: maximum size of the body.
+    :param context_tokens: maximum tokens of the prompt and ``max_tokens`` together.
     """
 
     body_bytes: int = DEFAULT_BODY_BYTES
@@ -64,11 +64,11 @@
 
 
 class EntryHttp:
-    """Translates between HTTP and an entry.
+    """Translates HTTP requests of callers to calls of an entry.
 
     :param core: the entry.
-    :param limits: how much one caller may ask for.
-    :param busy: connections whose request is being answered.
+    :param limits: limits of a single request.
+    :param busy: connections that have a request in flight.
     """
 
     def __init__(self, core: EntryCore, limits: CallerLimits | None = None) -> None:
@@ -80,9 +80,9 @@
         """Return the application that serves callers."""
         application = web.Application(
             client_max_size=self.limits.body_bytes,
-            middlewares=[self._at_work, self._errors],
+            middlewares=[self._track_busy_connections, self._errors],
         )
-        application.on_response_prepare.append(self._say_close)
+        application.on_response_prepare.append(self._add_connection_close)
         router = application.router
         router.add_post("/v1/completions", self._completions)
         router.add_post("/v1/chat/completions", self._chat_completions)
@@ -94,20 +94,20 @@
         return application
 
     @web.middleware
-    async def _at_work(
+    async def _track_busy_connections(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
-        """Note which connections must not be closed as idle."""
+        """Track the connections that must not be closed as idle."""
         self.busy.add(request.protocol)
         try:
             return await handler(request)
         finally:
             self.busy.discard(request.protocol)
 
-    async def _say_close(
+    async def _add_connection_close(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        """Tell callers of an entry that ends to use another connection next."""
+        """Close connections after their response once the entry shuts down."""
         if self.core.closing:
             response.force_close()
             response.headers["Connection"] = "close"
@@ -116,7 +116,7 @@
     async def _errors(
         self, request: web.Request, handler: _Handler
     ) -> web.StreamResponse:
-        """Give every failure a numbered code, and every log line the request's id."""
+        """Turn failures into error responses and add the request id to log lines."""
         request_id = request_id_of(request)
         request[_REQUEST_ID] = request_id
         with request_context(request_id):
@@ -139,7 +139,7 @@
         return web.Response(status=503, text="not ready\n")
 
     async def _sides(self, request: web.Request) -> web.Response:
-        """Answer how many sides this entry can offer work to."""
+        """Respond with the number of sides that this entry can offer work to."""
         peers = self.core.membership.peers.values()
         return web.Response(text=f"{sum(peer.is_ready for peer in peers)}\n")
 
@@ -155,12 +155,12 @@
     async def _completions(self, request: web.Request) -> web.StreamResponse:
         caller = self._caller(request)
         body = read_completion(await request.read())
-        return await self._generate(request, caller, body, CompletionWording())
+        return await self._generate(request, caller, body, CompletionFormat())
 
     async def _chat_completions(self, request: web.Request) -> web.StreamResponse:
         caller = self._caller(request)
         body = read_chat(await request.read())
-        return await self._generate(request, caller, body, ChatWording())
+        return await self._generate(request, caller, body, ChatFormat())
 
     def _caller(self, request: web.Request) -> Caller:
         return read_caller(request, request[_REQUEST_ID], self.core.holder.current)
@@ -170,14 +170,14 @@
         request: web.Request,
         caller: Caller,
         body: CompletionBody,
-        wording: Wording,
+        response_format: ResponseFormat,
     ) -> web.StreamResponse:
         call = self._model_call(caller, body)
         chunks = self.core.submit_model(call)
         async with contextlib.aclosing(chunks):
             if body.stream:
-                return await _stream(request, call, chunks, wording)
-            return await _whole(request, call, chunks, wording)
+                return await _respond_streamed(request, call, chunks, response_format)
+            return await _respond_whole(request, call, chunks, response_format)
 
     def _model_call(self, caller: Caller, body: CompletionBody) -> ModelCall:
         tokens = estimate_tokens(body.prompt)
@@ -256,7 +256,7 @@
 
 
 def _as_request_error(request: web.Request, error: web.HTTPException) -> RequestError:
-    """Return the numbered form of an error that the HTTP library raised."""
+    """Return the request error for an error that the HTTP library raised."""
     if error.status == 413:
         return RequestError(ResultCode.BODY_TOO_LARGE)
     if error.status in (404, 405):
@@ -265,14 +265,14 @@
     return RequestError(ResultCode.MALFORMED_BODY, error.reason)
 
 
-async def _whole(
+async def _respond_whole(
     request: web.Request,
     call: ModelCall,
     chunks: cabc.AsyncGenerator[TokenChunk],
-    wording: Wording,
+    response_format: ResponseFormat,
 ) -> web.Response:
-    text, tokens, finish = await _while_connected(request, _collect(chunks))
-    body = wording.whole(call.request_id, call.model, text, finish)
+    text, tokens, finish = await _cancel_on_disconnect(request, _collect(chunks))
+    body = response_format.full_body(call.request_id, call.model, text, finish)
     body["created"] = int(time.time())
     body["usage"] = {
         "prompt_tokens": call.prompt_tokens,
@@ -286,14 +286,17 @@
     )
 
 
-async def _while_connected(
+async def _cancel_on_disconnect(
     request: web.Request, work: t.Coroutine[t.Any, t.Any, _Result]
 ) -> _Result:
-    """Return what the work gives; a caller that goes away cancels it."""
+    """Return the result of the work, and cancel it if the caller disconnects.
+
+    :raises RequestError: ``CANCELLED_BY_CALLER`` if the caller disconnected.
+    """
     task = asyncio.ensure_future(work)
     try:
         while not task.done():
-            await asyncio.wait({task}, timeout=GONE_CHECK_INTERVAL)
+            await asyncio.wait({task}, timeout=DISCONNECT_CHECK_INTERVAL)
             if request.transport is None or request.transport.is_closing():
                 raise RequestError(ResultCode.CANCELLED_BY_CALLER)
         return task.result()
@@ -315,16 +318,16 @@
     return "".join(parts), tokens, finish
 
 
-async def _stream(
+async def _respond_streamed(
     request: web.Request,
     call: ModelCall,
     chunks: cabc.AsyncGenerator[TokenChunk],
-    wording: Wording,
+    response_format: ResponseFormat,
 ) -> web.StreamResponse:
     """Stream an answer as server-sent events.
 
-    Headers go out with the first chunk, so that a refusal still has its own status;
-    what fails later is the last event of the stream.
+    The headers are sent with the first chunk, so that a refusal still gets its own
+    status. A later failure is reported as the last event of the stream.
     """
     response = web.StreamResponse(
         headers={
@@ -333,16 +336,16 @@
             REQUEST_ID_HEADER: call.request_id,
         }
     )
-    first = await _while_connected(request, _next(chunks))
+    first = await _cancel_on_disconnect(request, _first_chunk(chunks))
     await response.prepare(request)
     try:
-        await _write_events(response, call, first, chunks, wording)
+        await _write_events(response, call, first, chunks, response_format)
     except ConnectionError:
-        logger.info("caller of %s went away", call.request_id)
+        logger.info("caller of request %s disconnected", call.request_id)
     return response
 
 
-async def _next(chunks: cabc.AsyncGenerator[TokenChunk]) -> TokenChunk:
+async def _first_chunk(chunks: cabc.AsyncGenerator[TokenChunk]) -> TokenChunk:
     return await anext(chunks)
 
 
@@ -351,19 +354,21 @@
     call: ModelCall,
     first: TokenChunk,
     chunks: cabc.AsyncGenerator[TokenChunk],
-    wording: Wording,
+    response_format: ResponseFormat,
 ) -> None:
-    """Write a stream to its end.
+    """Write all events of a stream.
 
-    The last chunk goes out with the end of the stream: each write to a socket costs
-    more than everything else that is done for a token.
+    The last chunk is written together with the end of the stream: a write to a socket
+    costs more than all other work for a token.
     """
     end = b""
     chunk: TokenChunk | None = first
     try:
         while chunk is not None:
-            part = wording.part(call.request_id, call.model, chunk.text, chunk.finish)
-            event = b"data: " + msgspec.json.encode(part) + b"\n\n"
+            stream_event = response_format.stream_event(
+                call.request_id, call.model, chunk.text, chunk.finish
+            )
+            event = b"data: " + msgspec.json.encode(stream_event) + b"\n\n"
             if chunk.finish:
                 end += event
             else:
--- a/src/bergamotmast/entry/service_run.py
+++ b/src/bergamotmast/entry/service_run.py
@@ -1,4 +1,4 @@
-"""One call of a plain service at its entry; at most once where it must not repeat."""
+"""Execution of one call of a plain service, at most once if it is not repeatable."""
 
 from __future__ import annotations
 
@@ -20,63 +20,75 @@
 from .attempt import EntryAttempt
 from .attempt import SessionLost
 from .attempt import SideReplaced
-from .interfaces import RunsEntry
+from .interfaces import EntryContext
 from .placement import Placement
 
-COMPLETION_TIMEOUT = 1.0
-"""Seconds an answer waits for its claim to be marked as completed."""
+CLAIM_WRITE_TIMEOUT = 1.0
+"""Seconds for which an answer is held back while the end of its claim is written."""
 
-RESOLUTION_GRACE = 10.0
-"""Seconds for which a call that may be running waits for its side to be heard again.
+SESSION_RECOVERY_GRACE = 10.0
+"""Seconds for which a call that may be running waits for a new session with its side.
 
-A cut of some seconds then ends in the true answer. A side that died never tells, and
-holding the caller until a deadline minutes away would only delay "unknown".
+After a network partition of a few seconds, the call still gets its real answer. A side
+that died never reports, and waiting for a deadline that is minutes away would only
+delay the outcome "unknown".
 """
 
 
 class ServiceRun:
     """Runs one call of a plain service.
 
-    :param entry: the entry that runs it.
-    :param call: the request.
+    A repeatable call is retried on another upstream. Any other call is offered again
+    only if it certainly did not run; with an idempotency key, it also needs a claim.
+
+    :param entry: the entry that runs the call.
+    :param call: the call.
     """
 
-    def __init__(self, entry: RunsEntry, call: ServiceCall) -> None:
+    def __init__(self, entry: EntryContext, call: ServiceCall) -> None:
         self.entry = entry
         self.call = call
         self.placement = Placement(entry, call)
 
     async def answer(self) -> ServiceAnswer:
-        """Return the whole answer.
+        """Run the call and return its answer.
 
-        :raises RequestError: if there is none.
+        :raises RequestError: if the call ends without an answer.
         """
         if self.call.repeatable:
-            return await self._attempts()
+            return await self._run_attempts()
         if not self.call.idempotency_key:
-            return await self._attempts()
-        return await self._once()
+            return await self._run_attempts()
+        return await self._run_at_most_once()
+
+    async def _run_at_most_once(self) -> ServiceAnswer:
+        """Claim the caller's idempotency key, then run the call.
 
-    async def _once(self) -> ServiceAnswer:
-        """Claim the caller's key, then run; no claim, no run."""
+        Without a granted claim the call does not run. The answer stored for an earlier
+        call with the key is returned as it is.
+        """
         claims = self.entry.claims
         key = f"{self.call.tenant}/{self.call.route}/{self.call.idempotency_key}"
         earlier = await claims.claim(key, self._digest())
         if earlier is not None:
             return earlier
         try:
-            answer = await self._attempts()
+            answer = await self._run_attempts()
         except RequestError as error:
             if CODE_INFO[error.code].outcome is Outcome.NOT_RUN:
-                await self._settle(claims.release(key))
+                await self._finish_claim(claims.release(key))
             raise
-        await self._settle(claims.complete(key, answer))
+        await self._finish_claim(claims.complete(key, answer))
         return answer
 
-    async def _settle(self, writing: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Write the end of a claim; a claim left open only makes a replay unknown."""
+    async def _finish_claim(self, writing: t.Coroutine[t.Any, t.Any, None]) -> None:
+        """Record the end of a claim, within a time limit.
+
+        A failure is ignored: a claim left open only makes a replay of its key end as
+        "unknown".
+        """
         try:
-            async with asyncio.timeout(COMPLETION_TIMEOUT):
+            async with asyncio.timeout(CLAIM_WRITE_TIMEOUT):
                 await writing
         except (PortError, RequestError, TimeoutError):
             return
@@ -86,7 +98,7 @@
         text = f"{call.method} {call.path} {call.content_type}\n".encode()
         return hashlib.sha256(text + call.body).digest()[:16]
 
-    async def _attempts(self) -> ServiceAnswer:
+    async def _run_attempts(self) -> ServiceAnswer:
         self.entry.policy.on_admitted(self.call, self.placement.now())
         while True:
             choice = await self.placement.choose(0, self.call.deadline)
@@ -97,9 +109,9 @@
             if attempt is None:
                 continue
             try:
-                answer = await self._follow(attempt)
+                answer = await self._consume(attempt)
             finally:
-                self.placement.leave(attempt)
+                self.placement.detach(attempt)
             if answer is not None:
                 self.placement.on_done(attempt.upstream, 0)
                 return answer
@@ -116,8 +128,11 @@
             idempotency_key=call.idempotency_key,
         )
 
-    async def _follow(self, attempt: EntryAttempt) -> ServiceAnswer | None:
-        """Return the answer, or ``None`` if another attempt may be made."""
+    async def _consume(self, attempt: EntryAttempt) -> ServiceAnswer | None:
+        """Handle the attempt's events until it ends.
+
+        :returns: the answer; ``None`` if another attempt may be made.
+        """
         while True:
             event = await attempt.events.get()
             match event:
@@ -129,43 +144,50 @@
                     )
                     return None
                 case messages.Failed() | SideReplaced():
-                    self._on_lost(attempt)
+                    self._on_outcome_unknown(attempt)
                     return None
                 case SessionLost() if self.call.repeatable:
-                    self._on_lost(attempt)
+                    self._on_outcome_unknown(attempt)
                     return None
                 case SessionLost():
-                    self._give_up_by(attempt, self.placement.now() + RESOLUTION_GRACE)
+                    self._set_resolution_deadline(
+                        attempt, self.placement.now() + SESSION_RECOVERY_GRACE
+                    )
                 case messages.AttemptState(state="started"):
-                    self._give_up_by(attempt, self.call.deadline)
+                    self._set_resolution_deadline(attempt, self.call.deadline)
                 case messages.AttemptState(state="never_started"):
                     self.placement.on_refused(
                         attempt.upstream, ResultCode.STALE_SESSION, None
                     )
                     return None
                 case messages.AttemptState(state="done"):
-                    return await self._answer_kept(attempt)
+                    return await self._wait_for_stored_answer(attempt)
                 case DeadlinePassed():
                     return await self._give_up(attempt)
                 case _:
                     pass
 
-    def _give_up_by(self, attempt: EntryAttempt, at: float) -> None:
-        """Set the time at which the call ends as unknown without its side's word."""
+    def _set_resolution_deadline(self, attempt: EntryAttempt, at: float) -> None:
+        """Set when the call ends as unknown if its side reports nothing.
+
+        :param at: local monotonic time; the call's deadline also applies.
+        """
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.timer = asyncio.get_running_loop().call_at(
             min(at, self.call.deadline), attempt.events.put_nowait, DeadlinePassed()
         )
 
-    def _on_lost(self, attempt: EntryAttempt) -> None:
-        """Go on with a repeatable call; end any other as unknown."""
+    def _on_outcome_unknown(self, attempt: EntryAttempt) -> None:
+        """Allow another attempt of a repeatable call; end any other as unknown."""
         self.placement.on_failed(attempt.upstream, ResultCode.OUTCOME_UNKNOWN, 0)
         if not self.call.repeatable:
             raise self.placement.error(ResultCode.OUTCOME_UNKNOWN, None)
 
-    async def _answer_kept(self, attempt: EntryAttempt) -> ServiceAnswer | None:
-        """Wait for the answer that follows the word that the call is done."""
+    async def _wait_for_stored_answer(
+        self, attempt: EntryAttempt
+    ) -> ServiceAnswer | None:
+        """Wait for the answer that follows the report that the call is done."""
         try:
             async with asyncio.timeout(timing.CANCEL_REPLY_TIMEOUT_SECONDS):
                 while True:
@@ -173,16 +195,16 @@
                     if isinstance(event, messages.ServiceDone):
                         return _answer(event)
         except TimeoutError:
-            self._on_lost(attempt)
+            self._on_outcome_unknown(attempt)
             return None
 
     async def _give_up(self, attempt: EntryAttempt) -> ServiceAnswer | None:
-        """End the call at its deadline and say truly whether it ran."""
+        """End the call at its deadline with the outcome that the side reports."""
         state = await self.placement.resolve(attempt)
         if state == "never_started":
             raise self.placement.error(ResultCode.EXPIRED_IN_QUEUE, None)
         if state == "done":
-            return await self._answer_kept(attempt)
+            return await self._wait_for_stored_answer(attempt)
         self.placement.may_have_run = True
         raise self.placement.error(ResultCode.OUTCOME_UNKNOWN, None)
 
