--- a/src/bergamotmast/entry/membership.py
+++ b/src/bergamotmast/entry/membership.py
@@ -91,7 +91,7 @@
         self.infos = {info.name: info for info in instances}
         wanted = self._working_upstreams()
         for name in sorted(wanted):
-            self._ensure_peer(self.infos[name], timing.BEAT_INTERVAL)
+            self._ensure_peer(self.infos[name], timing.HEARTBEAT_INTERVAL_SECONDS)
         if self.observes_all():
             wanted |= self._observe(set(self.infos) - wanted)
         wanted |= self._observe(self._observed_leaving() - wanted)
@@ -163,5 +163,5 @@
     Changes of the interval between heartbeats are ignored, unless they turn a working
     session into an observing one or the reverse.
     """
-    same_kind = peer.is_observer == (interval > timing.BEAT_INTERVAL)
+    same_kind = peer.is_observer == (interval > timing.HEARTBEAT_INTERVAL_SECONDS)
     return same_kind and peer.info.side_address == info.side_address
--- a/src/bergamotmast/side/session_server.py
+++ b/src/bergamotmast/side/session_server.py
@@ -126,7 +126,7 @@
         of a session's lifetime means that every entry has closed its session.
         """
         now = _now()
-        if now - self.last_ran_at > timing.SIDE_TIMEOUT:
+        if now - self.last_ran_at > timing.SIDE_TIMEOUT_SECONDS:
             logger.warning(
                 "did not run for %.1f s: sessions end", now - self.last_ran_at
             )
@@ -139,7 +139,7 @@
             await self._on_hello(peer, message)
             return
         if isinstance(message, messages.ConfigDocument):
-            config_exchange.take_document(self.holder, message)
+            config_exchange.offer_document(self.holder, message)
             return
         if isinstance(message, messages.ConfigPull):
             await self._send_document(peer, message.generation)
@@ -184,7 +184,7 @@
         await self.send(peer, messages.SessionUnknown(message.session))
 
     async def _on_hello(self, peer: bytes, hello: messages.Hello) -> None:
-        version = messages.agreed_version(hello.version)
+        version = messages.negotiate_version(hello.version)
         if version is None:
             await self._refuse_version(peer, hello)
             return
@@ -212,11 +212,11 @@
             "entry %s speaks protocol %d, this side takes %d to %d: no session",
             hello.entry,
             hello.version,
-            messages.OLDEST_VERSION,
+            messages.MIN_PROTOCOL_VERSION,
             messages.PROTOCOL_VERSION,
         )
         refused = messages.VersionRefused(
-            messages.PROTOCOL_VERSION, messages.OLDEST_VERSION, hello.counter
+            messages.PROTOCOL_VERSION, messages.MIN_PROTOCOL_VERSION, hello.counter
         )
         await self.send(peer, refused)
 
@@ -229,14 +229,16 @@
             for session in list(self.table.by_name.values()):
                 if session.next_heartbeat_at <= self.last_ran_at:
                     await self.send_report(session)
-            await asyncio.sleep(timing.BEAT_INTERVAL)
+            await asyncio.sleep(timing.HEARTBEAT_INTERVAL_SECONDS)
 
     async def send_report(self, session: Session) -> None:
         """Send an entry a heartbeat with a report of the current state."""
         session.heartbeats_sent += 1
         # Due half an interval of the loop early rather than a whole interval late.
-        session.next_heartbeat_at = _now() + session.interval - timing.BEAT_INTERVAL / 2
-        beat = messages.ReportBeat(
+        session.next_heartbeat_at = (
+            _now() + session.interval - timing.HEARTBEAT_INTERVAL_SECONDS / 2
+        )
+        beat = messages.ReportHeartbeat(
             session.name,
             session.heartbeats_sent,
             self.holder.generation,
@@ -260,7 +262,7 @@
             s.name: s.heartbeats_received + HEARTBEATS_UNTIL_READ
             for s in working_sessions
         }
-        end_by = _now() + timing.SIDE_TIMEOUT
+        end_by = _now() + timing.SIDE_TIMEOUT_SECONDS
         while awaited and _now() < end_by:
             await asyncio.sleep(READ_CHECK_INTERVAL)
             open_sessions = self.table.by_name
@@ -272,11 +274,11 @@
             }
 
     async def _compare_generation(self, peer: bytes, generation: int) -> None:
-        if request := config_exchange.pull(self.holder, generation):
+        if request := config_exchange.config_pull(self.holder, generation):
             await self.send(peer, request)
 
     async def _send_document(self, peer: bytes, generation: int) -> None:
-        if document := config_exchange.newer_document(self.holder, generation):
+        if document := config_exchange.newer_config_document(self.holder, generation):
             await self.send(peer, document)
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
