--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -64,6 +64,7 @@
                     yield chunk
 
     def _wait_until(self) -> float:
+        """Return the local monotonic time until which the run waits for an upstream."""
         return self.call.deadline if self.tokens else self.call.first_token_by
 
     async def _offer(self, choice: Choice) -> EntryAttempt | None:
@@ -87,6 +88,11 @@
         return await self.placement.offer(choice.upstream, cost, work)
 
     def _cost_left(self, prefill_only: bool) -> Cost:
+        """Return the predicted cost of the next attempt, in tokens.
+
+        With an exported KV cache no prefill is left. To resume an answer, its tokens
+        are prefilled along with the prompt.
+        """
         prefill = 0 if self.kv_handle else self.cost.prefill + self.tokens
         decode = 1 if prefill_only else self.cost.decode - self.tokens
         return Cost(prefill, max(1, decode))
@@ -95,19 +101,19 @@
         """Yield the chunks that an attempt adds, until it completes or fails."""
         ended = False
         self.kv_handle = ""
-        before = self.tokens
+        tokens_before = self.tokens
         try:
             while not ended:
                 event = await attempt.events.get()
                 match event:
                     case messages.Chunk():
                         if event.index > self.tokens:
-                            self._on_broken(attempt, before)
+                            self._on_attempt_failed(attempt, tokens_before)
                             return
                         chunk = self._accept(attempt, event)
                         ended = bool(event.finish)
                         if ended:
-                            self._on_finish(attempt, event, before)
+                            self._on_finish(attempt, event, tokens_before)
                         if chunk is not None:
                             yield chunk
                             await self._grant(attempt)
@@ -119,10 +125,10 @@
                     case messages.Failed():
                         ended = True
                         self.placement.has_run = True
-                        self._on_broken(attempt, before)
+                        self._on_attempt_failed(attempt, tokens_before)
                     case SessionLost() | SideReplaced():
                         ended = True
-                        self._on_broken(attempt, before)
+                        self._on_attempt_failed(attempt, tokens_before)
                     case DeadlinePassed():
                         await self._give_up(attempt)
                         ended = True
@@ -153,9 +159,10 @@
         )
 
     def _on_finish(
-        self, attempt: EntryAttempt, chunk: messages.Chunk, before: int
+        self, attempt: EntryAttempt, chunk: messages.Chunk, tokens_before: int
     ) -> None:
-        self.placement.on_done(attempt.upstream, self.tokens - before)
+        """Complete an attempt; after a handoff, a decode engine goes on."""
+        self.placement.on_done(attempt.upstream, self.tokens - tokens_before)
         if chunk.finish == "handoff":
             self.kv_handle = chunk.kv_handle
             self.placement.accepted = True
@@ -163,9 +170,9 @@
         else:
             self.finished = True
 
-    def _on_broken(self, attempt: EntryAttempt, before: int) -> None:
+    def _on_attempt_failed(self, attempt: EntryAttempt, tokens_before: int) -> None:
         self.placement.on_failed(
-            attempt.upstream, ResultCode.UPSTREAM_FAILED, self.tokens - before
+            attempt.upstream, ResultCode.UPSTREAM_FAILED, self.tokens - tokens_before
         )
 
     async def _give_up(self, attempt: EntryAttempt) -> t.NoReturn:
@@ -178,6 +185,7 @@
         raise self.placement.error(ResultCode.DEADLINE_EXCEEDED, None)
 
     async def _grant(self, attempt: EntryAttempt) -> None:
+        """Grant credit to the side each time half of the window has been consumed."""
         attempt.consumed_chunks += 1
         if attempt.consumed_chunks * 2 >= timing.CHUNK_CREDIT:
             peer = self.entry.membership.peers.get(attempt.upstream)
--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -277,6 +277,11 @@
             return None
 
     async def _on_session_open(self, welcome: messages.Welcome) -> None:
+        """Start a session and resolve the attempts of the earlier one.
+
+        If the side's process was replaced, their state is lost. Otherwise a cancel is
+        sent for each, to which the side replies with the attempt's state.
+        """
         replaced = welcome.incarnation != self.side_incarnation
         self.side_incarnation = welcome.incarnation
         self.session = welcome.session
@@ -290,6 +295,7 @@
         await self._compare_generation(welcome.generation)
 
     def _on_session_lost(self) -> None:
+        """Clear the session and notify the attempts that were offered in it."""
         if self.session is None:
             return
         self.session = None
@@ -338,15 +344,17 @@
         attempt.on_progress(chunk.tokens)
         attempt.events.put_nowait(chunk)
 
-    async def _on_report(self, beat: messages.ReportHeartbeat) -> None:
-        if beat.session != self.session:
+    async def _on_report(self, heartbeat: messages.ReportHeartbeat) -> None:
+        if heartbeat.session != self.session:
             return
-        self.report = beat.report
+        self.report = heartbeat.report
         self.reported_at = asyncio.get_running_loop().time()
-        reported_plan = FencingToken(beat.report.plan_epoch, beat.report.plan_revision)
+        reported_plan = FencingToken(
+            heartbeat.report.plan_epoch, heartbeat.report.plan_revision
+        )
         self.plan_seen = max(self.plan_seen, reported_plan)
         self.offered_since_report = Cost(0, 0)
-        await self._compare_generation(beat.generation)
+        await self._compare_generation(heartbeat.generation)
 
     # Configuration
 
--- a/src/bergamotmast/entry/placement.py
+++ b/src/bergamotmast/entry/placement.py
@@ -136,6 +136,7 @@
     ) -> EntryAttempt | None:
         """Offer the request to an upstream and start the timer of its deadline.
 
+        :param cost: predicted cost of the attempt, in tokens.
         :returns: the attempt; ``None`` if the offer was certainly not handed over.
         :raises RequestError: if that was the last refusal allowed.
         """
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -234,6 +234,7 @@
         self._start_ready_attempts()
 
     def _admit(self, session: Session, offer: messages.Offer) -> ResultCode:
+        """Queue an offer if the side is ready and the policy admits it."""
         readiness = self.readiness
         if readiness is Readiness.LEAVING:
             return ResultCode.UPSTREAM_LEAVING
@@ -361,6 +362,7 @@
     # Expiry
 
     async def _expire(self) -> None:
+        """Drop expired attempts, sessions and kept answers until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL)
             now = self._now()
@@ -384,6 +386,7 @@
                 del self.attempts[attempt.name]
 
     def _after_readiness_change(self) -> None:
+        """Unless ready, refuse the waiting attempts and send all entries a report."""
         if self.readiness is Readiness.READY:
             return
         code = ResultCode.ENGINE_NOT_READY
@@ -404,6 +407,7 @@
     # Configuration
 
     async def _watch_configuration(self) -> None:
+        """Apply each new configuration, which may mark this upstream as leaving."""
         generation = -1
         while True:
             configuration = await self.holder.wait_newer(generation)
--- a/src/bergamotmast/side/orders.py
+++ b/src/bergamotmast/side/orders.py
@@ -229,6 +229,7 @@
             await self._order_if_still_due(state)
 
     async def _read_back(self) -> EngineState | None:
+        """Read the engine's state; ``None`` if that failed."""
         try:
             async with asyncio.timeout(STATE_TIMEOUT_SECONDS):
                 state = await self.engine.state()
@@ -250,18 +251,23 @@
         models that it does not have. Its state is therefore compared with the plan
         again, and it gets no work until the two agree.
         """
-        before = self.engine_state
-        if before is not None and before.boot_id != state.boot_id:
+        previous = self.engine_state
+        if previous is not None and previous.boot_id != state.boot_id:
             logger.warning("engine %s has restarted", self.name)
             self._reset_to_unknown()
 
     def _reset_to_unknown(self) -> None:
+        """Treat the engine's state as unknown, which closes admission."""
         self._stop_drain()
         self._online_change = False
         self._is_usable = False
         self.machine.trigger("lost")
 
     def _on_changing(self) -> None:
+        """Wait for a change that the engine is carrying out.
+
+        Admission stays open only for an online change that this side has ordered.
+        """
         self._in_doubt_order = None
         if self.state is not OrderState.CHANGING:
             self._online_change = (
@@ -349,10 +355,10 @@
         giving an order of a planner that was replaced meanwhile. While the key-value
         service is down, the last plan stays in force.
         """
-        before = self.plan
+        plan_before = self.plan
         await self._confirm_plan()
         order = self._due_order(state)
-        if order is None or self.plan is not before:
+        if order is None or self.plan is not plan_before:
             self._wake.set()
             return
         self._online_change = not needs_drain(state.assignment, order.assignment)
@@ -366,6 +372,11 @@
                 self.offer_plan(item.value)
 
     async def _send_order(self, order: Order) -> None:
+        """Send an order to the engine.
+
+        If its outcome is unknown, no other order is given until the engine shows this
+        one or the time for its delivery has passed.
+        """
         self.machine.trigger("give")
         self._publish()
         self._stop_drain()
--- a/src/bergamotmast/side/session_server.py
+++ b/src/bergamotmast/side/session_server.py
@@ -178,12 +178,14 @@
         | messages.Credit
         | messages.Cancel,
     ) -> None:
+        """Refuse a message of a session that is not open."""
         if isinstance(message, messages.Offer):
             refused = messages.Refused(message.attempt, ResultCode.STALE_SESSION, 0.0)
             await self.send(peer, refused)
         await self.send(peer, messages.SessionUnknown(message.session))
 
     async def _on_hello(self, peer: bytes, hello: messages.Hello) -> None:
+        """Open a session, or refuse it if there is no common protocol version."""
         version = messages.negotiate_version(hello.version)
         if version is None:
             await self._refuse_version(peer, hello)
@@ -221,6 +223,7 @@
         await self.send(peer, refused)
 
     async def _heartbeat_loop(self) -> None:
+        """Send heartbeats that are due until cancelled."""
         while True:
             # When the process resumes, this may run before the first frame is read.
             self._end_sessions_after_suspension()
@@ -238,13 +241,13 @@
         session.next_heartbeat_at = (
             _now() + session.interval - timing.HEARTBEAT_INTERVAL_SECONDS / 2
         )
-        beat = messages.ReportHeartbeat(
+        heartbeat = messages.ReportHeartbeat(
             session.name,
             session.heartbeats_sent,
             self.holder.generation,
             self.handler.report(),
         )
-        await self.send(session.peer, beat)
+        await self.send(session.peer, heartbeat)
 
     async def wait_until_read(self) -> None:
         """Wait until every working entry has had time to read the frames sent so far.
