--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -96,7 +96,7 @@
     return {"against": against, "labels": labels}
 
 
-async def test_reading(admin):
+async def test_fleet_configuration_and_history_are_read(admin):
     assert await admin.ask("GET", "/fleet", team="reader") == (
         200,
         {"entry": "entry", "generation": 1, "upstreams": []},
@@ -139,7 +139,7 @@
     assert admin.holder.current.labels == {"e": {"pool": "main"}}
 
 
-async def test_a_likely_mistake_is_said(admin):
+async def test_likely_mistakes_are_returned_as_warnings(admin):
     _, body = await admin.ask("PATCH", "/labels/engine-2", labels(1, pool="othr"))
     assert body["warnings"] == [
         "selectors[1].group: 'pool=other' names no upstream",
@@ -147,7 +147,7 @@
     ]
 
 
-async def test_the_second_of_two_operators_learns_who_was_first(admin):
+async def test_conflicting_edit_is_refused_with_the_first_author(admin):
     # Two teams read generation 1 and edit it. The second gets a conflict with the
     # first's name and what its own proposal would change in the current document.
     await admin.ask("PATCH", "/labels/engine-1", labels(1, tier="a"), team="limited")
@@ -158,7 +158,7 @@
     assert error["differences"] == ['~ labels[engine-1].tier: "a" -> "b"']
 
 
-async def test_an_edit_sent_again_with_its_key_counts_once(admin):
+async def test_retried_edit_with_an_idempotency_key_is_applied_once(admin):
     # The first answer is lost on its way; the operator's tool sends the edit again
     # with the same key and must see success, not a conflict with itself.
     for _ in range(2):
@@ -207,12 +207,12 @@
     assert (await admin.store.read()).configuration.generation == 1
 
 
-async def test_the_key_must_come_as_a_bearer(admin):
+async def test_admin_key_must_be_a_bearer_token(admin):
     status, _ = await admin.ask("GET", "/fleet", Authorization="Basic all")
     assert status == 401
 
 
-async def test_a_service_that_is_down_refuses_edits_and_history(admin):
+async def test_edits_and_history_fail_while_the_key_value_service_is_down(admin):
     admin.service.down = True
     status, body = await admin.ask("PATCH", "/labels/x", labels(1, a="b"))
     assert (status, body["error"]["code"]) == (503, 603)
@@ -220,7 +220,7 @@
     assert (await admin.ask("GET", "/configuration"))[0] == 200
 
 
-async def test_an_edit_of_a_service_that_came_back_older_is_refused(admin):
+async def test_edit_is_refused_after_a_restore_to_an_older_generation(admin):
     # The service is restored without generation 2, which is in force. An edit of
     # generation 1 would be accepted there and obeyed nowhere.
     backup = admin.service.snapshot()
@@ -230,14 +230,14 @@
     assert (status, body["error"]["code"]) == (409, 604)
 
 
-async def test_a_fault_of_ours_is_an_unknown_outcome(admin, monkeypatch, caplog):
+async def test_internal_error_has_an_unknown_outcome(admin, monkeypatch, caplog):
     monkeypatch.setattr(admin.store, "read", None)
     with caplog.at_level(logging.CRITICAL):
         status, body = await admin.ask("PATCH", "/labels/x", labels(1, a="b"))
     assert (status, body["error"]["outcome"]) == (500, "unknown")
 
 
-async def test_the_fleet_joins_the_list_the_labels_and_the_sides_reports():
+async def test_fleet_status_joins_instance_list_labels_and_reports():
     holder = ConfigHolder("entry", MemoryHistory())
     holder.offer(encode_configuration(msgspec.structs.replace(DOCUMENT, generation=3)))
     report = SideReport(Readiness.READY, Role.MIXED, ("m@1",), running=2)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -42,7 +42,7 @@
     return events
 
 
-async def test_a_completion_is_whole():
+async def test_completion_is_complete():
     async with served(engines=1) as (_, session):
         body = {"model": MODEL, "prompt": "a b", "max_tokens": 4}
         async with session.post("/v1/completions", json=body) as response:
@@ -51,7 +51,7 @@
     assert answer["usage"]["completion_tokens"] == 4
 
 
-async def test_a_streamed_chat_is_whole():
+async def test_streamed_chat_is_complete():
     async with served(engines=1) as (_, session):
         body = {
             "model": MODEL,
@@ -67,7 +67,7 @@
     assert events[-1]["choices"][0]["finish_reason"] == "length"
 
 
-async def test_a_stream_that_fails_late_ends_with_a_code():
+async def test_failed_stream_ends_with_an_error_event():
     # Every engine dies at the third token. The caller has two tokens and status 200
     # already, so the code comes as the stream's last event.
     async with served(engines=4) as (f, session):
@@ -96,7 +96,7 @@
         assert f.upstreams["service-1"].paths == ["/counter/a%2Fb?x=1%262"]
 
 
-async def test_callers_hear_of_load_where_everyone_refused_for_load():
+async def test_queue_full_is_reported_when_all_upstreams_refuse_for_load():
     # The only service has a full queue. The caller must hear that (201), not that
     # there is no upstream, which would send operators to look for a lost one.
     async with served() as (f, session):
@@ -157,7 +157,7 @@
         assert not any(upstream.runs for upstream in f.upstreams.values())
 
 
-async def test_a_refusal_says_when_to_come_back():
+async def test_refusal_has_a_retry_after_header():
     async with served(engines=1) as (f, session):
         await f.kill("engine-1")
         f.list.infos.clear()
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-async def test_a_caller_that_hangs_up_before_the_first_token_ends_its_work(stream):
+async def test_disconnect_before_the_first_token_cancels_the_request(stream):
     async with served(engines=1) as (f, session):
         engine = f.upstreams["engine-1"]
         engine.pace = 30.0
@@ -182,7 +182,7 @@
                 await asyncio.sleep(0.05)
 
 
-async def test_a_fault_of_ours_gets_a_code_and_its_log_line_the_request_id(caplog):
+async def test_internal_error_has_a_code_and_logs_the_request_id(caplog):
     # The policy raises what nobody expected. The caller gets code 900 and "unknown";
     # the log line can be found by the request's id.
     async with served(engines=1) as (f, session):
@@ -198,7 +198,7 @@
         assert [r.request_id for r in failed] == ["find-me"]
 
 
-async def test_readiness_follows_the_entry():
+async def test_entry_that_shuts_down_is_not_ready():
     async with served(engines=1) as (f, session):
         async with session.get("/health/ready") as response:
             assert response.status == 200
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("place", [0, 20, PUBLIC_KEY_LENGTH - 1])
-def test_a_key_with_the_comment_mark_in_it_is_a_key(place, tmp_path):
+def test_public_key_may_contain_the_comment_character(place, tmp_path):
     """A process would not start: "give public keys of 40 characters, one a line".
 
     Z85, in which keys are written, has "#" among its characters. A key that ends with
@@ -76,7 +76,7 @@
         load_keys(str(path), str(path))
 
 
-async def test_a_system_with_keys_and_tls_serves_and_lets_no_stranger_in(tmp_path):
+async def test_fleet_with_keys_and_tls_refuses_an_unknown_key(tmp_path):
     # Entries and sides have CURVE keys and entries speak TLS. A caller is answered;
     # an entry whose key the sides do not know never gets a session.
     side_secret, side_public = certificate(tmp_path, "side")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,7 @@
 
 pytestmark = pytest.mark.looptime
 
-ALLOWED = 3.0
+MAX_NEW_WORK_SECONDS = 3.0
 """Seconds for which a leaving upstream may still get new work."""
 
 
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("signal", SIGNALS, ids=lambda s: s.__name__)
-async def test_no_new_work_after_three_seconds_and_nothing_is_cut_off(signal):
+async def test_leaving_upstream_gets_no_new_work_and_loses_no_answer(signal):
     # Two entries spread a steady load over three engines. Engine 1 is said to leave,
     # by one of the ways there are. Three seconds later it starts nothing more, and
     # every caller, also of work it had in flight, gets the whole answer.
@@ -100,12 +100,12 @@
         engine = f.upstreams["engine-1"]
         async with load(f):
             assert engine.runs
-            said_at = asyncio.get_running_loop().time()
+            signaled_at = asyncio.get_running_loop().time()
             await signal(f)
-        assert max(engine.run_times) <= said_at + ALLOWED
+        assert max(engine.run_times) <= signaled_at + MAX_NEW_WORK_SECONDS
 
 
-async def test_a_planned_change_waits_for_work_in_flight_and_cuts_nothing_off():
+async def test_planned_change_drains_work_in_flight_and_loses_no_answer():
     # An order pauses admission, as for a role change, under load. What runs ends
     # where it is, what waits goes elsewhere, and the engine is then idle until
     # admission resumes.
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -30,7 +30,7 @@
         assert text == expected_text(3)
 
 
-async def test_work_in_flight_outlives_the_listing_of_its_upstream():
+async def test_work_in_flight_continues_after_its_upstream_is_unlisted():
     async with fleet(engines=1) as f:
         task = asyncio.create_task(answer_of(f.entries["entry-1"], f.model_call(80)))
         await asyncio.sleep(1.0)
@@ -38,7 +38,7 @@
         assert await task == expected_text(80)
 
 
-async def test_a_planner_hears_every_side_and_gives_work_to_its_subset_only():
+async def test_planner_observes_all_sides_and_offers_work_to_its_subset():
     # An engine without labels is in no selector, so nobody's candidate; the planner
     # must still see it, at the slower pace of an observer.
     async with fleet(engines=1) as f:
@@ -54,7 +54,7 @@
         assert set(membership.peers) == {"engine-1"}
 
 
-async def test_a_replaced_side_of_a_drained_upstream_still_hears_of_it():
+async def test_replaced_side_of_a_draining_upstream_learns_that_it_drains():
     # Operators drain engine-1; its side is replaced while only entries can tell it
     # so. If none kept a session it would go on as before, and take work.
     async with fleet(entries=1, engines=2) as f:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -29,7 +29,7 @@
 from bergamotmast.standins.key_value import KeyValueStandIn
 
 CHANGE_SECONDS = 8.0
-SETTLED = MAX_ORDER_DELIVERY_SECONDS + 1.5
+SETTLE_SECONDS = MAX_ORDER_DELIVERY_SECONDS + 1.5
 MIXED = Assignment(Role.MIXED, ("model@1",))
 PREFILL = Assignment(Role.PREFILL, ("model@1",))
 DECODE = Assignment(Role.DECODE, ("model@1",))
@@ -38,7 +38,7 @@
 pytestmark = pytest.mark.looptime
 
 
-class Work:
+class FakeWorkload:
     """Counts what runs and how admission stands."""
 
     def __init__(self):
@@ -56,7 +56,7 @@
         await self.idle.wait()
 
 
-class Stuck:
+class DelayingEngine:
     """An engine's socket that holds orders back, as under a paused sender."""
 
     def __init__(self, engine):
@@ -79,7 +79,7 @@
             self.refused += 1
 
 
-class Bench:
+class OrderHarness:
     """One engine with its plan and any number of sides."""
 
     def __init__(self, honours_fencing=True):
@@ -111,7 +111,7 @@
     def side(self, engine=None):
         """Start a side as its process does: first bind the address, then order."""
         listener = self.network.listen("side:1")
-        work = Work()
+        work = FakeWorkload()
         seen = []
         reconciler = OrderReconciler(
             "e1",
@@ -136,28 +136,28 @@
     def taken(self):
         return [r.assignment for r in self.history.records if type(r) is OrderTaken]
 
-    def broken(self):
+    def violations(self):
         return check(self.history.records)
 
 
 @contextlib.asynccontextmanager
-async def bench(**options):
-    made = Bench(**options)
-    yield made
-    for task in made.tasks:
+async def order_harness(**options):
+    harness = OrderHarness(**options)
+    yield harness
+    for task in harness.tasks:
         assert not task.done() or task.cancelled()
         task.cancel()
-    await asyncio.gather(*made.tasks, return_exceptions=True)
-    assert made.broken() == []
+    await asyncio.gather(*harness.tasks, return_exceptions=True)
+    assert harness.violations() == []
 
 
 async def test_without_a_plan_an_engine_serves_as_it_is():
-    async with bench() as b:
+    async with order_harness() as b:
         side = b.side()
         await asyncio.sleep(0.5)
         assert side.readiness is Readiness.UNKNOWN
         assert not side.work.open
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         assert side.readiness is Readiness.READY
         assert side.work.open
         assert b.taken() == []
@@ -166,9 +166,9 @@
 async def test_a_role_change_waits_for_work_in_flight_and_closes_admission():
     # Operators move the engine to prefill while it works. Callers see nothing: no
     # new work starts, what runs ends, and only then is the order given.
-    async with bench() as b:
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         await b.plan(PREFILL)
         await asyncio.sleep(60)
@@ -185,9 +185,9 @@
 
 
 async def test_a_plan_that_goes_back_during_a_drain_ends_the_drain():
-    async with bench() as b:
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         await b.plan(PREFILL)
         await asyncio.sleep(2)
@@ -197,10 +197,10 @@
         assert b.taken() == []
 
 
-async def test_one_more_model_loads_beside_the_work():
-    async with bench() as b:
+async def test_another_model_is_loaded_without_draining():
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         side.seen.clear()
         await b.plan(MORE)
@@ -218,7 +218,9 @@
         (None, MIXED, True),
     ],
 )
-async def test_what_takes_nothing_away_needs_no_drain(present, wanted, drains):
+async def test_change_needs_a_drain_only_if_it_takes_something_away(
+    present, wanted, drains
+):
     assert needs_drain(present, wanted) is drains
 
 
@@ -226,9 +228,9 @@
 async def test_a_plan_that_comes_during_a_change_waits_for_its_end(honours_fencing):
     # Two plans follow each other faster than a change. The engine must never hold
     # both orders; the newer is given once the first is carried out.
-    async with bench(honours_fencing=honours_fencing) as b:
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(2)
         await b.plan(DECODE)
@@ -246,9 +248,9 @@
     # The engine dies while it changes and is back within a second, with the change
     # done, not done, or not knowing what it is. Callers must not be sent there until
     # it has been read back at the plan; no call may even have failed.
-    async with bench(honours_fencing=honours_fencing) as b:
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(seconds)
         assert side.readiness is Readiness.CHANGING
@@ -267,9 +269,9 @@
 async def test_an_order_whose_reply_is_lost_is_not_given_again(honours_fencing):
     # The engine takes the order and the reply is lost. The side reads the engine
     # back, sees it changing and waits.
-    async with bench(honours_fencing=honours_fencing) as b:
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         b.engine.lost_order_replies = 1
         await b.plan(PREFILL)
         await asyncio.sleep(2 * CHANGE_SECONDS)
@@ -277,38 +279,38 @@
         assert side.readiness is Readiness.READY
 
 
-async def test_a_delayed_order_and_a_newer_plan_never_meet_at_the_engine():
+async def test_newer_order_waits_until_a_delayed_one_is_delivered():
     # The order hangs in a socket, its reply is given up, and the plan changes. An
     # engine without fencing would take both: the side holds the newer one back until
     # the older can't arrive any more, or has.
-    async with bench(honours_fencing=False) as b:
-        stuck = Stuck(b.engine)
-        side = b.side(stuck)
-        await asyncio.sleep(SETTLED)
+    async with order_harness(honours_fencing=False) as b:
+        delaying = DelayingEngine(b.engine)
+        side = b.side(delaying)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(5.5)
         assert side.state is OrderState.ORDERING
         await b.plan(DECODE)
         await asyncio.sleep(MAX_ORDER_DELIVERY_SECONDS - 1)
-        stuck.gate.set()
+        delaying.gate.set()
         await asyncio.sleep(4 * CHANGE_SECONDS)
         assert len(b.taken()) == 2
         assert side.engine_state.assignment == DECODE
 
 
 async def test_a_lost_order_that_never_arrived_is_given_again():
-    async with bench() as b:
+    async with order_harness() as b:
         losses = []
 
-        class Lossy(Stuck):
+        class ReplyLosingEngine(DelayingEngine):
             async def order(self, order):
                 if not losses:
                     losses.append(order)
                     raise ReplyLostError("the connection broke")
                 await self.engine.order(order)
 
-        side = b.side(Lossy(b.engine))
-        await asyncio.sleep(SETTLED)
+        side = b.side(ReplyLosingEngine(b.engine))
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(2 * CHANGE_SECONDS)
         assert len(b.taken()) == 1
@@ -318,21 +320,21 @@
 async def test_two_sides_at_an_engine_that_honours_fencing():
     # The old side is paused with an order decided; its address was taken from it, so
     # a new side runs and obeys a newer plan. The old order is refused by its number.
-    async with bench() as b:
-        stuck = Stuck(b.engine)
-        old = b.side(stuck)
-        await asyncio.sleep(SETTLED)
+    async with order_harness() as b:
+        delaying = DelayingEngine(b.engine)
+        old = b.side(delaying)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(1)
         old.listener.close()
         new = b.side()
         await b.plan(DECODE)
-        await asyncio.sleep(SETTLED + CHANGE_SECONDS + 2)
+        await asyncio.sleep(SETTLE_SECONDS + CHANGE_SECONDS + 2)
         assert new.engine_state.assignment == DECODE
         await b.kill(old)
-        stuck.gate.set()
+        delaying.gate.set()
         await asyncio.sleep(2 * CHANGE_SECONDS)
-        assert stuck.refused
+        assert delaying.refused
         assert len(b.taken()) == 1
         assert new.readiness is Readiness.READY
 
@@ -341,10 +343,10 @@
     # The paused side still holds its address, so the new one can't start beside it.
     # Once the old one is killed, its last order arrives within the settling time: the
     # new side sees the engine change and only then orders.
-    async with bench(honours_fencing=False) as b:
-        stuck = Stuck(b.engine)
-        old = b.side(stuck)
-        await asyncio.sleep(SETTLED)
+    async with order_harness(honours_fencing=False) as b:
+        delaying = DelayingEngine(b.engine)
+        old = b.side(delaying)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(1)
         await b.plan(DECODE)
@@ -354,19 +356,21 @@
         new = b.side()
         await asyncio.sleep(MAX_ORDER_DELIVERY_SECONDS - 1)
         assert b.taken() == []
-        stuck.gate.set()
+        delaying.gate.set()
         await asyncio.sleep(3 * CHANGE_SECONDS)
         assert len(b.taken()) == 2
         assert new.engine_state.assignment == DECODE
 
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
-async def test_a_side_cut_off_from_the_plan_reads_it_before_it_orders(honours_fencing):
+async def test_side_with_a_silent_watch_confirms_the_plan_before_ordering(
+    honours_fencing,
+):
     # The side's watch is silent while a new planner replaces the plan. When work in
     # flight ends, the side must not give the order of the planner that was replaced.
-    async with bench(honours_fencing=honours_fencing) as b:
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         await b.plan(PREFILL)
         await asyncio.sleep(2)
@@ -382,9 +386,9 @@
 async def test_the_key_value_service_down_during_a_change_and_back():
     # The last plan stays: the change ends, a crash in the outage is driven to the
     # plan again, and a newer plan is obeyed after the outage.
-    async with bench() as b:
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(2)
         b.service.down = True
@@ -402,14 +406,14 @@
 
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
-async def test_an_older_plan_after_a_restore_moves_nothing(honours_fencing):
+async def test_older_plan_after_a_restore_changes_nothing(honours_fencing):
     # The service comes back from a backup and its watch shows an older plan for the
     # engine. Neither the side, nor a new side where the engine keeps the number,
     # takes the engine back.
-    async with bench(honours_fencing=honours_fencing) as b:
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await b.plan(DECODE)
-        await asyncio.sleep(SETTLED + CHANGE_SECONDS + 1)
+        await asyncio.sleep(SETTLE_SECONDS + CHANGE_SECONDS + 1)
         backup = b.service.snapshot()
         await b.plan(PREFILL)
         await asyncio.sleep(CHANGE_SECONDS + 3)
@@ -424,14 +428,14 @@
         assert side.readiness is Readiness.READY
 
 
-async def test_an_older_plan_moves_nothing_where_side_and_engine_were_replaced():
+async def test_older_plan_changes_nothing_though_side_and_engine_were_replaced():
     # The service comes back with an older plan, and neither the engine, which keeps no
     # number, nor its new side remembers the later one. The entries do: they tell what
     # the earlier side obeyed, and the older plan is not taken for the newest.
-    async with bench(honours_fencing=False) as b:
+    async with order_harness(honours_fencing=False) as b:
         first = b.side()
         await b.plan(DECODE)
-        await asyncio.sleep(SETTLED + CHANGE_SECONDS + 1)
+        await asyncio.sleep(SETTLE_SECONDS + CHANGE_SECONDS + 1)
         backup = b.service.snapshot()
         await b.plan(PREFILL)
         await asyncio.sleep(CHANGE_SECONDS + 3)
@@ -446,10 +450,10 @@
         assert len(b.taken()) == 2
 
 
-async def test_an_unreachable_engine_is_unknown_after_some_readings():
-    async with bench() as b:
+async def test_unreachable_engine_is_unknown_after_failed_reads():
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         b.engine.reachable = False
         await asyncio.sleep(1.5)
         assert side.readiness is Readiness.READY
@@ -461,8 +465,8 @@
         assert side.readiness is Readiness.READY
 
 
-async def test_what_is_no_plan_is_left_alone():
-    async with bench() as b:
+async def test_invalid_and_older_plans_are_ignored():
+    async with order_harness() as b:
         side = b.side()
         side.offer_plan(b"{")
         assert side.plan is None
@@ -472,11 +476,11 @@
         assert side.plan.assignment == MIXED
 
 
-async def test_a_side_does_not_hear_of_other_engines():
-    async with bench() as b:
+async def test_plans_of_other_engines_are_ignored():
+    async with order_harness() as b:
         side = b.side()
         await b.planner.open()
         await b.planner.write({"e10": PREFILL})
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         assert side.plan is None
         assert engine_key("e10") in b.service.store.items
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -13,10 +13,10 @@
 class RecordingListener:
     def __init__(self):
         self.sent = []
-        self.gone = set()
+        self.unreachable = set()
 
     async def send(self, peer, *frames):
-        if peer in self.gone:
+        if peer in self.unreachable:
             raise NotReachedError("gone")
         self.sent.append((peer, frames))
 
@@ -26,7 +26,7 @@
     return RecordingListener()
 
 
-async def test_frames_of_one_turn_go_together_and_in_order(listener):
+async def test_frames_of_one_loop_iteration_are_batched_in_order(listener):
     outbox = Outbox(listener, pytest.fail)
     running = asyncio.create_task(outbox.run())
     for frame in (b"1", b"2"):
@@ -41,12 +41,12 @@
     assert listener.sent == [(b"a", both), (b"b", both), (b"a", (b"3",))]
 
 
-async def test_who_takes_no_more_is_named_and_keeps_no_other_from_its_frames(listener):
+async def test_failed_send_is_reported_and_does_not_affect_other_peers(listener):
     # An entry was stopped and its buffers are full: its frames are lost, which ends
     # its session. The frames of the entry behind it in the same turn still go out.
     lost = []
     outbox = Outbox(listener, lost.append)
-    listener.gone.add(b"a")
+    listener.unreachable.add(b"a")
     outbox.put(b"a", b"1")
     outbox.put(b"b", b"1")
     await outbox.flush()
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -25,11 +25,11 @@
 from test_serving import Front
 from test_serving import connect
 
-SOON_SECONDS = 1.0
+MAX_IDLE_CLOSE_SECONDS = 1.0
 """An idle connection is closed within so long, whatever its caller does."""
 
 
-async def test_a_process_without_a_free_descriptor_stops_taking():
+async def test_process_without_a_free_descriptor_stops_accepting():
     """Every caller at work is cut off as an entry with all descriptors in use ends.
 
     To take the last connections of the queue, the listening socket is duplicated. With
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("turns", range(16))
-async def test_a_request_within_the_steps_in_which_taking_stops_is_answered(turns):
+async def test_request_that_arrives_while_accepting_stops_is_answered(turns):
     """A kept connection brings a request while idle ones are looked for.
 
     They are not read meanwhile: the request waits in the system's receive buffer, and
@@ -106,7 +106,7 @@
         await listening.close()
 
 
-async def test_an_idle_caller_over_tls_that_reads_nothing_does_not_hold_the_end_up(tls):
+async def test_idle_tls_connection_that_reads_nothing_does_not_delay_shutdown(tls):
     """An entry with TLS that has nothing to do ends half a minute late.
 
     A caller keeps a connection without looking at it, as pools of blocking clients do.
@@ -128,14 +128,14 @@
         kept = await loop.run_in_executor(None, ask)
         await listening.stop_taking()
         wait_until_closed = await listening.wait_until_closed(
-            loop.time() + SOON_SECONDS
+            loop.time() + MAX_IDLE_CLOSE_SECONDS
         )
         kept.close()
     assert wait_until_closed
 
 
 @pytest.mark.parametrize("turns", range(16))
-async def test_a_request_over_tls_as_taking_stops_is_answered(tls, turns):
+async def test_tls_request_that_arrives_while_accepting_stops_is_answered(tls, turns):
     """A caller over TLS finds its connection closed though its request had arrived.
 
     While an idle connection is not read, the look for unread bytes asks the system's
@@ -164,7 +164,7 @@
     assert too_late or got.count(b"200 OK") == 1
 
 
-async def test_callers_over_tls_that_leave_as_taking_stops_end_nothing(tls):
+async def test_tls_disconnects_while_accepting_stops_raise_no_error(tls):
     """An entry with TLS fails as it stops, and cuts off what it still answers.
 
     Idle callers leave in the very moment in which idle connections are looked for. The
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("part", [4, len(REQUEST) - 2])
-async def test_a_request_whose_head_has_come_in_part_is_answered(part):
+async def test_request_whose_head_has_partly_arrived_is_answered(part):
     """A caller finds its connection closed in the midst of sending its request.
 
     A long head comes in two packets, a moment apart, and taking stops between them.
@@ -230,7 +230,9 @@
             return response.status, await response.read()
 
 
-async def test_a_claim_is_completed_though_another_request_is_left_at_the_end(tmp_path):
+async def test_claim_is_completed_though_another_request_is_aborted_at_shutdown(
+    tmp_path,
+):
     """An order was answered, and its replay is told that it may have run.
 
     Its entry puts the record of the answer off, for two seconds at most, and writes
@@ -255,7 +257,7 @@
     assert again == first
 
 
-async def test_an_entry_with_a_silent_store_ends_in_its_time(tmp_path):
+async def test_shutdown_with_an_unresponsive_store_ends_in_time(tmp_path):
     """An entry that is to end in six seconds is killed by its platform.
 
     An order was answered a moment before; the write of its claim has been put off. The
@@ -265,12 +267,12 @@
     """
     flags = ("--shutdown-seconds", "6")
     async with process_fleet(tmp_path, 0, 1, 1, entry_flags=flags) as f:
-        told_at = time.monotonic()
+        signaled_at = time.monotonic()
         f.signal("entry-1", signal.SIGTERM)
         await asyncio.sleep(4.6)
         assert (await order(f.urls["entry-1"], "key-1"))[0] == 200
         f.signal("key-value", signal.SIGSTOP)
         assert await ended(f, "entry-1") == 0
-        seconds = time.monotonic() - told_at
+        seconds = time.monotonic() - signaled_at
         f.signal("key-value", signal.SIGCONT)
     assert seconds < 8.0
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -87,7 +87,7 @@
         assert runs(f) == 1
 
 
-async def test_a_service_that_can_not_be_reached_means_not_run():
+async def test_call_of_an_unreachable_service_is_not_run():
     async with fleet(services=1) as f:
         await f.kill("service-1")
         await asyncio.sleep(3.0)
@@ -97,7 +97,7 @@
         assert caught.value.retry_after is not None
 
 
-async def test_a_failure_lost_with_its_session_is_never_called_not_started():
+async def test_failure_lost_with_its_session_is_not_reported_as_never_started():
     # An order runs at its service, whose reply is lost; the side's word of that is
     # lost with the session. The entry says hello again and asks what became of the
     # order. It must not hear "never started": the order would run a second time.
@@ -118,7 +118,7 @@
         assert runs(f) == 1
 
 
-async def test_a_side_that_never_comes_back_does_not_hold_the_caller_to_the_deadline():
+async def test_call_at_a_lost_side_ends_long_before_its_deadline():
     # The side dies with an order in flight and is not replaced. The caller's deadline
     # is ten minutes away; "unknown" is told after the grace for a cut to end.
     async with fleet(services=2) as f:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -50,7 +50,7 @@
             return message
 
 
-async def test_an_offer_delayed_by_a_partition_never_runs_after_not_run_was_told():
+async def test_offer_delayed_by_a_partition_never_runs_after_not_run_was_reported():
     # An entry offers a call, but the network holds the frame back. The entry opens a
     # new session, asks, and hears "never started", so its caller is told "not run".
     # When the cut ends the offer arrives, and must not start.
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.0005, 0.001, 0.002, 0.05, 0.1, 0.15])
-async def test_a_cancel_and_a_start_that_cross_end_in_one_truth(delay):
+async def test_cancel_that_races_with_a_start_reports_the_true_state(delay):
     # A cancel is sent around the moment at which the call starts. Whatever the side
     # answers, it is true: "never started" exactly when the service has not run it.
     async with fleet(entries=0, services=1) as f:
@@ -112,7 +112,7 @@
         assert (message.state != "never_started") == ran
 
 
-async def test_a_waiting_call_cancelled_at_its_deadline_truly_was_not_run():
+async def test_call_cancelled_while_it_waits_is_not_run():
     # The service is busy with one call; the next waits behind it past its deadline.
     # Its caller is told "not run" and the service never sees it.
     async with fleet(services=0) as f:
@@ -129,7 +129,7 @@
         assert len(f.upstreams["service-1"].runs) == 1
 
 
-async def test_a_side_that_was_stopped_refuses_what_waited_in_its_socket():
+async def test_resumed_side_refuses_offers_that_waited_in_its_socket():
     # A side process is stopped for a minute. Offers of that time wait in its socket,
     # and their callers were answered long ago. It must not start them on waking.
     async with fleet(entries=0, services=1) as f:
@@ -142,7 +142,7 @@
         assert f.upstreams["service-1"].runs == []
 
 
-async def test_a_side_that_was_stopped_may_beat_before_it_reads_its_socket():
+async def test_resumed_side_may_send_a_heartbeat_before_it_reads_its_socket():
     # The same, but on waking the beat runs first: it must not hide the pause from the
     # offers that are read after it.
     async with fleet(entries=0, services=1) as f:
@@ -155,7 +155,7 @@
         assert f.upstreams["service-1"].runs == []
 
 
-async def test_frames_that_are_no_message_change_nothing():
+async def test_invalid_frames_are_ignored():
     async with fleet(engines=1) as f:
         link = f.network.dial("engine-1")
         for frame in (b"", b"\xff" * 20, b"\x91\x63", b"{}"):
@@ -176,7 +176,7 @@
         assert f.holders["engine-1"].generation == 1
 
 
-async def test_a_new_side_learns_from_an_entry_what_its_predecessor_obeyed():
+async def test_new_side_learns_the_last_plan_token_from_an_entry():
     # The side is replaced and remembers nothing; the entry heard the plan's number
     # from the earlier one and tells it with its hello.
     async with fleet(engines=1) as f:
@@ -197,7 +197,7 @@
         assert {h.generation for h in f.holders.values()} == {2}
 
 
-async def test_a_leaving_side_hands_waiting_work_back_and_ends_the_rest():
+async def test_leaving_side_refuses_waiting_work_and_drains_the_rest():
     # Engine 1 leaves while it runs one answer and another waits. The first is ended
     # there, the second runs on engine 2; both callers get their whole answers.
     async with fleet(engines=0) as f:
@@ -216,7 +216,7 @@
         assert len(f.upstreams["engine-1"].runs) == 1
 
 
-async def test_an_entry_that_shuts_down_serves_on_to_its_last_answer():
+async def test_entry_that_shuts_down_drains_its_requests():
     # The entry is told to end. It is not ready any more, but callers that the
     # balancer still sends are served; only after its notice are new ones refused, and
     # the last answer in flight is whole.
@@ -236,7 +236,7 @@
         await closing
 
 
-async def test_a_frame_that_the_entry_can_not_take_ends_the_session_not_the_answer():
+async def test_dropped_frame_ends_the_session_and_the_answer_is_resumed():
     # The entry is stopped for a moment and its buffers are full: the last chunk of an
     # answer is dropped. The entry is told that its session is over and resumes on
     # another engine, instead of waiting for that chunk until the deadline.
@@ -256,7 +256,7 @@
         assert asyncio.get_running_loop().time() - started < 3.0
 
 
-async def test_a_grant_that_can_not_be_handed_over_ends_the_session_not_the_answer():
+async def test_dropped_credit_ends_the_session_and_the_answer_is_resumed():
     # Credit for a stream is lost on its way to a side. Without it the stream would
     # stand still; the session ends and the answer is resumed.
     async with fleet(engines=2) as f:
--- a/tests/test_side_ending.py
+++ b/tests/test_side_ending.py
@@ -8,13 +8,13 @@
 from bergamotmast.side.core import SideCore
 
 
-async def test_each_running_attempt_is_told_though_others_end_meanwhile():
+async def test_each_running_attempt_is_reported_though_others_end_meanwhile():
     """Three calls run at a side whose time is over; telling of one lets others end.
 
     The side ended with an error in the midst of it, and the entries waited for the
     rest until the side counted as lost.
     """
-    told = []
+    reported = []
     core = SideCore.__new__(SideCore)
     session = types.SimpleNamespace(peer=b"entry")
     core.attempts = {
@@ -24,7 +24,7 @@
     core.running = set("abc")
 
     async def send(peer, message):
-        told.append(message.attempt)
+        reported.append(message.attempt)
         await asyncio.sleep(0)
         core.running.discard(message.attempt)
         core.attempts.pop(message.attempt)
@@ -36,4 +36,4 @@
     core.flush = nothing
     core.server = types.SimpleNamespace(wait_until_read=nothing)
     await core.abort_attempts()
-    assert sorted(told) == ["a", "b", "c"]
+    assert sorted(reported) == ["a", "b", "c"]
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -36,7 +36,7 @@
     assert table(status) == snapshot
 
 
-async def test_every_entry_tells_what_each_upstream_has_in_force(tmp_path, capsys):
+async def test_status_shows_what_each_upstream_has_in_force(tmp_path, capsys):
     # Two entries as processes; operators ask both. Each engine shows its role, what
     # it carries, the plan its side obeys and the configuration it has in force.
     async with process_fleet(tmp_path, engines=2, services=1) as f:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -14,7 +14,7 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_an_answer_is_whole():
+async def test_answer_is_complete():
     async with fleet(engines=2) as f:
         text = await answer_of(f.entries["entry-1"], f.model_call(7))
     assert text == expected_text(7)
@@ -93,7 +93,7 @@
         assert len(chunks) < 80
 
 
-async def test_a_caller_that_goes_away_ends_its_work():
+async def test_disconnect_of_a_caller_cancels_its_request():
     async with fleet(engines=1) as f:
         chunks = f.entries["entry-1"].submit_model(f.model_call(1000, total=500))
         await anext(chunks)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -212,7 +212,7 @@
 decode_to_entry = msgspec.msgpack.Decoder(ToEntry).decode
 
 
-class FirstEntry:
+class EntryVersion1:
     """An entry of version 1: says hello, offers one thing, collects what comes."""
 
     def __init__(self, network, address):
@@ -240,7 +240,7 @@
         assert (await self.next(Started | Refused)).attempt == "a1"
 
 
-class FirstSide:
+class SideVersion1:
     """A side of version 1 that answers every offer whole, at once."""
 
     def __init__(self, network, address):
@@ -285,25 +285,27 @@
 
 
 @contextlib.asynccontextmanager
-async def first_side(kind):
+async def side_version_1(kind):
     """Run an entry of this version before a side of version 1."""
     name = "engine-1" if kind is UpstreamKind.ENGINE else "service-1"
-    built = Fleet()
-    side = FirstSide(built.network, name)
+    fleet_of_this_version = Fleet()
+    side = SideVersion1(fleet_of_this_version.network, name)
     task = asyncio.create_task(side.run())
-    built.list.infos.append(InstanceInfo(name, kind, "zone-a", name, ""))
-    entry = built.add_entry("entry-1")
-    await built.ready()
+    fleet_of_this_version.list.infos.append(
+        InstanceInfo(name, kind, "zone-a", name, "")
+    )
+    entry = fleet_of_this_version.add_entry("entry-1")
+    await fleet_of_this_version.ready()
     try:
-        yield built, entry, side
+        yield fleet_of_this_version, entry, side
     finally:
-        await built.close()
+        await fleet_of_this_version.close()
         task.cancel()
 
 
 async def test_a_side_streams_a_whole_answer_to_an_entry_of_version_1():
     async with fleet(entries=0, engines=1) as f:
-        entry = FirstEntry(f.network, "engine-1")
+        entry = EntryVersion1(f.network, "engine-1")
         await entry.open()
         await entry.offer(
             ModelWork(MODEL, "a b", 2, 4, 4, "", 30.0, "", 0, "", False),
@@ -319,7 +321,7 @@
 
 async def test_a_side_answers_a_call_of_an_entry_of_version_1():
     async with fleet(entries=0, services=1) as f:
-        entry = FirstEntry(f.network, "service-1")
+        entry = EntryVersion1(f.network, "service-1")
         await entry.open()
         await entry.offer(
             ServiceWork("counter", "POST", "/counter", b"box", "", True, ""),
@@ -330,7 +332,7 @@
 
 
 async def test_an_entry_streams_a_whole_answer_of_a_side_of_version_1():
-    async with first_side(UpstreamKind.ENGINE) as (f, entry, side):
+    async with side_version_1(UpstreamKind.ENGINE) as (f, entry, side):
         # More chunks than the first credit allows, so that credit is granted too.
         tokens = timing.CHUNK_CREDIT * 2
         assert await answer_of(entry, f.model_call(tokens)) == expected_text(tokens)
@@ -341,7 +343,7 @@
 
 
 async def test_an_entry_calls_a_service_behind_a_side_of_version_1():
-    async with first_side(UpstreamKind.SERVICE) as (f, entry, side):
+    async with side_version_1(UpstreamKind.SERVICE) as (f, entry, side):
         answer = await entry.submit_service(f.service_call(body=b"box"))
         assert answer.body == b"old box"
         assert side.unknown == 0
@@ -382,7 +384,7 @@
         self.unknown += 1
 
 
-async def test_fields_and_messages_of_a_later_version_are_left_alone(caplog):
+async def test_fields_and_messages_of_a_later_version_are_ignored(caplog):
     # Both ends hear a later version: unknown messages, longer messages and a higher
     # number. They speak their own, answer whole, hold their one session and count.
     f = Fleet()
@@ -413,7 +415,7 @@
 # Versions that don't go together
 
 
-async def test_an_entry_that_is_too_old_is_told_so(monkeypatch, caplog):
+async def test_entry_with_an_old_protocol_version_is_refused(monkeypatch, caplog):
     # The side takes no version 1 any more. The entry's hello opens nothing: it hears
     # which versions the side takes, and the side's log names the entry.
     monkeypatch.setattr(messages, "MIN_PROTOCOL_VERSION", 2)
@@ -428,7 +430,7 @@
             decode_to_entry(messages.encode(answer))
 
 
-async def test_an_entry_that_is_refused_offers_nothing_and_asks_now_and_then(caplog):
+async def test_refused_entry_offers_nothing_and_retries_slowly(caplog):
     # A side of a far later version refuses the hello. The caller gets "not run", the
     # log says why, and the entry does not fill the log with tries.
     f = Fleet()
@@ -450,10 +452,10 @@
     await f.close()
 
 
-async def test_a_side_that_is_too_old_gets_no_work(monkeypatch, caplog):
+async def test_side_with_an_old_protocol_version_gets_no_work(monkeypatch, caplog):
     monkeypatch.setattr(messages, "MIN_PROTOCOL_VERSION", 2)
     f = Fleet()
-    side = FirstSide(f.network, "service-1")
+    side = SideVersion1(f.network, "service-1")
     task = asyncio.create_task(side.run())
     info = InstanceInfo("service-1", UpstreamKind.SERVICE, "zone-a", "service-1", "")
     f.list.infos.append(info)
