--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -56,7 +56,7 @@
 
 
 class Admin:
-    """An entry's administration interface with a caller before it."""
+    """An entry's administration interface and an HTTP client for it."""
 
     def __init__(self) -> None:
         self.service = KeyValueStandIn()
@@ -148,8 +148,8 @@
 
 
 async def test_conflicting_edit_is_refused_with_the_first_author(admin):
-    # Two teams read generation 1 and edit it. The second gets a conflict with the
-    # first's name and what its own proposal would change in the current document.
+    # Two teams edit generation 1. The second gets a conflict with the author of the
+    # first edit and what its own proposal would change in the current document.
     await admin.ask("PATCH", "/labels/engine-1", labels(1, tier="a"), team="limited")
     status, body = await admin.ask("PATCH", "/labels/engine-1", labels(1, tier="b"))
     error = body["error"]
@@ -159,8 +159,8 @@
 
 
 async def test_retried_edit_with_an_idempotency_key_is_applied_once(admin):
-    # The first answer is lost on its way; the operator's tool sends the edit again
-    # with the same key and must see success, not a conflict with itself.
+    # The first response is lost and the operator's tool retries with the same key. It
+    # must see success, not a conflict with its own edit.
     for _ in range(2):
         status, body = await admin.ask(
             "PATCH", "/labels/engine-1", labels(1, tier="a"), **{"Idempotency-Key": "k"}
@@ -221,8 +221,8 @@
 
 
 async def test_edit_is_refused_after_a_restore_to_an_older_generation(admin):
-    # The service is restored without generation 2, which is in force. An edit of
-    # generation 1 would be accepted there and obeyed nowhere.
+    # The key-value service is restored without generation 2, which is in force. An edit
+    # of generation 1 would be accepted there and refused by every process.
     backup = admin.service.snapshot()
     await admin.ask("PATCH", "/labels/engine-1", labels(1, tier="a"))
     admin.service.restore(backup)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Calls that must not be repeated, through entries that claim their keys."""
+"""At-most-once execution of calls, by claims on idempotency keys."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.asynccontextmanager
 async def claiming_fleet(entries=2, services=2):
-    """A fleet whose entries keep their claims in one key-value service."""
+    """Run a fleet whose entries store their claims in one key-value service."""
     kv = KeyValueStandIn(delay=0.002)
     tasks = []
 
@@ -42,7 +42,7 @@
 
 
 async def outcome_of(f, entry, key, body=b"box 1"):
-    """Place an order and return its answer or its error."""
+    """Call the orders service and return its answer or its error."""
     call = f.service_call("orders", key=key, body=body)
     try:
         return await f.entries[entry].submit_service(call)
@@ -51,8 +51,8 @@
 
 
 async def test_the_same_key_through_two_entries_at_once_runs_once():
-    # A clerk's program sends one order through two entries in the same moment. One
-    # claim wins and runs; the other is told that an earlier call may have run.
+    # One order is sent through two entries at the same time. One claim is granted and
+    # runs; the other call ends as "an earlier call may have run".
     async with claiming_fleet() as f:
         first, second = await asyncio.gather(
             outcome_of(f, "entry-1", "k"), outcome_of(f, "entry-2", "k")
@@ -82,8 +82,8 @@
 
 
 async def test_a_side_killed_between_dispatch_and_answer_leaves_the_key_unknown():
-    # The side dies while its service runs the order. The caller hears "unknown", and
-    # so does everyone who sends the key again: it never runs a second time.
+    # The side is killed while its service runs the order. The call ends as "unknown",
+    # and so does every replay of the key: it never runs a second time.
     async with claiming_fleet(services=1) as f:
         f.upstreams["service-1"].pace = 5.0
         placing = asyncio.create_task(outcome_of(f, "entry-1", "k"))
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("after", [0.0, 0.001, 0.003, 0.005, 0.05, 0.2])
 async def test_an_entry_killed_at_any_moment_leaves_at_most_one_run(after):
-    # The entry dies before, during or after the claim, the dispatch or the answer;
+    # The entry is killed before, during or after the claim, the dispatch or the answer;
     # the caller sends the key to the other entry.
     async with claiming_fleet() as f:
         placing = asyncio.create_task(outcome_of(f, "entry-1", "k"))
@@ -122,8 +122,8 @@
 
 
 async def test_no_claim_means_no_run_while_the_service_is_down():
-    # The key-value service is down: the order is refused, truly not run, and the
-    # caller is told when to come back. Calls that may be repeated are served.
+    # While the key-value service is down, the order is refused as "not run" with a
+    # Retry-After. Repeatable calls are served.
     async with claiming_fleet() as f:
         f.kv.down = True
         refused = await outcome_of(f, "entry-1", "k")
@@ -139,8 +139,8 @@
 
 
 async def test_a_key_replayed_after_every_instance_was_replaced_does_not_run_again():
-    # Every entry and side is replaced; nothing is in any memory. The claim is in the
-    # key-value service, and the replay gets the answer that is kept there.
+    # Every entry and side is replaced, so no process remembers the call. The claim is
+    # in the key-value service, and the replay gets the answer that is stored there.
     async with claiming_fleet() as f:
         first = await outcome_of(f, "entry-1", "k")
         await asyncio.sleep(5.0)
@@ -155,8 +155,8 @@
 
 
 async def test_an_order_that_was_truly_not_run_may_be_placed_again():
-    # No service can take the order: the caller hears "not run", and the claim is
-    # given back, so that the same key runs when it comes again at another entry.
+    # No service can accept the order: it ends as "not run" and the claim is released,
+    # so that the same key runs when it is sent again through another entry.
     async with claiming_fleet(services=1) as f:
         await f.kill("service-1")
         await asyncio.sleep(5.0)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,6 +1,7 @@
-"""Input that nobody meant to send: frames between processes, requests of callers.
+"""Fuzz tests of invalid input: frames between processes and requests of callers.
 
-Examples are derived from the code alone, so each run sees the same ones.
+Examples are derandomized: they are derived from the code of each test, so every run
+sees the same ones.
 """
 
 from __future__ import annotations
@@ -87,7 +88,7 @@
 
 @st.composite
 def changed(draw, valid):
-    """Draw a message whose fields are partly something else, as plain data."""
+    """Draw a message, as plain data, some of whose fields have other values."""
     message = msgspec.to_builtins(draw(st.sampled_from(valid)), builtin_types=(bytes,))
     for _ in range(draw(st.integers(0, 2))):
         place = message
@@ -104,7 +105,7 @@
 
 
 def frame_of(content, names):
-    """Encode a drawn message with the names in force; bytes stay as they are."""
+    """Encode a drawn message with the actual names; bytes stay as they are."""
     if isinstance(content, bytes):
         return content
     put = [names.get(x, x) if isinstance(x, str) else x for x in content]
@@ -117,7 +118,7 @@
 
 
 async def whole_answer(f, entry):
-    """Check that a good request is answered whole, in the time a caller has."""
+    """Check that a valid request is answered whole within its deadline."""
     async with asyncio.timeout(60):
         await f.ready()
         assert await answer_of(entry, f.model_call(5)) == expected_text(5)
@@ -147,13 +148,13 @@
 @FEW
 @hypothesis.given(frames(TO_SIDE))
 def test_a_side_goes_on_whatever_frames_come(contents):
-    # A peer with a session of its own sends frames that are wrong in parts. Afterwards
-    # another entry's request is answered whole.
+    # A peer with its own session sends partly invalid frames. Afterwards a request of
+    # another entry is answered whole.
     run_virtually(side_goes_on(contents))
 
 
 async def hostile_side(listener, contents):
-    """Open the session that is asked for, then answer work and beats with frames."""
+    """Welcome each hello, then reply to offers and heartbeats with drawn frames."""
     while True:
         peer, frame = await listener.receive()
         names = {SESSION: "s", ATTEMPT: "none"}
@@ -198,9 +199,9 @@
 @FEW
 @hypothesis.given(frames(TO_ENTRY))
 def test_an_entry_goes_on_whatever_frames_come(contents):
-    # A side that opened a session answers work and beats with frames that are wrong in
-    # parts. The request it was given ends with its answer or a code before long; one
-    # that follows is answered whole by another side.
+    # A side replies to offers and heartbeats with partly invalid frames. The request
+    # that it was offered ends in time with its answer or a result code; the next one is
+    # answered whole by another side.
     run_virtually(entry_goes_on(contents))
 
 
@@ -211,7 +212,7 @@
 
 @pytest.fixture(scope="module")
 def served():
-    """Run an entry with HTTP on a loop that lasts for all examples."""
+    """Run an entry with HTTP on an event loop that is shared by all examples."""
     with asyncio.Runner() as runner:
         stack = contextlib.AsyncExitStack()
         runner.run(stack.__aenter__())
@@ -226,7 +227,7 @@
 
 
 async def exchange(server, path, body, headers):
-    """Send a request as bytes, as no careful client would, and read its answer."""
+    """Send a request as raw bytes, without an HTTP client, and read its response."""
     lines = [b"POST " + path + b" HTTP/1.1", b"Host: x", b"Connection: close"]
     lines += [b"Content-Length: %d" % len(body)]
     lines += [name + b": " + value for name, value in headers.items()]
@@ -308,7 +309,7 @@
     b"Content-Type",
     b"Accept",
 ]
-# Control characters are refused by the HTTP library before any of our code.
+# The HTTP library refuses control characters before the entry sees the request.
 CHARACTER = st.integers(0x20, 0xFF).filter(lambda byte: byte != 0x7F)
 HEADER_VALUE = st.lists(CHARACTER, max_size=12).map(bytes)
 BEARER = HEADER_VALUE.map(lambda value: b"Bearer " + value)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The caller interface, over real HTTP to an entry with scripted upstreams."""
+"""The caller interface over real HTTP, with an entry and scripted upstreams."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
 
 
 async def test_failed_stream_ends_with_an_error_event():
-    # Every engine dies at the third token. The caller has two tokens and status 200
-    # already, so the code comes as the stream's last event.
+    # Every engine fails at the third token. The caller already has two tokens and
+    # status 200, so the result code is the last event of the stream.
     async with served(engines=4) as (f, session):
         for upstream in f.upstreams.values():
             upstream.break_at = 2
@@ -87,8 +87,8 @@
 
 
 async def test_a_service_sees_the_path_and_query_as_they_were_sent():
-    # Escaped characters mean something else when they are not: a service that was
-    # asked for "a%2Fb?x=1%262" must not be called with "a/b?x=1&2".
+    # Unescaping would change the meaning: a service that was asked for
+    # "a%2Fb?x=1%262" must not be called with "a/b?x=1&2".
     async with served(services=1) as (f, session):
         url = yarl.URL("/services/counter/a%2Fb?x=1%262", encoded=True)
         async with session.post(url, data=b"box") as response:
@@ -97,8 +97,8 @@
 
 
 async def test_queue_full_is_reported_when_all_upstreams_refuse_for_load():
-    # The only service has a full queue. The caller must hear that (201), not that
-    # there is no upstream, which would send operators to look for a lost one.
+    # The only service has a full queue. The caller must get code 201 for that, not the
+    # code for a missing upstream, which operators would then search for.
     async with served() as (f, session):
         policy = FirstComeFirstServed(queue_limit=0)
         f.add_upstream("service-1", ScriptedService(), policy)
@@ -183,8 +183,8 @@
 
 
 async def test_internal_error_has_a_code_and_logs_the_request_id(caplog):
-    # The policy raises what nobody expected. The caller gets code 900 and "unknown";
-    # the log line can be found by the request's id.
+    # The policy raises an unexpected exception. The caller gets code 900 with the
+    # outcome "unknown", and the log record carries the request id.
     async with served(engines=1) as (f, session):
         caplog.handler.addFilter(ContextFilter("entry-1"))
         f.entries["entry-1"].policy.choose = None
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -44,11 +44,11 @@
 
 @pytest.mark.parametrize("place", [0, 20, PUBLIC_KEY_LENGTH - 1])
 def test_public_key_may_contain_the_comment_character(place, tmp_path):
-    """A process would not start: "give public keys of 40 characters, one a line".
+    """A process did not start: "give public keys of 40 characters, one a line".
 
-    Z85, in which keys are written, has "#" among its characters. A key that ends with
-    it, followed by a comment, was cut off at its last character; about one fleet of
-    three keys in thirty has such a key.
+    Keys are encoded in Z85, whose alphabet contains "#". A key that ends with it,
+    followed by a comment, lost its last character; about one fleet of three keys in
+    thirty has such a key.
     """
     secret_file, _ = certificate(tmp_path, "side")
     key = "a" * place + "#" + "b" * (PUBLIC_KEY_LENGTH - 1 - place)
@@ -77,8 +77,8 @@
 
 
 async def test_fleet_with_keys_and_tls_refuses_an_unknown_key(tmp_path):
-    # Entries and sides have CURVE keys and entries speak TLS. A caller is answered;
-    # an entry whose key the sides do not know never gets a session.
+    # Entries and sides have CURVE keys, and entries use TLS. A caller is answered; an
+    # entry whose key the sides do not know never gets a session.
     side_secret, side_public = certificate(tmp_path, "side")
     entry_secret, entry_public = certificate(tmp_path, "entry")
     stranger_secret, _ = certificate(tmp_path, "stranger")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""An upstream that is leaving, whichever way that is said, under load."""
+"""Upstreams that leave under load, by each of the ways in which they can."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 pytestmark = pytest.mark.looptime
 
 MAX_NEW_WORK_SECONDS = 3.0
-"""Seconds for which a leaving upstream may still get new work."""
+"""Maximum seconds for which a leaving upstream may still get new work."""
 
 
 @contextlib.asynccontextmanager
 async def load(f, tokens=20, every=0.1):
-    """Send calls through all entries in turn; all answers must be whole in the end."""
+    """Send calls through all entries in turn, and check that each is answered whole."""
     answers = []
 
     async def send():
@@ -46,7 +46,7 @@
 
 
 def state(name, label_state):
-    """A configuration in which one engine is draining or withdrawn."""
+    """Return a configuration in which one engine is draining or withdrawn."""
     base = configuration(generation=2)
     labels = base.labels | {name: {"pool": "gone"}}
     gone = Selector(name="gone", group="pool=gone", state=label_state)
@@ -54,7 +54,7 @@
 
 
 async def by_configuration(f, label_state):
-    """The operators' edit reaches one entry; the others learn it from their peers."""
+    """Give one entry an edited configuration, which the others get from their peers."""
     document = encode_configuration(state("engine-1", label_state))
     f.holders["entry-1"].offer(document)
 
@@ -73,7 +73,7 @@
 
 
 async def by_the_side_itself(f):
-    """SIGTERM, while the instance list lags and still shows the upstream as live."""
+    """Shut the side down while the instance list still shows the upstream as live."""
     leaving = asyncio.create_task(f.sides["engine-1"].leave())
     f.tasks["leaving"] = leaving
 
@@ -93,9 +93,9 @@
 
 @pytest.mark.parametrize("signal", SIGNALS, ids=lambda s: s.__name__)
 async def test_leaving_upstream_gets_no_new_work_and_loses_no_answer(signal):
-    # Two entries spread a steady load over three engines. Engine 1 is said to leave,
-    # by one of the ways there are. Three seconds later it starts nothing more, and
-    # every caller, also of work it had in flight, gets the whole answer.
+    # Two entries spread a steady load over three engines, and engine 1 leaves in one of
+    # the possible ways. After three seconds it starts nothing more, and every caller,
+    # including those of its work in flight, gets the whole answer.
     async with fleet(entries=2, engines=3) as f:
         engine = f.upstreams["engine-1"]
         async with load(f):
@@ -106,8 +106,8 @@
 
 
 async def test_planned_change_drains_work_in_flight_and_loses_no_answer():
-    # An order pauses admission, as for a role change, under load. What runs ends
-    # where it is, what waits goes elsewhere, and the engine is then idle until
+    # Admission is paused under load, as for a role change. Running work ends where it
+    # is, waiting work goes to other engines, and the engine is then idle until
     # admission resumes.
     async with fleet(entries=2, engines=3) as f:
         side = f.sides["engine-1"]
@@ -123,8 +123,8 @@
 
 
 async def test_an_upstream_that_is_listed_again_gets_work_again():
-    # The instance list marks an engine as leaving and takes it back: staying needs
-    # all signals, and now all agree.
+    # The instance list marks an engine as leaving and later does not any more. No other
+    # source marks it as leaving, so it gets work again.
     async with fleet(engines=1) as f:
         entry = f.entries["entry-1"]
         info = f.list.infos[0]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,8 +18,9 @@
 
 
 async def test_an_upstream_that_left_the_list_for_a_while_is_used_again():
-    # The lagging list forgets engine 1 and names it again. The entry's new connection
-    # counts its hellos on, or the side, which remembers the entry, would refuse them.
+    # The instance list drops engine 1 and lists it again. The entry's new connection
+    # must continue the numbers of its hellos: the side remembers the entry and ignores
+    # a hello whose number is not above the last.
     async with fleet(engines=1) as f:
         info = f.list.infos.pop()
         await asyncio.sleep(5.0)
@@ -39,8 +40,8 @@
 
 
 async def test_planner_observes_all_sides_and_offers_work_to_its_subset():
-    # An engine without labels is in no selector, so nobody's candidate; the planner
-    # must still see it, at the slower pace of an observer.
+    # An engine without labels is in no selector and thus no candidate; a planner must
+    # still get its reports, at the longer interval of an observer.
     async with fleet(engines=1) as f:
         membership = f.entries["entry-1"].membership
         membership.observes_all = lambda: True
@@ -55,8 +56,8 @@
 
 
 async def test_replaced_side_of_a_draining_upstream_learns_that_it_drains():
-    # Operators drain engine-1; its side is replaced while only entries can tell it
-    # so. If none kept a session it would go on as before, and take work.
+    # Operators drain engine-1, and its side is replaced while only entries can pass the
+    # configuration on. Without a session with any of them it would accept work.
     async with fleet(entries=1, engines=2) as f:
         drained = configuration(
             2, labels={"engine-1": {"pool": "gone"}, "engine-2": {"pool": "main"}}
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -39,7 +39,7 @@
 
 
 class FakeWorkload:
-    """Counts what runs and how admission stands."""
+    """A workload whose admission and idleness the test controls."""
 
     def __init__(self):
         self.open = True
@@ -57,7 +57,7 @@
 
 
 class DelayingEngine:
-    """An engine's socket that holds orders back, as under a paused sender."""
+    """An engine whose orders are delayed in a socket until a gate opens."""
 
     def __init__(self, engine):
         self.engine = engine
@@ -80,7 +80,7 @@
 
 
 class OrderHarness:
-    """One engine with its plan and any number of sides."""
+    """One engine with its plan, and any number of sides that reconcile it."""
 
     def __init__(self, honours_fencing=True):
         self.history = MemoryHistory()
@@ -109,7 +109,7 @@
         await self.planner.write({"e1": assignment})
 
     def side(self, engine=None):
-        """Start a side as its process does: first bind the address, then order."""
+        """Start a side as its process does: bind the address, then reconcile."""
         listener = self.network.listen("side:1")
         work = FakeWorkload()
         seen = []
@@ -164,8 +164,8 @@
 
 
 async def test_a_role_change_waits_for_work_in_flight_and_closes_admission():
-    # Operators move the engine to prefill while it works. Callers see nothing: no
-    # new work starts, what runs ends, and only then is the order given.
+    # The plan moves a busy engine to prefill. No new work starts, running work ends,
+    # and only then is the order given.
     async with order_harness() as b:
         side = b.side()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -226,8 +226,8 @@
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
 async def test_a_plan_that_comes_during_a_change_waits_for_its_end(honours_fencing):
-    # Two plans follow each other faster than a change. The engine must never hold
-    # both orders; the newer is given once the first is carried out.
+    # Two plans follow each other faster than a change. The engine must never hold both
+    # orders; the newer one is given once the first is carried out.
     async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -245,9 +245,9 @@
 @pytest.mark.parametrize("incomplete", [True, False])
 @pytest.mark.parametrize("seconds", [1, 4])
 async def test_a_crash_in_mid_change(honours_fencing, change_done, incomplete, seconds):
-    # The engine dies while it changes and is back within a second, with the change
-    # done, not done, or not knowing what it is. Callers must not be sent there until
-    # it has been read back at the plan; no call may even have failed.
+    # The engine crashes during a change and is back within a second, with the change
+    # done, not done, or with an incomplete state. It must not get work until its state
+    # has been read and matches the plan, although no call may have failed.
     async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -267,8 +267,8 @@
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
 async def test_an_order_whose_reply_is_lost_is_not_given_again(honours_fencing):
-    # The engine takes the order and the reply is lost. The side reads the engine
-    # back, sees it changing and waits.
+    # The engine accepts the order and the reply is lost. The side reads the engine's
+    # state, sees that it is changing and waits.
     async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -280,9 +280,9 @@
 
 
 async def test_newer_order_waits_until_a_delayed_one_is_delivered():
-    # The order hangs in a socket, its reply is given up, and the plan changes. An
-    # engine without fencing would take both: the side holds the newer one back until
-    # the older can't arrive any more, or has.
+    # An order is delayed in a socket, its reply times out, and the plan changes. An
+    # engine without fencing would accept both, so the side holds the newer one back
+    # until the older one has arrived or can't arrive any more.
     async with order_harness(honours_fencing=False) as b:
         delaying = DelayingEngine(b.engine)
         side = b.side(delaying)
@@ -318,8 +318,9 @@
 
 
 async def test_two_sides_at_an_engine_that_honours_fencing():
-    # The old side is paused with an order decided; its address was taken from it, so
-    # a new side runs and obeys a newer plan. The old order is refused by its number.
+    # The old side is suspended while it sends an order. It has lost its address, so a
+    # new side runs and follows a newer plan. The engine refuses the old order by its
+    # fencing token.
     async with order_harness() as b:
         delaying = DelayingEngine(b.engine)
         old = b.side(delaying)
@@ -340,9 +341,9 @@
 
 
 async def test_two_sides_at_an_engine_that_ignores_fencing():
-    # The paused side still holds its address, so the new one can't start beside it.
-    # Once the old one is killed, its last order arrives within the settling time: the
-    # new side sees the engine change and only then orders.
+    # The suspended side still holds its address, so a new one can't start beside it.
+    # Once the old one is killed, its last order arrives within the delivery time: the
+    # new side sees the engine change, and gives its own order only after that.
     async with order_harness(honours_fencing=False) as b:
         delaying = DelayingEngine(b.engine)
         old = b.side(delaying)
@@ -366,8 +367,8 @@
 async def test_side_with_a_silent_watch_confirms_the_plan_before_ordering(
     honours_fencing,
 ):
-    # The side's watch is silent while a new planner replaces the plan. When work in
-    # flight ends, the side must not give the order of the planner that was replaced.
+    # The side's watch reports nothing while a new planner replaces the plan. When the
+    # drain ends, the side must not give the order of the planner that was replaced.
     async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -384,8 +385,8 @@
 
 
 async def test_the_key_value_service_down_during_a_change_and_back():
-    # The last plan stays: the change ends, a crash in the outage is driven to the
-    # plan again, and a newer plan is obeyed after the outage.
+    # The last plan stays in force: the change ends, an engine that crashes during the
+    # outage is brought to the plan again, and a newer plan is followed after it.
     async with order_harness() as b:
         side = b.side()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -407,9 +408,9 @@
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
 async def test_older_plan_after_a_restore_changes_nothing(honours_fencing):
-    # The service comes back from a backup and its watch shows an older plan for the
-    # engine. Neither the side, nor a new side where the engine keeps the number,
-    # takes the engine back.
+    # The key-value service is restored from a backup and its watch shows an older plan.
+    # The side does not return the engine to it, nor does a new side if the engine
+    # stores the fencing token.
     async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await b.plan(DECODE)
@@ -429,9 +430,9 @@
 
 
 async def test_older_plan_changes_nothing_though_side_and_engine_were_replaced():
-    # The service comes back with an older plan, and neither the engine, which keeps no
-    # number, nor its new side remembers the later one. The entries do: they tell what
-    # the earlier side obeyed, and the older plan is not taken for the newest.
+    # The key-value service is restored with an older plan, and neither the engine,
+    # which stores no token, nor its new side remembers the later one. The entries
+    # report the token that the earlier side obeyed, so the older plan is not followed.
     async with order_harness(honours_fencing=False) as b:
         first = b.side()
         await b.plan(DECODE)
--- a/tests/test_outbox.py
+++ b/tests/test_outbox.py
@@ -42,8 +42,8 @@
 
 
 async def test_failed_send_is_reported_and_does_not_affect_other_peers(listener):
-    # An entry was stopped and its buffers are full: its frames are lost, which ends
-    # its session. The frames of the entry behind it in the same turn still go out.
+    # An entry is suspended and its buffers are full: its frames are dropped, which ends
+    # its session. Frames to the next entry in the same batch are still sent.
     lost = []
     outbox = Outbox(listener, lost.append)
     listener.unreachable.add(b"a")
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -1,4 +1,4 @@
-"""Ways in which a request can still lose its answer as a process ends."""
+"""Requests that could lose their answer while a process shuts down."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 from test_serving import connect
 
 MAX_IDLE_CLOSE_SECONDS = 1.0
-"""An idle connection is closed within so long, whatever its caller does."""
+"""Seconds within which an idle connection is closed, whatever its caller does."""
 
 
 async def test_process_without_a_free_descriptor_stops_accepting():
-    """Every caller at work is cut off as an entry with all descriptors in use ends.
+    """Shutdown with no free descriptor must not abort the requests in flight.
 
-    To take the last connections of the queue, the listening socket is duplicated. With
-    no descriptor free that raises, and the error ends the process before its answers.
+    To accept the last connections of the backlog, the listening socket is duplicated.
+    Without a free descriptor that raises, and the error ended the process before its
+    responses were sent.
     """
     front = Front(pace=0.3)
     listening = await front.listen()
@@ -59,10 +60,10 @@
 
 @pytest.mark.parametrize("turns", range(16))
 async def test_request_that_arrives_while_accepting_stops_is_answered(turns):
-    """A kept connection brings a request while idle ones are looked for.
+    """A request arrives on a keep-alive connection while idle ones are searched for.
 
-    They are not read meanwhile: the request waits in the system's receive buffer, and
-    closing its connection would reset it.
+    Connections are not read during the search: the request waits in the system's
+    receive buffer, and closing its connection would reset it.
     """
     front = Front()
     listening = await front.listen()
@@ -107,11 +108,11 @@
 
 
 async def test_idle_tls_connection_that_reads_nothing_does_not_delay_shutdown(tls):
-    """An entry with TLS that has nothing to do ends half a minute late.
+    """An idle entry with TLS must not shut down half a minute late.
 
-    A caller keeps a connection without looking at it, as pools of blocking clients do.
-    Closing it sends "close notify" and waits for the caller's own, for 30 s; so long
-    the entry takes the connection for one whose answer is still going out.
+    A caller keeps a connection without reading from it, as pools of blocking clients
+    do. Closing it sends "close notify" and waits up to 30 s for the caller's own; for
+    that time the entry counted the connection as one with a response in flight.
     """
     server, caller = tls
     front = Front()
@@ -136,11 +137,11 @@
 
 @pytest.mark.parametrize("turns", range(16))
 async def test_tls_request_that_arrives_while_accepting_stops_is_answered(tls, turns):
-    """A caller over TLS finds its connection closed though its request had arrived.
+    """A TLS connection must not be closed as idle after its request has arrived.
 
-    While an idle connection is not read, the look for unread bytes asks the system's
-    receive buffer. With TLS the library reads on and keeps what came to itself: the
-    look finds nothing, and the request is thrown away with the connection.
+    The check for unread bytes of an idle connection looks at the system's receive
+    buffer. With TLS the library goes on reading and buffers the data itself: the check
+    finds nothing, and the request is discarded with the connection.
     """
     server, caller = tls
     front = Front()
@@ -165,11 +166,11 @@
 
 
 async def test_tls_disconnects_while_accepting_stops_raise_no_error(tls):
-    """An entry with TLS fails as it stops, and cuts off what it still answers.
+    """Shutdown with TLS must not fail, and abort requests, when idle callers leave.
 
-    Idle callers leave in the very moment in which idle connections are looked for. The
-    system's socket is closed one turn of the event loop before the library tells of it:
-    asked for unread bytes in between, it raises, and the error ends the process.
+    Idle callers disconnect while idle connections are searched for. The system's socket
+    is closed one iteration of the event loop before the library reports it: a check for
+    unread bytes in between raises, and the error ended the process.
     """
     server, caller = tls
     front = Front()
@@ -198,11 +199,11 @@
 
 @pytest.mark.parametrize("part", [4, len(REQUEST) - 2])
 async def test_request_whose_head_has_partly_arrived_is_answered(part):
-    """A caller finds its connection closed in the midst of sending its request.
+    """A connection must not be closed as idle while its request is being sent.
 
-    A long head comes in two packets, a moment apart, and taking stops between them.
-    What was read has no handler and nothing waits unread, so the connection passes for
-    idle. It is not: a caller that sent all within 50 ms has not been slow.
+    A long head arrives in two packets, and accepting stops between them. The part that
+    was read has no handler yet and nothing is left unread, so the connection looks
+    idle. A caller that sends all within 50 ms is not slow and must be answered.
     """
     front = Front()
     listening = await front.listen()
@@ -233,11 +234,11 @@
 async def test_claim_is_completed_though_another_request_is_aborted_at_shutdown(
     tmp_path,
 ):
-    """An order was answered, and its replay is told that it may have run.
+    """The replay of an answered order must not end as "may have run".
 
-    Its entry puts the record of the answer off, for two seconds at most, and writes
-    what it has put off as it ends. But only once its last answer is out: here a stream
-    is under way when the time is over, and the process ends without that write.
+    The entry defers the record of the answer for two seconds at most, and writes what
+    is deferred at shutdown, but did so only after the last answer was sent: with a
+    stream still running when the time was over, the process ended without that write.
     """
     flags = ("--shutdown-seconds", "6")
     async with process_fleet(
@@ -258,12 +259,13 @@
 
 
 async def test_shutdown_with_an_unresponsive_store_ends_in_time(tmp_path):
-    """An entry that is to end in six seconds is killed by its platform.
+    """An entry must end within its shutdown time though the store does not reply.
 
-    An order was answered a moment before; the write of its claim has been put off. The
-    store takes calls and answers none. The bound of that write, two seconds, is over in
-    the same pass as the call's own two seconds, and the HTTP library swallows it: where
-    its timeout and another one cancel a call at once, it takes both back.
+    An order was answered shortly before, and the write of its claim is deferred. The
+    store accepts calls and answers none. The timeout of that write, two seconds,
+    expires in the same loop iteration as the call's own two seconds. The HTTP library
+    swallows it: if its timeout and another one cancel a call at once, it uncancels
+    both, and the platform would kill the process.
     """
     flags = ("--shutdown-seconds", "6")
     async with process_fleet(tmp_path, 0, 1, 1, entry_flags=flags) as f:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -32,8 +32,8 @@
 
 
 async def test_a_call_that_must_not_repeat_ends_unknown_where_its_reply_was_lost():
-    # The service ran the order and the connection broke. Trying another replica
-    # could place the order twice; the caller is told that the outcome is unknown.
+    # The service ran the order and the connection broke. A retry at another replica
+    # could place the order twice, so the outcome is "unknown".
     async with fleet(services=2) as f:
         f.upstreams["service-1"].lose_replies = 1
         with pytest.raises(RequestError) as caught:
@@ -44,8 +44,9 @@
 
 
 async def test_a_side_killed_between_start_and_answer_leaves_the_outcome_unknown():
-    # The side dies after it handed the order to its service, and a new one takes its
-    # place. Nobody can know whether the order ran: "unknown", and never a second run.
+    # The side is killed after it passed the order to its service, and a new one
+    # replaces it. Whether the order ran can't be known: the outcome is "unknown", and
+    # the order never runs again.
     async with fleet(services=2) as f:
         f.upstreams["service-1"].pace = 5.0
         call = f.service_call("orders")
@@ -60,8 +61,8 @@
 
 
 async def test_an_answer_that_a_partition_held_back_is_still_delivered():
-    # The order runs while its side is cut off for a while. The entry keeps the call,
-    # asks again in a new session, and gets the answer that the side kept.
+    # A partition isolates the side while the order runs. The entry keeps the call, asks
+    # for its state in a new session, and gets the answer that the side has kept.
     async with fleet(services=1) as f:
         f.upstreams["service-1"].pace = 2.0
         call = f.service_call("orders", total=30.0)
@@ -75,8 +76,8 @@
 
 
 async def test_an_order_held_back_by_a_partition_ends_not_run_or_once():
-    # The order's offer is held back by the cut; the entry opens a new session after
-    # it and learns that the order never started there. It runs once in the end.
+    # A partition delays the offer. After it, the entry opens a new session and learns
+    # that the order never started there. In the end it runs once.
     async with fleet(services=2) as f:
         f.network.partition("service-1")
         call = f.service_call("orders", total=30.0)
@@ -98,9 +99,9 @@
 
 
 async def test_failure_lost_with_its_session_is_not_reported_as_never_started():
-    # An order runs at its service, whose reply is lost; the side's word of that is
-    # lost with the session. The entry says hello again and asks what became of the
-    # order. It must not hear "never started": the order would run a second time.
+    # An order runs at its service, whose reply is lost, and the side's report of that
+    # failure is lost with the session. The entry opens a new session and asks for the
+    # state of the order. With "never started" the order would run a second time.
     async with fleet(services=2) as f:
         for upstream in f.upstreams.values():
             upstream.pace = 5.0
@@ -119,8 +120,8 @@
 
 
 async def test_call_at_a_lost_side_ends_long_before_its_deadline():
-    # The side dies with an order in flight and is not replaced. The caller's deadline
-    # is ten minutes away; "unknown" is told after the grace for a cut to end.
+    # The side is killed with an order in flight and is not replaced. The deadline is
+    # ten minutes away; the call ends as "unknown" after the grace for a new session.
     async with fleet(services=2) as f:
         f.upstreams["service-1"].pace = 5.0
         call = f.service_call("orders", total=600.0)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -51,9 +51,9 @@
 
 
 async def test_offer_delayed_by_a_partition_never_runs_after_not_run_was_reported():
-    # An entry offers a call, but the network holds the frame back. The entry opens a
-    # new session, asks, and hears "never started", so its caller is told "not run".
-    # When the cut ends the offer arrives, and must not start.
+    # An entry offers a call and a partition delays the frame. The entry opens a new
+    # session, asks for the state and gets "never started", so the call ends as "not
+    # run". When the partition ends, the offer arrives and must not start.
     async with fleet(entries=0, services=1) as f:
         old = f.network.dial("service-1")
         session = await open_session(old, 1)
@@ -72,8 +72,8 @@
 
 
 async def test_a_late_hello_does_not_end_the_session_in_use():
-    # A hello of the same entry waits in a buffer while a later one is welcomed. When
-    # it arrives, the later session goes on: its offers run.
+    # A hello of the same entry is buffered while a later one is welcomed. When it
+    # arrives, the later session stays open: its offers run.
     async with fleet(entries=0, services=1) as f:
         link = f.network.dial("service-1")
         session = await open_session(link, 2)
@@ -96,8 +96,8 @@
 
 @pytest.mark.parametrize("delay", [0.0, 0.0005, 0.001, 0.002, 0.05, 0.1, 0.15])
 async def test_cancel_that_races_with_a_start_reports_the_true_state(delay):
-    # A cancel is sent around the moment at which the call starts. Whatever the side
-    # answers, it is true: "never started" exactly when the service has not run it.
+    # A cancel is sent at about the time at which the call starts. The side must report
+    # "never started" exactly when the service has not run the call.
     async with fleet(entries=0, services=1) as f:
         link = f.network.dial("service-1")
         session = await open_session(link, 1)
@@ -113,8 +113,8 @@
 
 
 async def test_call_cancelled_while_it_waits_is_not_run():
-    # The service is busy with one call; the next waits behind it past its deadline.
-    # Its caller is told "not run" and the service never sees it.
+    # The service is busy with one call, and the next waits in the queue past its
+    # deadline. It ends as "not run", and the service never sees it.
     async with fleet(services=0) as f:
         f.add_upstream("service-1", ScriptedService(30.0), FirstComeFirstServed(1))
         await f.settle()
@@ -130,8 +130,8 @@
 
 
 async def test_resumed_side_refuses_offers_that_waited_in_its_socket():
-    # A side process is stopped for a minute. Offers of that time wait in its socket,
-    # and their callers were answered long ago. It must not start them on waking.
+    # A side process is suspended for a minute. Offers of that time wait in its socket,
+    # and their entries have given up on them. It must not start them when it resumes.
     async with fleet(entries=0, services=1) as f:
         side = f.sides["service-1"]
         link = f.network.dial("service-1")
@@ -143,8 +143,8 @@
 
 
 async def test_resumed_side_may_send_a_heartbeat_before_it_reads_its_socket():
-    # The same, but on waking the beat runs first: it must not hide the pause from the
-    # offers that are read after it.
+    # As above, but the heartbeat task runs before the socket is read: it must not hide
+    # the suspension from the offers that are read after it.
     async with fleet(entries=0, services=1) as f:
         link = f.network.dial("service-1")
         session = await open_session(link, 1)
@@ -165,8 +165,8 @@
 
 
 async def test_a_new_side_learns_the_configuration_from_an_entry():
-    # The key-value service is down while a side is replaced by one that knows
-    # nothing. The entry's hello tells a generation and the side pulls the document.
+    # A side without a configuration starts while the key-value service is down. The
+    # entry's hello contains a generation, and the side pulls the document.
     async with fleet(engines=1) as f:
         await f.kill("engine-1")
         f.document = encode_configuration(configuration(generation=0))
@@ -177,8 +177,8 @@
 
 
 async def test_new_side_learns_the_last_plan_token_from_an_entry():
-    # The side is replaced and remembers nothing; the entry heard the plan's number
-    # from the earlier one and tells it with its hello.
+    # A replaced side remembers no plan. The entry knows the plan token from the reports
+    # of the earlier side and sends it with its hello.
     async with fleet(engines=1) as f:
         f.sides["engine-1"].plan_token = lambda: FencingToken(4, 2)
         await asyncio.sleep(2.0)
@@ -198,7 +198,7 @@
 
 
 async def test_leaving_side_refuses_waiting_work_and_drains_the_rest():
-    # Engine 1 leaves while it runs one answer and another waits. The first is ended
+    # Engine 1 leaves while it runs one answer and another waits. The first is completed
     # there, the second runs on engine 2; both callers get their whole answers.
     async with fleet(engines=0) as f:
         f.add_upstream("engine-1", ScriptedEngine(), FirstComeFirstServed(1))
@@ -217,9 +217,9 @@
 
 
 async def test_entry_that_shuts_down_drains_its_requests():
-    # The entry is told to end. It is not ready any more, but callers that the
-    # balancer still sends are served; only after its notice are new ones refused, and
-    # the last answer in flight is whole.
+    # An entry that shuts down is not ready, but it serves the callers that the load
+    # balancer still sends. New requests are refused only after the drain time, and the
+    # last answer in flight is whole.
     async with fleet(engines=1) as f:
         entry = f.entries["entry-1"]
         last = asyncio.create_task(answer_of(entry, f.model_call(100)))
@@ -237,9 +237,9 @@
 
 
 async def test_dropped_frame_ends_the_session_and_the_answer_is_resumed():
-    # The entry is stopped for a moment and its buffers are full: the last chunk of an
-    # answer is dropped. The entry is told that its session is over and resumes on
-    # another engine, instead of waiting for that chunk until the deadline.
+    # The entry is suspended and its buffers are full, so the last chunk of an answer is
+    # dropped. The entry learns that its session has ended and resumes on another
+    # engine, instead of waiting for that chunk until the deadline.
     async with fleet(engines=2) as f:
         listener = f.sides["engine-1"].listener
         send = listener.send
@@ -257,8 +257,8 @@
 
 
 async def test_dropped_credit_ends_the_session_and_the_answer_is_resumed():
-    # Credit for a stream is lost on its way to a side. Without it the stream would
-    # stand still; the session ends and the answer is resumed.
+    # Credit for a stream can't be sent to the side. Without it the stream would stall,
+    # so the session ends and the answer is resumed.
     async with fleet(engines=2) as f:
         peer = f.entries["entry-1"].membership.peers["engine-1"]
         send = peer.link.send
--- a/tests/test_side_ending.py
+++ b/tests/test_side_ending.py
@@ -1,4 +1,4 @@
-"""A side whose time is over says so of all that still runs."""
+"""Abort of the attempts that still run when a side's shutdown time is over."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 async def test_each_running_attempt_is_reported_though_others_end_meanwhile():
-    """Three calls run at a side whose time is over; telling of one lets others end.
+    """Attempts end and are removed while the failure of another one is being sent.
 
-    The side ended with an error in the midst of it, and the entries waited for the
-    rest until the side counted as lost.
+    The loop over the running attempts raised an error, and the entries waited for the
+    remaining ones until the side counted as lost.
     """
     reported = []
     core = SideCore.__new__(SideCore)
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,4 @@
-"""The ``status`` command against entries that run as processes."""
+"""The ``status`` command with entries that run as processes."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 
 
 async def test_status_shows_what_each_upstream_has_in_force(tmp_path, capsys):
-    # Two entries as processes; operators ask both. Each engine shows its role, what
-    # it carries, the plan its side obeys and the configuration it has in force.
+    # The command asks two entries. Each engine shows its role, its models, the plan
+    # that its side follows and the configuration that the side has in force.
     async with process_fleet(tmp_path, engines=2, services=1) as f:
         urls = [f.urls["entry-1"], f.urls["entry-2"]]
         command = ["status", "--admin-key", f.admin_key, "--json"]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -21,8 +21,8 @@
 
 
 async def test_an_engine_that_dies_in_mid_answer_is_replaced_by_another():
-    # The caller sees one whole answer. Engine 1 gives three tokens and dies; the
-    # entry resumes on engine 2 from the fourth, so nothing is repeated or missing.
+    # Engine 1 fails after three tokens, and the entry resumes on engine 2 from the
+    # fourth. The caller gets one whole answer; nothing is repeated or missing.
     async with fleet(engines=2) as f:
         f.upstreams["engine-1"].break_at = 3
         text = await answer_of(f.entries["entry-1"], f.model_call(7))
@@ -31,8 +31,8 @@
 
 
 async def test_a_side_that_dies_in_mid_answer_is_replaced_by_another():
-    # The side of engine 1 is killed after some tokens. The entry misses its beats,
-    # gives the session up and resumes on engine 2.
+    # The side of engine 1 is killed after some tokens. The entry misses its heartbeats,
+    # ends the session and resumes on engine 2.
     async with fleet(engines=2) as f:
         task = asyncio.create_task(
             answer_of(f.entries["entry-1"], f.model_call(30, total=60))
@@ -53,9 +53,9 @@
     ],
 )
 async def test_faulty_chunks_never_reach_the_caller(chunks):
-    # Engine 1 repeats, swaps or leaves out chunks. The caller still gets each token
-    # once and in order: duplicates are dropped, and at a gap the attempt is given up
-    # and engine 2 resumes.
+    # Engine 1 repeats, reorders or omits chunks. The caller still gets each token once
+    # and in order: duplicates are dropped, and a gap fails the attempt, so that
+    # engine 2 resumes.
     async with fleet(engines=2) as f:
         faulty = [TokenChunk(index, 1, text) for index, text in chunks]
         f.upstreams["engine-1"].chunks = faulty
@@ -64,8 +64,8 @@
 
 
 async def test_chunks_of_a_superseded_attempt_are_ignored():
-    # Engine 1 is cut off in mid-answer and the caller's answer goes on at engine 2.
-    # When the cut ends, the chunks held back by it arrive, and change nothing.
+    # A partition isolates engine 1 in mid-answer and the answer goes on at engine 2.
+    # When the partition ends, the delayed chunks arrive and are ignored.
     async with fleet(engines=2) as f:
         task = asyncio.create_task(
             answer_of(f.entries["entry-1"], f.model_call(60, total=60))
@@ -78,8 +78,8 @@
 
 
 async def test_a_slow_caller_delays_nobody_else():
-    # One caller stops reading. Its side runs out of credit and merges what follows;
-    # another caller of the same engine gets its answer at the engine's pace.
+    # One caller stops reading. Its stream runs out of credit and the side merges the
+    # chunks that follow; another caller of the engine gets its answer at full speed.
     async with fleet(engines=1) as f:
         entry = f.entries["entry-1"]
         slow = entry.submit_model(f.model_call(200))
@@ -104,8 +104,8 @@
 
 
 async def test_a_prompt_that_kills_engines_is_given_up():
-    # Each engine dies at the first token of this request; it must not take the whole
-    # fleet down one after the other.
+    # Each engine fails at the first token of this request, which must not crash one
+    # engine of the fleet after another.
     async with fleet(engines=4) as f:
         for number in range(1, 5):
             f.upstreams[f"engine-{number}"].break_at = 0
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,7 +1,7 @@
-"""Processes of different protocol versions speak with one another.
+"""Compatibility of processes that speak different versions of the protocol.
 
-The first part is version 1, frozen as it was: it must not follow the code. The later
-version is made up from frames of this one.
+The first part is a frozen copy of version 1, which must not follow changes of the
+code. The later version is simulated by changed frames of the present one.
 """
 
 from __future__ import annotations
@@ -213,7 +213,7 @@
 
 
 class EntryVersion1:
-    """An entry of version 1: says hello, offers one thing, collects what comes."""
+    """An entry of version 1: opens a session, makes one offer and reads messages."""
 
     def __init__(self, network, address):
         self.link = network.dial(address)
@@ -241,7 +241,7 @@
 
 
 class SideVersion1:
-    """A side of version 1 that answers every offer whole, at once."""
+    """A side of version 1 that answers every offer completely and at once."""
 
     def __init__(self, network, address):
         self.listener = network.listen(address)
@@ -286,7 +286,7 @@
 
 @contextlib.asynccontextmanager
 async def side_version_1(kind):
-    """Run an entry of this version before a side of version 1."""
+    """Run an entry of the present version with a side of version 1."""
     name = "engine-1" if kind is UpstreamKind.ENGINE else "service-1"
     fleet_of_this_version = Fleet()
     side = SideVersion1(fleet_of_this_version.network, name)
@@ -333,7 +333,7 @@
 
 async def test_an_entry_streams_a_whole_answer_of_a_side_of_version_1():
     async with side_version_1(UpstreamKind.ENGINE) as (f, entry, side):
-        # More chunks than the first credit allows, so that credit is granted too.
+        # More chunks than the initial credit allows, so that credit is granted too.
         tokens = timing.CHUNK_CREDIT * 2
         assert await answer_of(entry, f.model_call(tokens)) == expected_text(tokens)
         assert entry.membership.peers["engine-1"].version == 1
@@ -349,7 +349,7 @@
         assert side.unknown == 0
 
 
-# A later version, made up
+# A simulated later version
 
 UNKNOWN = msgspec.msgpack.encode([99, {"later": [1, 2]}, b"x"])
 
@@ -366,7 +366,7 @@
 
 
 class LaterNetwork(MemoryNetwork):
-    """Carries every frame, both ways, as a later version would send it."""
+    """Carries every frame, in both directions, as a later version would send it."""
 
     def carry(self, address, queue, frame):
         peer, content = frame
@@ -375,7 +375,7 @@
 
 
 class CountingTelemetry(NullTelemetry):
-    """Counts unknown messages alone."""
+    """Counts unknown messages only."""
 
     def __init__(self):
         self.unknown = 0
@@ -385,8 +385,9 @@
 
 
 async def test_fields_and_messages_of_a_later_version_are_ignored(caplog):
-    # Both ends hear a later version: unknown messages, longer messages and a higher
-    # number. They speak their own, answer whole, hold their one session and count.
+    # Both ends receive a later version: unknown messages, longer messages and a higher
+    # version number. They speak their own version, answer completely, keep their one
+    # session and count the unknown messages.
     f = Fleet()
     f.network = LaterNetwork()
     f.add_upstream("engine-1", ScriptedEngine())
@@ -412,12 +413,12 @@
     await f.close()
 
 
-# Versions that don't go together
+# Incompatible versions
 
 
 async def test_entry_with_an_old_protocol_version_is_refused(monkeypatch, caplog):
-    # The side takes no version 1 any more. The entry's hello opens nothing: it hears
-    # which versions the side takes, and the side's log names the entry.
+    # The side does not accept version 1 any more. The entry's hello opens no session:
+    # the reply names the versions that the side accepts, and its log names the entry.
     monkeypatch.setattr(messages, "MIN_PROTOCOL_VERSION", 2)
     async with fleet(entries=0, services=1) as f:
         link = f.network.dial("service-1")
@@ -431,8 +432,8 @@
 
 
 async def test_refused_entry_offers_nothing_and_retries_slowly(caplog):
-    # A side of a far later version refuses the hello. The caller gets "not run", the
-    # log says why, and the entry does not fill the log with tries.
+    # A side of a much later version refuses the hello. The call ends as "not run", the
+    # log gives the reason, and the entry does not flood the log with attempts.
     f = Fleet()
     listener = f.network.listen("service-1")
     info = InstanceInfo("service-1", UpstreamKind.SERVICE, "zone-a", "service-1", "")
