--- a/src/bergamotmast/claims/__init__.py
+++ b/src/bergamotmast/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims of calls that must not be repeated: store, group commit, retention."""
+"""Claims that keep calls at-most-once: their store, group commit and retention."""
--- a/src/bergamotmast/claims/batch.py
+++ b/src/bergamotmast/claims/batch.py
@@ -1,4 +1,4 @@
-"""Group commit of claims: many steps of many claims in one transaction."""
+"""Group commit of claims: steps of many claims in one transaction."""
 
 from __future__ import annotations
 
@@ -25,22 +25,25 @@
 from .retention import RetentionLease
 
 MAX_STEPS_PER_TXN = 100
-"""Steps in one transaction; etcd takes 128 operations by default."""
+"""Maximum number of steps in a transaction; etcd allows 128 operations by default."""
 
 MAX_ROUNDS = 6
-"""Transactions tried for one batch; each round leaves fewer steps in dispute."""
+"""Maximum number of transactions for one batch.
+
+Each round settles the steps whose keys were in conflict.
+"""
 
 MAX_LEASE_ATTEMPTS = 2
-"""Times a lease is asked for, where the reply is lost."""
+"""Requests for a lease if their replies are lost."""
 
 CALL_TIMEOUT_SECONDS = 2.0
-"""Longest wait for one call of the key-value service."""
+"""Timeout of one call to the key-value service."""
 
 logger = logging.getLogger(__name__)
 
 
 class StepKind(enum.Enum):
-    """What is to happen to a claim's record."""
+    """Change to be made to a claim's record."""
 
     CLAIM = "claim"
     COMPLETE = "complete"
@@ -48,19 +51,19 @@
 
 
 class StepOutcome(enum.Enum):
-    """What became of a step."""
+    """Outcome of a step."""
 
     DONE = "done"
-    """It took effect."""
+    """The step took effect."""
 
     TAKEN = "taken"
-    """The record is another's."""
+    """The key holds the record of another claim, or this claim's record is gone."""
 
     FAILED = "failed"
-    """The service was down; it truly took no effect."""
+    """The service was down, or no round was left; the step took no effect."""
 
     UNKNOWN = "unknown"
-    """The service was down; it may have taken effect, or may yet."""
+    """A reply was lost; the step may have taken effect or may still do so."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -68,12 +71,14 @@
     """One step of one claim.
 
     :param record: the record to write, or for a release the one to delete.
-    :param lease: the lease the record is on; 0 before it is written.
-    :param revision: revision that the record must be at; 0 for none there, ``None``
-        where it has to be read.
-    :param outcome: what became of it; ``None`` while under way.
-    :param conflicting_record: the record found, where it is another's.
-    :param claimed_at: when the claim was begun; a point on the local monotonic clock.
+    :param lease: id of the lease that the record is attached to; 0 before it is
+        written.
+    :param revision: revision that the key must have; 0 if it must not exist, ``None``
+        if it has to be read first.
+    :param outcome: outcome of the step; ``None`` while it is pending.
+    :param conflicting_record: record of another claim that was found at the key.
+    :param claimed_at: when the claim was made, in seconds on the local monotonic
+        clock.
     """
 
     kind: StepKind
@@ -87,14 +92,14 @@
 
 
 class ClaimBatch:
-    """Commits steps together.
+    """Commits steps of several claims in one transaction.
 
-    One transaction of a hundred steps counts as one call at the service, but fails as
-    a whole when one comparison does. Its keys are then read, those in dispute are
-    settled, and the rest goes into the next round.
+    A transaction of a hundred steps counts as one call at the service, but it fails as
+    a whole if one of its comparisons does. All its keys are then read, the steps in
+    conflict are settled, and the others go into the next round.
 
     :param kv: the key-value service.
-    :param retention: the lease for new claims.
+    :param retention: provides the lease of new claims.
     """
 
     def __init__(self, kv: KeyValueService, retention: RetentionLease) -> None:
@@ -102,9 +107,9 @@
         self.retention = retention
 
     async def commit(self, steps: cabc.Sequence[Step]) -> None:
-        """Bring every step to its end; each must be of another key."""
+        """Set the outcome of every step; no two steps may have the same key."""
         open_steps = list(steps)
-        doubt = False
+        in_doubt = False
         for _ in range(MAX_ROUNDS):
             try:
                 await self._read([s for s in open_steps if s.revision is None])
@@ -113,18 +118,19 @@
                     return
                 await self._write(open_steps)
             except LeaseLapsedError:
-                await self._after_lapse(open_steps)
+                await self._handle_expired_lease(open_steps)
             except KeyValueOutcomeUnknownError:
-                # The write may be here, or on its way. The nonces stay the same, so
-                # that a late arrival and the next round claim for the same call.
-                doubt = True
+                # The write may have been applied or may still be in flight. The next
+                # round uses the same nonces, so that a write that arrives late claims
+                # for the same call.
+                in_doubt = True
                 _forget_revisions(open_steps)
             except PortError as error:
                 logger.warning("claims not written: %s", error.message)
                 break
             open_steps = _still_open(open_steps)
         for step in open_steps:
-            step.outcome = StepOutcome.UNKNOWN if doubt else StepOutcome.FAILED
+            step.outcome = StepOutcome.UNKNOWN if in_doubt else StepOutcome.FAILED
 
     async def _write(self, steps: list[Step]) -> None:
         claims = [s for s in steps if s.kind is StepKind.CLAIM]
@@ -132,7 +138,7 @@
         for step in claims:
             step.lease = lease
         compares = [Compare(s.key, s.revision or 0) for s in steps]
-        result = await self._txn(compares, [_write_of(s) for s in steps])
+        result = await self._txn(compares, [_write_operation(s) for s in steps])
         if not result.succeeded:
             _forget_revisions(steps)
             return
@@ -141,12 +147,17 @@
             step.outcome = StepOutcome.DONE
 
     async def _lease(self, claims: int) -> int:
-        """Return a lease; one whose reply is lost holds nothing and lapses."""
+        """Return a lease for new claims.
+
+        A lease whose grant was lost has no keys attached and expires by itself.
+        """
         for _ in range(MAX_LEASE_ATTEMPTS):
             with contextlib.suppress(KeyValueOutcomeUnknownError, TimeoutError):
                 async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                     return await self.retention.take(claims)
-        raise KeyValueUnavailableError("no lease for claims")
+        raise KeyValueUnavailableError(
+            f"no lease for claims after {MAX_LEASE_ATTEMPTS} attempts"
+        )
 
     async def _txn(
         self, compares: list[Compare], writes: list[Put | Delete]
@@ -155,25 +166,29 @@
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 return await self.kv.txn(compares, writes)
         except TimeoutError:
-            raise KeyValueOutcomeUnknownError("no reply in time") from None
+            raise KeyValueOutcomeUnknownError(
+                f"no reply to a write of claims within {CALL_TIMEOUT_SECONDS:g} s"
+            ) from None
 
     async def _read(self, steps: list[Step]) -> None:
-        """Read the records of steps and settle those that are decided."""
+        """Read the records of steps and settle the steps that these decide."""
         if not steps:
             return
         try:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 items = await asyncio.gather(*(self.kv.get(s.key) for s in steps))
         except TimeoutError:
-            raise KeyValueUnavailableError("no answer in time") from None
+            raise KeyValueUnavailableError(
+                f"no reply to a read of claims within {CALL_TIMEOUT_SECONDS:g} s"
+            ) from None
         for step, item in zip(steps, items, strict=True):
             _settle(step, item)
 
-    async def _after_lapse(self, steps: list[Step]) -> None:
-        """Go on after the service has refused a lease as lapsed.
+    async def _handle_expired_lease(self, steps: list[Step]) -> None:
+        """Prepare the next round after the service has refused a lease as expired.
 
-        Claims get a new one. A completion can't: its record went with its lease, so
-        there is nothing left to complete.
+        Claims get a new lease. A completion can't, because its record was deleted with
+        the lease, so there is nothing left to complete.
         """
         self.retention.forget()
         _forget_revisions(steps)
@@ -183,6 +198,7 @@
 
 
 def _settle(step: Step, item: KeyValue | None) -> None:
+    """Set a step's outcome if the item at its key decides it, else its revision."""
     record = decode_claim(item.value) if item else None
     if item is None or record is None:
         step.revision = 0
@@ -198,7 +214,7 @@
             step.outcome = StepOutcome.DONE
 
 
-def _write_of(step: Step) -> Put | Delete:
+def _write_operation(step: Step) -> Put | Delete:
     if step.kind is StepKind.RELEASE:
         return Delete(step.key)
     return Put(step.key, encode_claim(step.record), step.lease)
--- a/src/bergamotmast/claims/retention.py
+++ b/src/bergamotmast/claims/retention.py
@@ -1,4 +1,4 @@
-"""How long claims are kept, by leases that nobody renews."""
+"""Retention of claims by leases that are never renewed."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from ..ports import KeyValueService
 
 RETENTION_SECONDS = 24 * 3600
-"""A key that is replayed later than this may run again."""
+"""Minimum retention of a claim; a call replayed later than this may run again."""
 
 LEASE_REUSE_SECONDS = 3600
-"""How long new claims are put on the same lease."""
+"""Time for which new claims are attached to the same lease."""
 
 MAX_CLAIMS_PER_LEASE = 10_000
-"""Claims on one lease: its end deletes them all at once."""
+"""Maximum number of claims on one lease; its expiry deletes them all at once."""
 
 
 class RetentionLease:
-    """The lease that an entry's new claims are attached to.
+    """Lease that an entry's new claims are attached to.
 
-    A claim must outlive the entry that made it, so its lease is never renewed or
-    revoked: it lapses by itself, the retention after the last claim put on it. No
-    process has to clean up.
+    A claim must outlive the entry that made it. Its lease is therefore never renewed
+    or revoked: it expires by itself, at the earliest :data:`RETENTION_SECONDS` after
+    the last claim was attached. No process has to clean up.
 
     :param kv: the key-value service.
-    :param lease: its id; 0 before the first.
+    :param lease: id of the current lease; 0 before the first.
     """
 
     def __init__(self, kv: KeyValueService) -> None:
@@ -34,9 +34,10 @@
         self._claims = 0
 
     async def take(self, claims: int) -> int:
-        """Return a lease for so many claims more.
+        """Return the id of a lease that a number of new claims may be attached to.
 
-        :raises PortError: if a new one is needed and not granted.
+        :param claims: number of new claims.
+        :raises PortError: if a new lease is needed and not granted.
         """
         now = asyncio.get_running_loop().time()
         full = self._claims + claims > MAX_CLAIMS_PER_LEASE
@@ -50,5 +51,5 @@
         return self.lease
 
     def forget(self) -> None:
-        """Use the present lease no more, for instance because it is gone."""
+        """Stop using the current lease, for instance because it no longer exists."""
         self.lease = 0
--- a/src/bergamotmast/claims/store.py
+++ b/src/bergamotmast/claims/store.py
@@ -1,13 +1,15 @@
 """At-most-once claims of calls that must not be repeated.
 
-Before such a call is dispatched, its key is claimed in the key-value service by a
-write that succeeds only where no record is; no claim, no run. The record outlives
-every instance for :data:`~bergamotmast.claims.retention.RETENTION_SECONDS`.
-
-Claims that arrive while a write is under way go together in the next one. Completions
-are in nobody's way: they wait for the next claim, or :data:`LINGER_SECONDS`. Measured
-with the stand-in at 5 ms a call, each claim with its completion: three entries make
-20 writes for 20 claims a second, 108 for 200 and 121 for 1,000.
+Before such a call is dispatched, its idempotency key is claimed in the key-value
+service by a write that succeeds only if no record exists. Without a claim the call is
+not run. The record is kept for
+:data:`~bergamotmast.claims.retention.RETENTION_SECONDS`, whatever happens to the
+entry that wrote it.
+
+Claims that arrive during a write are batched into the next one. No caller waits for a
+completion, so completions wait for the next claim, or :data:`LINGER_SECONDS` at most.
+With the stand-in at 5 ms a call, and a completion for each claim, three entries make
+20 writes a second for 20 claims a second, 108 for 200 and 121 for 1,000.
 """
 
 from __future__ import annotations
@@ -36,32 +38,33 @@
 from .retention import RetentionLease
 
 CLAIM_TIMEOUT_SECONDS = 5.0
-"""Longest wait for a claim; the call is then refused and truly not run."""
+"""Timeout of a claim; the call is then refused and definitely not run."""
 
 LINGER_SECONDS = 2.0
-"""Longest wait of a completion for company.
+"""Maximum delay of a completion that waits to be batched with claims.
 
-Until it is written, a replay at another entry is told that the call may have run.
+Until it is written, a replay at another entry is refused because the call may have
+run.
 """
 
 MAX_RETRY_DELAY_SECONDS = 5.0
-"""Bound of the time between attempts to write what an outage has held up."""
+"""Maximum backoff between attempts to write deferred steps during an outage."""
 
 WRITE_INTERVAL_SECONDS = 0.02
-"""Least time between two writes of one entry: at most 50 a second."""
+"""Minimum time between two writes of one entry: at most 50 writes a second."""
 
 MAX_DEFERRED_STEPS = 2_000
-"""Completions and releases kept through an outage, each of at most some 2 KB."""
+"""Maximum number of deferred completions and releases, each of about 2 KB at most."""
 
 MAX_REMEMBERED_CLAIMS = 4_000
-"""Own claims remembered; the service knows the rest."""
+"""Maximum number of own claims kept in memory; others are read from the service."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Waiting:
-    """A claim whose caller waits for it.
+    """A claim that a caller waits for.
 
-    :param unwanted: whether the caller has gone meanwhile.
+    :param unwanted: whether the caller has stopped waiting.
     """
 
     step: Step
@@ -70,7 +73,7 @@
 
 
 class ClaimStore:
-    """One entry's claims.
+    """Claims made by one entry.
 
     :param kv: the key-value service.
     :param owner: name of the entry, for operators.
@@ -82,105 +85,113 @@
         self.rng = rng
         self.batch = ClaimBatch(kv, RetentionLease(kv))
         self._waiting: collections.deque[_Waiting] = collections.deque()
-        self._lazy: collections.OrderedDict[str, Step] = collections.OrderedDict()
-        self._lazy_due = 0.0
-        self._open: collections.OrderedDict[str, Step] = collections.OrderedDict()
+        self._deferred: collections.OrderedDict[str, Step] = collections.OrderedDict()
+        self._deferred_due = 0.0
+        self._own_claims: collections.OrderedDict[str, Step] = collections.OrderedDict()
         self._backoff = Backoff(rng, first=1.0, longest=MAX_RETRY_DELAY_SECONDS)
         self._wake = asyncio.Event()
 
     async def claim(self, key: str, digest: bytes) -> ServiceAnswer | None:
         """Claim a caller's key, or return the answer of an earlier call.
 
-        :param key: the caller's key with all that it is unique within.
-        :param digest: of the request.
+        :param key: the caller's idempotency key, qualified by its scope (such as the
+            tenant).
+        :param digest: digest of the request.
+        :returns: ``None`` if the key is now claimed and the call may be run.
         :raises RequestError: ``CLAIM_UNAVAILABLE`` if the claim could not be written,
             ``CLAIM_HELD`` if an earlier call may have run, ``ALREADY_RAN`` if it ran
-            and its answer was too long to keep, ``KEY_MISMATCH`` for another request.
+            and its answer was too long to keep, ``KEY_MISMATCH`` if the key was used
+            for another request.
         """
-        place = claim_key(key)
-        known = self._known(place)
+        stored_key = claim_key(key)
+        known = self._own_claim(stored_key)
         if known is not None:
-            return self._own(known, digest)
+            return self._answer_from_own(known, digest)
         nonce = self.rng.getrandbits(64).to_bytes(8, "big")
         record = ClaimRecord(nonce, digest, self.owner)
-        step = Step(StepKind.CLAIM, place, record, claimed_at=_now())
+        step = Step(StepKind.CLAIM, stored_key, record, claimed_at=_now())
         self._remember(step)
         await self._wait_for(step)
         if step.outcome is StepOutcome.DONE:
             return None
         if step.conflicting_record is not None:
-            return _earlier(step.conflicting_record, digest)
+            return _earlier_answer(step.conflicting_record, digest)
         raise RequestError(ResultCode.CLAIM_UNAVAILABLE)
 
     async def complete(self, key: str, answer: ServiceAnswer) -> None:
-        """Keep the answer of a claimed call; it is written within some seconds."""
-        step = self._held(key)
+        """Store the answer of a claimed call.
+
+        The write is deferred by :data:`LINGER_SECONDS` at most, or until an outage
+        ends.
+        """
+        step = self._active_claim(key)
         if step is not None:
             record = msgspec.structs.replace(
                 step.record, done=True, answer=stored_answer(answer)
             )
-            self._put_off(step, StepKind.COMPLETE, record)
+            self._defer(step, StepKind.COMPLETE, record)
 
     async def release(self, key: str) -> None:
-        """Give a claim back whose call was truly not run, with the next write.
+        """Release, with the next write, the claim of a call that was not run.
 
-        The caller was told to come back; while the claim stands, another entry would
+        The caller was told to retry. As long as the claim exists, another entry would
         answer that the call may have run.
         """
-        step = self._held(key)
+        step = self._active_claim(key)
         if step is not None:
-            self._put_off(step, StepKind.RELEASE, step.record)
+            self._defer(step, StepKind.RELEASE, step.record)
 
     async def run(self) -> None:
         """Write claims until cancelled."""
         while True:
-            await self._work_to_do()
+            await self._wait_for_work()
             await self._write_once()
             await asyncio.sleep(WRITE_INTERVAL_SECONDS)
 
     async def flush(self) -> None:
-        """Write what was put off, before the process ends; give up in an outage."""
-        while self._lazy:
-            before = len(self._lazy)
+        """Write the deferred steps before the process ends; give up in an outage."""
+        while self._deferred:
+            before = len(self._deferred)
             await self._write_once()
-            if len(self._lazy) >= before:
+            if len(self._deferred) >= before:
                 return
 
-    def _known(self, place: str) -> Step | None:
-        """Return an own claim of this key, if the service still has it too."""
-        step = self._open.get(place)
+    def _own_claim(self, stored_key: str) -> Step | None:
+        """Return this entry's claim of a key, unless its retention has passed."""
+        step = self._own_claims.get(stored_key)
         if step is not None and _now() - step.claimed_at > RETENTION_SECONDS:
-            del self._open[place]
+            del self._own_claims[stored_key]
             return None
         return step
 
-    def _held(self, key: str) -> Step | None:
-        step = self._open.get(claim_key(key))
+    def _active_claim(self, key: str) -> Step | None:
+        """Return this entry's claim of a key if it is written and not completed."""
+        step = self._own_claims.get(claim_key(key))
         if step is None or step.kind is not StepKind.CLAIM:
             return None
         return step if step.outcome is StepOutcome.DONE else None
 
-    def _own(self, known: Step, digest: bytes) -> ServiceAnswer | None:
-        """Answer a claim of a key that this entry itself has claimed."""
+    def _answer_from_own(self, known: Step, digest: bytes) -> ServiceAnswer | None:
+        """Return the answer to a claim of a key that this entry claimed earlier."""
         if known.kind is not StepKind.RELEASE:
-            return _earlier(known.record, digest)
+            return _earlier_answer(known.record, digest)
         raise RequestError(ResultCode.CLAIM_UNAVAILABLE, retry_after=1.0)
 
     def _remember(self, step: Step) -> None:
-        self._open[step.key] = step
-        if len(self._open) > MAX_REMEMBERED_CLAIMS:
-            self._open.popitem(last=False)
+        self._own_claims[step.key] = step
+        if len(self._own_claims) > MAX_REMEMBERED_CLAIMS:
+            self._own_claims.popitem(last=False)
 
     def _forget(self, step: Step) -> None:
-        if self._open.get(step.key) is step:
-            del self._open[step.key]
+        if self._own_claims.get(step.key) is step:
+            del self._own_claims[step.key]
 
     async def _wait_for(self, step: Step) -> None:
-        """Wait until a claim has its end.
+        """Wait for the outcome of a claim.
 
-        A caller may go away in any moment, also in the very one in which its claim is
-        written. The claim would then be held by a call that never ran, and its
-        replays be told that it may have: it is given back.
+        A caller may disconnect at any time, also just when its claim is written. The
+        claim is then released: it would otherwise belong to a call that never ran, and
+        replays would be refused because the call may have run.
         """
         waiting = _Waiting(step, asyncio.get_running_loop().create_future())
         self._waiting.append(waiting)
@@ -194,18 +205,18 @@
         except asyncio.CancelledError:
             waiting.unwanted = True
             if step.outcome is not None:
-                self._unclaim(step)
+                self._undo_claim(step)
             raise
 
-    async def _work_to_do(self) -> None:
-        """Return when a claim waits or what was put off is due.
+    async def _wait_for_work(self) -> None:
+        """Return when a claim is waiting or deferred steps are due.
 
-        The timeout itself says that it is due. A timer may fire a clock tick early,
-        and comparing the clock again would then spin.
+        An expired timeout alone means that steps are due. A timer may fire a clock
+        tick early, and a loop that compared the clock again would then spin.
         """
         while not self._waiting:
             self._wake.clear()
-            due = self._lazy_due if self._lazy else None
+            due = self._deferred_due if self._deferred else None
             try:
                 async with asyncio.timeout_at(due):
                     await self._wake.wait()
@@ -214,12 +225,12 @@
 
     async def _write_once(self) -> None:
         claims = self._take_claims()
-        lazy = self._take_lazy(claims)
-        await self.batch.commit([*(w.step for w in claims), *lazy])
+        deferred = self._take_deferred(claims)
+        await self.batch.commit([*(w.step for w in claims), *deferred])
         for waiting in claims:
-            self._end_claim(waiting)
-        for step in lazy:
-            self._end_lazy(step)
+            self._finish_claim(waiting)
+        for step in deferred:
+            self._finish_deferred(step)
 
     def _take_claims(self) -> list[_Waiting]:
         taken: list[_Waiting] = []
@@ -231,56 +242,59 @@
                 taken.append(waiting)
         return taken
 
-    def _take_lazy(self, claims: list[_Waiting]) -> list[Step]:
+    def _take_deferred(self, claims: list[_Waiting]) -> list[Step]:
         keys = {waiting.step.key for waiting in claims}
-        room = MAX_STEPS_PER_TXN - len(claims)
-        taken = [step for step in self._lazy.values() if step.key not in keys][:room]
+        free = MAX_STEPS_PER_TXN - len(claims)
+        taken = [s for s in self._deferred.values() if s.key not in keys][:free]
         for step in taken:
-            del self._lazy[step.key]
+            del self._deferred[step.key]
         return taken
 
-    def _end_claim(self, waiting: _Waiting) -> None:
+    def _finish_claim(self, waiting: _Waiting) -> None:
         step = waiting.step
         if waiting.unwanted or step.outcome is not StepOutcome.DONE:
-            self._unclaim(step)
+            self._undo_claim(step)
         if not waiting.future.done():
             waiting.future.set_result(None)
 
-    def _unclaim(self, step: Step) -> None:
-        """Give back a claim that was not wanted, or not known to be written."""
+    def _undo_claim(self, step: Step) -> None:
+        """Release a claim if it was, or may have been, written; else forget it."""
         if step.outcome in (StepOutcome.DONE, StepOutcome.UNKNOWN):
-            self._put_off(step, StepKind.RELEASE, step.record)
+            self._defer(step, StepKind.RELEASE, step.record)
         else:
             self._forget(step)
 
-    def _put_off(self, step: Step, kind: StepKind, record: ClaimRecord) -> None:
+    def _defer(self, step: Step, kind: StepKind, record: ClaimRecord) -> None:
         linger = LINGER_SECONDS if kind is StepKind.COMPLETE else 0.0
         due = _now() + linger
-        self._lazy_due = min(self._lazy_due, due) if self._lazy else due
+        self._deferred_due = min(self._deferred_due, due) if self._deferred else due
         revision = step.revision if step.outcome is StepOutcome.DONE else None
         later = Step(
             kind, step.key, record, step.lease, revision, claimed_at=step.claimed_at
         )
-        self._open[step.key] = later
-        self._lazy[step.key] = later
-        if len(self._lazy) > MAX_DEFERRED_STEPS:
-            _, dropped = self._lazy.popitem(last=False)
+        self._own_claims[step.key] = later
+        self._deferred[step.key] = later
+        if len(self._deferred) > MAX_DEFERRED_STEPS:
+            _, dropped = self._deferred.popitem(last=False)
             self._forget(dropped)
         self._wake.set()
 
-    def _end_lazy(self, step: Step) -> None:
+    def _finish_deferred(self, step: Step) -> None:
         if step.outcome in (StepOutcome.DONE, StepOutcome.TAKEN):
             self._backoff.reset()
             self._forget(step)
             return
         step.outcome = None
         step.revision = None
-        self._lazy[step.key] = step
-        self._lazy_due = _now() + self._backoff.next_delay()
+        self._deferred[step.key] = step
+        self._deferred_due = _now() + self._backoff.next_delay()
 
 
-def _earlier(record: ClaimRecord, digest: bytes) -> ServiceAnswer:
-    """Return the answer of the call that a record is of, or say why there is none."""
+def _earlier_answer(record: ClaimRecord, digest: bytes) -> ServiceAnswer:
+    """Return the answer stored in a claim's record.
+
+    :raises RequestError: as :meth:`ClaimStore.claim` does for a key claimed earlier.
+    """
     if record.digest != digest:
         raise RequestError(ResultCode.KEY_MISMATCH)
     if not record.done:
--- a/src/bergamotmast/protocol/__init__.py
+++ b/src/bergamotmast/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between the system's own processes."""
+"""Messages, stored records and timing that the system's own processes share."""
--- a/src/bergamotmast/protocol/claim_record.py
+++ b/src/bergamotmast/protocol/claim_record.py
@@ -1,4 +1,4 @@
-"""Record of one claimed call in the key-value service."""
+"""Record of a claimed call in the key-value service."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 CLAIMS_PREFIX = "/bergamotmast/claims/"
 
 MAX_ANSWER_BYTES = 2048
-"""Longest body that is kept, so that a replay gets the first answer."""
+"""Maximum length of an answer's body that is stored for replays."""
 
 
 class StoredAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The first answer of a claimed call."""
+    """Answer of a claimed call, returned to replays of the call."""
 
     status: int
     body: bytes
@@ -23,13 +23,13 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One claimed call.
+    """Claim of a call.
 
-    :param nonce: drawn for each claim; tells its writer that the record is its own.
-    :param digest: of the request; another request with this key is refused.
-    :param owner: name of the entry that claimed, for operators.
-    :param done: whether the call ran to its end.
-    :param answer: its answer, if small.
+    :param nonce: random for each claim; identifies the record to its writer.
+    :param digest: digest of the request; another request with this key is refused.
+    :param owner: name of the entry that made the claim, for operators.
+    :param done: whether the call has completed.
+    :param answer: its answer, if no longer than :data:`MAX_ANSWER_BYTES`.
     """
 
     nonce: bytes
@@ -40,9 +40,9 @@
 
 
 def claim_key(key: str) -> str:
-    """Return where the claim of a caller's key is kept.
+    """Return the key at which the claim of a caller's key is stored.
 
-    The hash is a cryptographic one: a tenant that could find two keys of one hash
+    The hash is cryptographic: a tenant that could find two keys with the same hash
     would see another tenant's answer.
     """
     digest = hashlib.blake2b(key.encode(), digest_size=16).hexdigest()
@@ -50,7 +50,7 @@
 
 
 def stored_answer(answer: ServiceAnswer) -> StoredAnswer | None:
-    """Return what is kept of an answer; ``None`` if it is too long."""
+    """Return the stored form of an answer; ``None`` if its body is too long."""
     if len(answer.body) > MAX_ANSWER_BYTES:
         return None
     return StoredAnswer(answer.status, answer.body, answer.content_type)
@@ -68,6 +68,6 @@
 def decode_claim(data: bytes) -> ClaimRecord:
     """Decode a record.
 
-    :raises msgspec.ValidationError: for anything else.
+    :raises msgspec.ValidationError: if the data is not a claim's record.
     """
     return _DECODER.decode(data)
--- a/src/bergamotmast/protocol/config_exchange.py
+++ b/src/bergamotmast/protocol/config_exchange.py
@@ -1,4 +1,4 @@
-"""How both ends of a session pass the configuration on, each to the other."""
+"""Exchange of the configuration between the two ends of a session."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def config_pull(holder: ConfigHolder, generation: int) -> messages.ConfigPull | None:
-    """Return what to ask of a peer that has a generation; ``None`` for nothing."""
+    """Return the request for a peer's configuration; ``None`` if it isn't needed.
+
+    :param generation: generation that the peer has.
+    """
     if not holder.should_pull(generation):
         return None
     return messages.ConfigPull(holder.generation)
@@ -22,14 +25,17 @@
 def newer_config_document(
     holder: ConfigHolder, generation: int
 ) -> messages.ConfigDocument | None:
-    """Return the answer to a peer that has a generation; ``None`` if none is newer."""
+    """Return the configuration for a peer; ``None`` if it isn't newer than the peer's.
+
+    :param generation: generation that the peer has.
+    """
     if holder.generation <= generation:
         return None
     return messages.ConfigDocument(holder.generation, holder.document)
 
 
 def offer_document(holder: ConfigHolder, message: messages.ConfigDocument) -> None:
-    """Offer a peer's document to the holder; what is no configuration is logged."""
+    """Offer a peer's document to the holder; log one that can't be decoded."""
     try:
         holder.offer(message.document)
     except msgspec.MsgspecError as error:
--- a/src/bergamotmast/protocol/messages.py
+++ b/src/bergamotmast/protocol/messages.py
@@ -1,10 +1,10 @@
 """Messages between an entry and a side.
 
-Every message is a tagged msgpack array. A later protocol version may add fields at the
-end of one, with defaults, and new messages: the decoders skip fields they don't know
-and raise :class:`UnknownMessageError` for tags they don't know. Times on the wire are
-budgets in seconds, because the clocks of different instances differ; they become
-deadlines at receipt.
+Every message is a tagged msgpack array. A later protocol version may append fields with
+defaults to a message, and add new messages: the decoders skip unknown fields and raise
+:class:`UnknownMessageError` for unknown tags. Times on the wire are remaining budgets
+in seconds, because the clocks of different instances differ; the receiver converts them
+to deadlines.
 """
 
 from __future__ import annotations
@@ -19,38 +19,38 @@
 from .timing import HEARTBEAT_INTERVAL_SECONDS
 
 PROTOCOL_VERSION = 2
-"""What this end speaks; 2 added :class:`VersionRefused`."""
+"""Version that this process speaks; 2 added :class:`VersionRefused`."""
 
 MIN_PROTOCOL_VERSION = 1
-"""What the other end must speak at least."""
+"""Lowest version of a peer that is accepted."""
 
 MAX_SECONDS = 1e9
-"""Most seconds in any message; what is endless or no number is refused with it."""
+"""Maximum duration in a message, in seconds; it also excludes infinity and NaN."""
 
 Count: t.TypeAlias = t.Annotated[int, msgspec.Meta(ge=0)]
 Seconds: t.TypeAlias = t.Annotated[float, msgspec.Meta(ge=-MAX_SECONDS, le=MAX_SECONDS)]
-"""A budget; negative where the deadline has passed."""
+"""Remaining time in seconds; negative if the deadline has passed."""
 
 Interval: t.TypeAlias = t.Annotated[float, msgspec.Meta(gt=0, le=86_400)]
-"""Seconds between beats. A session whose interval is no number would never expire."""
+"""Seconds between heartbeats; a session with an interval of NaN would never expire."""
 
 Weight: t.TypeAlias = t.Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 
 
-def negotiate_version(theirs: int) -> int | None:
-    """Return the version of a session, or ``None`` if theirs is too old.
+def negotiate_version(peer_version: int) -> int | None:
+    """Return the version of a session, or ``None`` if the peer's is too old.
 
-    :param theirs: highest version that the other end speaks.
+    :param peer_version: highest version that the peer speaks.
     """
-    if theirs < MIN_PROTOCOL_VERSION:
+    if peer_version < MIN_PROTOCOL_VERSION:
         return None
-    return min(PROTOCOL_VERSION, theirs)
+    return min(PROTOCOL_VERSION, peer_version)
 
 
 class UnknownMessageError(msgspec.ValidationError):
-    """A frame is a message that only a later version knows: to be left alone.
+    """A frame holds a message of a later protocol version and is to be ignored.
 
-    :param tag: its tag.
+    :param tag: tag of the message.
     """
 
     def __init__(self, tag: int) -> None:
@@ -59,19 +59,20 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag_field="type"):
-    """Base of every message."""
+    """Base class of all messages."""
 
 
 class Hello(Message, frozen=True, tag=1):
-    """Entry to side: open a session, ending any earlier one of this incarnation.
-
-    :param version: highest that the entry speaks.
-    :param incarnation: random for each start of the entry.
-    :param counter: raised with each hello of this incarnation.
-    :param generation: configuration the entry has in force.
-    :param plan_epoch: of the highest plan that a side of this upstream told of.
-    :param plan_revision: of the same plan.
-    :param interval: seconds between heartbeats in this session, both ways.
+    """Entry to side: open a session and end any earlier one of this incarnation.
+
+    :param version: highest protocol version that the entry speaks.
+    :param incarnation: random id drawn at each start of the entry.
+    :param counter: increased with each hello of this incarnation.
+    :param generation: generation of the configuration that the entry has in force.
+    :param plan_epoch: epoch of the highest plan that a side of this upstream has
+        reported.
+    :param plan_revision: revision of the same plan.
+    :param interval: seconds between heartbeats in this session, in both directions.
     """
 
     version: int
@@ -87,9 +88,9 @@
 class Welcome(Message, frozen=True, tag=2):
     """Side to entry: the session is open.
 
-    :param version: highest that the side speaks.
-    :param session: names the session in every later message.
-    :param incarnation: random for each start of the side.
+    :param version: highest protocol version that the side speaks.
+    :param session: id of the session in every later message.
+    :param incarnation: random id drawn at each start of the side.
     """
 
     version: int
@@ -101,16 +102,16 @@
 
 
 class Heartbeat(Message, frozen=True, tag=3):
-    """Entry to side: alive, and how far the entry's knowledge goes."""
+    """Entry to side: the entry is alive and has this generation in force."""
 
     session: str
     generation: int
 
 
 class ReportHeartbeat(Message, frozen=True, tag=4):
-    """Side to entry: alive, with its exact state.
+    """Side to entry: the side is alive; carries its exact state.
 
-    :param sequence: counts beats of the session.
+    :param sequence: number of the heartbeat within the session.
     """
 
     session: str
@@ -120,13 +121,13 @@
 
 
 class SessionUnknown(Message, frozen=True, tag=5):
-    """Side to entry: no such session; say hello again."""
+    """Side to entry: there is no such session; send a new hello."""
 
     session: str
 
 
 class ModelWork(Message, frozen=True, tag=1):
-    """The work of an offer to an engine."""
+    """Work offered to an engine."""
 
     model: str
     prompt: str
@@ -142,7 +143,7 @@
 
 
 class ServiceWork(Message, frozen=True, tag=2):
-    """The work of an offer to a plain service."""
+    """Work offered to a plain service."""
 
     route: str
     method: str
@@ -154,11 +155,12 @@
 
 
 class Offer(Message, frozen=True, tag=6):
-    """Entry to side: run this.
+    """Entry to side: run this work.
 
-    :param attempt: unique over the life of the system.
+    :param attempt: id of the attempt, unique over the life of the system.
     :param budget: seconds left until the caller's deadline.
-    :param credit: chunks the side may send before it hears more.
+    :param credit: number of chunks that the side may send before it receives more
+        credit.
     """
 
     session: str
@@ -174,7 +176,7 @@
 
 
 class Refused(Message, frozen=True, tag=7):
-    """Side to entry: not started, and a tombstone keeps it from starting."""
+    """Side to entry: not started; a tombstone prevents a later start."""
 
     attempt: str
     code: ResultCode
@@ -182,13 +184,13 @@
 
 
 class Started(Message, frozen=True, tag=8):
-    """Side to entry: handed to the upstream."""
+    """Side to entry: the work was handed to the upstream."""
 
     attempt: str
 
 
 class Chunk(Message, frozen=True, tag=9):
-    """Side to entry: a run of tokens."""
+    """Side to entry: consecutive tokens of a stream."""
 
     attempt: str
     index: Count
@@ -209,7 +211,7 @@
 
 
 class Failed(Message, frozen=True, tag=11):
-    """Side to entry: started, and ended without its whole answer."""
+    """Side to entry: the work was started but ended without its complete answer."""
 
     attempt: str
     code: ResultCode
@@ -217,7 +219,7 @@
 
 
 class Credit(Message, frozen=True, tag=12):
-    """Entry to side: so many more chunks may be sent."""
+    """Entry to side: a number of further chunks may be sent."""
 
     session: str
     attempt: str
@@ -225,14 +227,14 @@
 
 
 class Cancel(Message, frozen=True, tag=13):
-    """Entry to side: end this attempt and say what became of it."""
+    """Entry to side: end this attempt and reply with its state."""
 
     session: str
     attempt: str
 
 
 class AttemptState(Message, frozen=True, tag=14):
-    """Side to entry: what became of a cancelled attempt.
+    """Side to entry: state of a cancelled attempt.
 
     :param state: ``never_started`` (with a tombstone), ``started`` or ``done``.
     """
@@ -242,24 +244,24 @@
 
 
 class ConfigPull(Message, frozen=True, tag=15):
-    """Either way: send the configuration if it is newer than this."""
+    """Either direction: send the configuration if it is newer than this generation."""
 
     generation: int
 
 
 class ConfigDocument(Message, frozen=True, tag=16):
-    """Either way: a whole configuration, as the key-value service held it."""
+    """Either direction: a whole configuration, as stored in the key-value service."""
 
     generation: int
     document: bytes
 
 
 class VersionRefused(Message, frozen=True, tag=17):
-    """Side to entry: the hello's version is too old; no session is open.
+    """Side to entry: the hello's version is too old; no session was opened.
 
-    :param version: highest that the side speaks.
-    :param oldest: lowest that the side speaks.
-    :param counter: of the hello.
+    :param version: highest protocol version that the side speaks.
+    :param oldest: lowest protocol version that the side accepts.
+    :param counter: counter of the hello.
     """
 
     version: int
@@ -286,7 +288,7 @@
 )
 
 KNOWN_TAGS = frozenset(range(1, 18))
-"""Tags of all messages, both ways."""
+"""Tags of all messages in either direction."""
 
 _ENCODER = msgspec.msgpack.Encoder()
 _SIDE_DECODER = msgspec.msgpack.Decoder(ToSide)
@@ -302,12 +304,12 @@
     """Decode a frame that a side received.
 
     :raises UnknownMessageError: for a message of a later version.
-    :raises msgspec.ValidationError: for anything that is no message to a side.
+    :raises msgspec.ValidationError: if the frame is not a valid message to a side.
     """
     try:
         return _SIDE_DECODER.decode(frame)
     except msgspec.ValidationError:
-        _check_tag(frame)
+        _raise_if_tag_unknown(frame)
         raise
 
 
@@ -315,19 +317,19 @@
     """Decode a frame that an entry received.
 
     :raises UnknownMessageError: for a message of a later version.
-    :raises msgspec.ValidationError: for anything that is no message to an entry.
+    :raises msgspec.ValidationError: if the frame is not a valid message to an entry.
     """
     try:
         return _ENTRY_DECODER.decode(frame)
     except msgspec.ValidationError:
-        _check_tag(frame)
+        _raise_if_tag_unknown(frame)
         raise
 
 
-def _check_tag(frame: bytes) -> None:
-    """Tell a message of a later version from a frame that is wrong.
+def _raise_if_tag_unknown(frame: bytes) -> None:
+    """Distinguish a message of a later version from an invalid frame.
 
-    :raises UnknownMessageError: if its tag is one that this version has not.
+    :raises UnknownMessageError: if this version does not know the frame's tag.
     """
     match msgspec.msgpack.decode(frame):
         case [int(tag), *_] if tag not in KNOWN_TAGS:
--- a/src/bergamotmast/protocol/plan.py
+++ b/src/bergamotmast/protocol/plan.py
@@ -1,7 +1,7 @@
 """Records of the plan in the key-value service, shared by planner and sides.
 
-One head record carries the plan's authority; each engine's part has a key of its own,
-so that a side watches only its engine and hears nothing of the rest of the fleet.
+A head record carries the plan's fencing token. Each engine's plan has its own key, so
+that a side watches only its engine and receives no changes of other engines.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class PlanHead(msgspec.Struct, frozen=True):
-    """The record that every write of the plan compares and replaces.
+    """Head record, which every write of the plan compares and replaces.
 
-    :param epoch: raised by each planner's first write.
-    :param revision: raised by each write.
-    :param nonce: drawn for each write; tells its writer that it took effect.
+    :param epoch: increased by the first write of each takeover.
+    :param revision: increased by each write.
+    :param nonce: random for each write; lets the writer check that it took effect.
     :param planner: name of the writer, for operators.
     """
 
@@ -34,16 +34,16 @@
 
     @property
     def token(self) -> FencingToken:
-        """Authority of the write."""
+        """Fencing token of the write."""
         return FencingToken(self.epoch, self.revision)
 
 
 class EnginePlan(msgspec.Struct, frozen=True):
-    """What one engine should be.
+    """Plan of one engine.
 
-    :param epoch: of the write that last changed this engine's part.
-    :param revision: of the same write.
-    :param assignment: what the engine should be and carry.
+    :param epoch: epoch of the write that last wrote this engine's plan.
+    :param revision: revision of the same write.
+    :param assignment: role, models and adapters that the engine should have.
     """
 
     epoch: int
@@ -52,37 +52,38 @@
 
     @property
     def token(self) -> FencingToken:
-        """Authority of the assignment, as orders carry it."""
+        """Fencing token of the assignment, which orders to the engine carry."""
         return FencingToken(self.epoch, self.revision)
 
 
 def guard_key(nonce: str) -> str:
-    """Return the key that exists only while the write of this nonce is the last.
+    """Return the key that exists only while the write with this nonce is the last.
 
-    A service restored from a backup gives its revisions out again. A planner from
-    before the restore could then find the head at the very revision it remembers,
-    written by somebody else, and its comparison would hold: two planners at once. A
-    key named by the nonce can't be there by chance, so comparing it too is enough.
+    A service restored from a backup assigns the same revisions again. A planner from
+    before the restore could then find the head at the revision that it remembers,
+    although another planner wrote it. Its comparison would succeed, and there would be
+    two planners at once. A key named by the nonce can't exist by chance, so writes
+    compare it too.
     """
     return GUARD_PREFIX + nonce
 
 
 def engine_prefix(engine: str) -> str:
-    """Return the prefix a side watches.
+    """Return the key prefix that an engine's side watches.
 
-    It ends with a slash: without it, the side of ``engine-1`` would also hear of
-    ``engine-10``.
+    It ends with a slash: without it, the side of ``engine-1`` would also receive
+    changes of ``engine-10``.
     """
     return f"{ENGINES_PREFIX}{engine}/"
 
 
 def engine_key(engine: str) -> str:
-    """Return the key of an engine's part of the plan."""
+    """Return the key of an engine's plan."""
     return engine_prefix(engine) + "plan"
 
 
 def engine_of_key(key: str) -> str:
-    """Return the engine whose part a key holds."""
+    """Return the engine whose plan a key holds."""
     return key.removeprefix(ENGINES_PREFIX).rpartition("/")[0]
 
 
@@ -99,14 +100,14 @@
 def decode_head(data: bytes) -> PlanHead:
     """Decode the head record.
 
-    :raises msgspec.ValidationError: for anything else.
+    :raises msgspec.ValidationError: if the data is not a head record.
     """
     return _HEAD_DECODER.decode(data)
 
 
 def decode_engine_plan(data: bytes) -> EnginePlan:
-    """Decode one engine's part.
+    """Decode one engine's plan.
 
-    :raises msgspec.ValidationError: for anything else.
+    :raises msgspec.ValidationError: if the data is not an engine's plan.
     """
     return _PLAN_DECODER.decode(data)
--- a/src/bergamotmast/protocol/timing.py
+++ b/src/bergamotmast/protocol/timing.py
@@ -1,24 +1,27 @@
-"""Time constants that an entry and a side share, in seconds."""
+"""Timing and flow-control constants of sessions between entries and sides."""
 
 from __future__ import annotations
 
 HEARTBEAT_INTERVAL_SECONDS = 0.5
-"""Between two heartbeats of a session that carries work, in each direction."""
+"""Interval between heartbeats of a session that carries work, in each direction."""
 
 OBSERVER_BYTES_PER_SECOND = 1000.0
-"""What a planner spends on beats of sides that it only observes."""
+"""Bandwidth that a planner spends on heartbeats of sides that it only observes."""
 
 HEARTBEAT_BYTES = 80.0
-"""About the length of a side's beat, for the interval of observers."""
+"""Approximate length of a side's heartbeat, used for the interval of observers."""
 
 MIN_OBSERVER_INTERVAL_SECONDS = 1.0
-"""Least seconds between heartbeats of a session that only observes."""
+"""Minimum interval between heartbeats of a session that only observes."""
 
 
 def observer_interval(sides: int) -> float:
-    """Return the seconds between beats of a planner that observes so many sides.
+    """Return the seconds between heartbeats of each side that a planner observes.
 
-    Its share of the network does not grow with the fleet; its picture ages instead.
+    The planner's network traffic does not grow with the fleet; its reports get older
+    instead.
+
+    :param sides: number of observed sides.
     """
     return max(
         MIN_OBSERVER_INTERVAL_SECONDS,
@@ -27,42 +30,43 @@
 
 
 ENTRY_MAX_MISSED_HEARTBEATS = 5
-"""Beats an entry misses before it takes its session with a side for lost.
+"""Missed heartbeats after which an entry considers its session with a side lost.
 
-One or two are lost to a busy process; with three seconds allowed until a dead side's
-upstream gets no new work, more is too late.
+A busy process may miss one or two. More than this would be too late, because the
+upstream of a crashed side must get no new work after three seconds.
 """
 
 SIDE_MAX_MISSED_HEARTBEATS = 10
-"""Heartbeats a side misses before it gives up the streams of an entry.
+"""Missed heartbeats after which a side ends the streams of an entry.
 
-More than the entry's own limit, so that the entry has moved its callers elsewhere
-before their work is ended.
+More than the entry's own limit, so that the entry has moved its callers to other
+upstreams before their work is ended.
 """
 
 SIDE_TIMEOUT_SECONDS = HEARTBEAT_INTERVAL_SECONDS * ENTRY_MAX_MISSED_HEARTBEATS
 
 FINAL_RECEIVE_SECONDS = 0.1
-"""Seconds for a last look into the socket before a session is given up."""
+"""Time for a final receive from the socket before a session is considered lost."""
 
 RECONNECT_GRACE_SECONDS = 2.0
-"""Seconds for which a request waits for a session that was lost just now.
+"""Time for which a request waits for a session that was just lost.
 
-A restarted side answers hellos within that; longer waits would hold callers back who
-could come back elsewhere.
+A restarted side answers a hello within this time. A longer wait would delay callers
+that could retry elsewhere.
 """
 
 HELLO_RETRY_SECONDS = 0.5
-"""Between two hellos that got no welcome."""
+"""Interval between hellos while no welcome is received."""
 
 VERSION_RETRY_SECONDS = 5.0
-"""Between two hellos to a side whose version does not go with the entry's.
+"""Interval between hellos to a side whose protocol version is incompatible.
 
-Only an upgrade of either process mends it; each try is a log line at both ends.
+Only an upgrade of one of the processes helps, and each attempt logs a line at both
+ends.
 """
 
 CANCEL_REPLY_TIMEOUT_SECONDS = 0.5
-"""How long an entry waits for a side's word on a cancelled attempt."""
+"""Time for which an entry waits for a side's reply about a cancelled attempt."""
 
 CHUNK_CREDIT = 32
-"""Chunks a side may send for a stream before it hears that they were taken."""
+"""Chunks of a stream that a side may send before it receives more credit."""
