--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -164,7 +164,7 @@
         name,
         context.rng,
         NullHistory(),
-        epoch_hint=store.least_epoch,
+        epoch_hint=store.min_epoch,
         most_writes=MOST_PLAN_WRITES,
         carry_over=False,
     )
--- a/src/bergamotmast/planner/plan_store.py
+++ b/src/bergamotmast/planner/plan_store.py
@@ -117,11 +117,11 @@
         lost = self._lost_by_restore(stored)
         stored_epoch = self.head.epoch if self.head else 0
         last_epoch = max(stored_epoch, self.seen.epoch)
-        least_epoch = self.epoch_hint()
-        self.restored = 0 < last_epoch < least_epoch
+        min_epoch = self.epoch_hint()
+        self.restored = 0 < last_epoch < min_epoch
         stored_revision = self.head.revision if self.head else 0
         token = FencingToken(
-            max(last_epoch + 1, least_epoch),
+            max(last_epoch + 1, min_epoch),
             max(stored_revision, self.seen.revision) + 1,
         )
         self.found = {name: part.token for name, part in stored.items()}
--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -22,13 +22,13 @@
     "streaming": CallKind.STREAM,
 }
 
-_STATES = {"ready": False, "draining": True}
+_LEAVING_BY_STATE = {"ready": False, "draining": True}
 """Whether an upstream in this state is leaving."""
 
 
-LEAST_PATIENCE_MS = 2_000.0
-OBJECTIVES_OF_PATIENCE = 4.0
-GAPS_OF_PATIENCE = 8.0
+MIN_CALLER_TIMEOUT_MS = 2_000.0
+CALLER_TIMEOUT_OBJECTIVES = 4.0
+CALLER_TIMEOUT_GAPS = 8.0
 """Callers leave a stream without an event after the longest of these; the platform
 names them for all its routes."""
 
@@ -128,7 +128,7 @@
         """Read an upstream's entry."""
         try:
             read = msgspec.json.decode(value, type=_Registration)
-            leaving = _STATES[read.state]
+            leaving = _LEAVING_BY_STATE[read.state]
             role = Role(read.stage) if read.stage else None
             _check_address(read.address)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
@@ -167,15 +167,15 @@
         rank=route.priority,
         resumable=route.resumable,
         gap_objective=route.gap_aim_ms / 1e3,
-        patience=_patience(route),
+        patience=_caller_timeout(route),
     )
 
 
-def _patience(route: _Route) -> float:
+def _caller_timeout(route: _Route) -> float:
     """Return after how many seconds callers of a route leave a silent stream."""
-    objective = OBJECTIVES_OF_PATIENCE * route.target_latency_ms
-    gaps = GAPS_OF_PATIENCE * route.gap_aim_ms
-    return max(LEAST_PATIENCE_MS, objective, gaps) / 1e3
+    objective = CALLER_TIMEOUT_OBJECTIVES * route.target_latency_ms
+    gaps = CALLER_TIMEOUT_GAPS * route.gap_aim_ms
+    return max(MIN_CALLER_TIMEOUT_MS, objective, gaps) / 1e3
 
 
 def _engine(engine: _Engine | None) -> EngineTraits | None:
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -95,10 +95,10 @@
 
     def write_headers(self, headers: Headers, attempt: Attempt, now: float) -> Headers:
         """Return the headers of a request to an upstream."""
-        left_out = SET_BY_SYSTEM
+        dropped = SET_BY_SYSTEM
         if attempt.last_event:
-            left_out |= {LAST_EVENT.lower()}
-        written = [item for item in headers if item[0].lower() not in left_out]
+            dropped |= {LAST_EVENT.lower()}
+        written = [item for item in headers if item[0].lower() not in dropped]
         milliseconds = max(1, int((attempt.deadline - now) * 1e3))
         written.append((TIME_LEFT, str(milliseconds)))
         written.append((EXPECTED_UPSTREAM, attempt.upstream))
--- a/src/bergamotmast/platform/orders.py
+++ b/src/bergamotmast/platform/orders.py
@@ -15,14 +15,14 @@
 from ..errors import ReplyLostError
 from .headers import EXPECTED_UPSTREAM
 
-CHECK_SECONDS = 0.3
+CHECK_TIMEOUT_SECONDS = 0.3
 """Time for a report that is asked for to see whether an engine lives."""
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """Time for a report or for the reply to an order; both come within milliseconds."""
 
 _REPLIES = {202: OrderReply.TAKEN, 200: OrderReply.HOLDS, 409: OrderReply.CONFLICT}
-_FENCED = 412
+_STALE_TOKEN_STATUS = 412
 
 
 class _Report(msgspec.Struct, frozen=True):
@@ -55,7 +55,7 @@
     async def answers(self, engine: Upstream) -> bool:
         """Return whether an engine answers; a report waits for no other work."""
         try:
-            async with asyncio.timeout(CHECK_SECONDS):
+            async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
                 status, _ = await self._call(engine, "GET", "/report", b"")
         except (PortError, TimeoutError):
             # Not to be reached and not heard in time are one answer: no.
@@ -74,7 +74,7 @@
             }
         )
         status, _ = await self._call(call.upstream, "POST", "/order", body)
-        if status == _FENCED:
+        if status == _STALE_TOKEN_STATUS:
             raise OrderRefusedError("the engine has seen a higher fencing token")
         if status not in _REPLIES:
             raise ReplyLostError(f"the order was answered {status}")
@@ -87,7 +87,7 @@
         if body:
             headers.append(("Content-Type", "application/json"))
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 async with self.client.send(
                     upstream.address, method, target, tuple(headers), body, fresh=True
                 ) as reply:
--- a/src/bergamotmast/platform/store.py
+++ b/src/bergamotmast/platform/store.py
@@ -36,7 +36,7 @@
 
 logger = logging.getLogger(__name__)
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """Time one call may take; it is answered within milliseconds, while slow in 0.3 s."""
 
 CONNECT_SECONDS = 0.5
@@ -144,7 +144,7 @@
         self.on_restored: list[cabc.Callable[[], None]] = []
         self._restored = asyncio.Event()
 
-    def least_epoch(self) -> int:
+    def min_epoch(self) -> int:
         """Return an epoch above those of all planners before the last restore.
 
         Engines remember fencing tokens that a restored store may have lost, and refuse
@@ -279,7 +279,7 @@
             restored.cancel()
             await asyncio.gather(read, restored, return_exceptions=True)
 
-    async def _read(self, path: str, seconds: float = CALL_SECONDS) -> _Answer:
+    async def _read(self, path: str, seconds: float = CALL_TIMEOUT_SECONDS) -> _Answer:
         try:
             answer = await self._call("GET", path, None, seconds)
         except (NotReachedError, ReplyLostError) as error:
@@ -292,7 +292,7 @@
         self, method: str, path: str, body: dict[str, object] | None
     ) -> _Answer:
         try:
-            answer = await self._call(method, path, body, CALL_SECONDS)
+            answer = await self._call(method, path, body, CALL_TIMEOUT_SECONDS)
         except NotReachedError as error:
             raise KeyValueUnavailableError(error.message) from error
         except ReplyLostError as error:
--- a/tests/test_restore_machine.py
+++ b/tests/test_restore_machine.py
@@ -170,7 +170,7 @@
                 name,
                 rng,
                 NullHistory(),
-                epoch_hint=client.least_epoch,
+                epoch_hint=client.min_epoch,
                 carry_over=False,
             ),
             fleet,
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -91,7 +91,7 @@
         name,
         random.Random(name),
         NullHistory(),
-        epoch_hint=adapter.least_epoch,
+        epoch_hint=adapter.min_epoch,
         carry_over=False,
     )
 
@@ -275,7 +275,7 @@
         made = await adapter.txn([Compare("k", 0)], [Put("k", b"v")])
         assert made.revision == store.revision
         assert (await adapter.get("k")).mod_revision == store.revision
-        assert adapter.least_epoch() == 0
+        assert adapter.min_epoch() == 0
 
 
 async def test_former_plan_holder_loses_authority_after_a_restore():
