--- a/src/bergamotmast/bench/capacity.py
+++ b/src/bergamotmast/bench/capacity.py
@@ -218,7 +218,7 @@
     generation = current.generation
     await fleet.store.propose(proposed, generation, "operator", f"edit-{generation}")
     holders = [e.holder for e in fleet.entries] + [p.holder for p in fleet.sides]
-    await asyncio.gather(*(holder.wait_newer(generation) for holder in holders))
+    await asyncio.gather(*(holder.wait_for_newer(generation) for holder in holders))
     in_force = loop.time() - begin
     await asyncio.sleep(max(0.0, begin + EDIT_EVERY - loop.time()))
     return in_force
--- a/src/bergamotmast/config/checks.py
+++ b/src/bergamotmast/config/checks.py
@@ -19,21 +19,21 @@
 from .document import RoleBounds
 from .document import Selector
 from .document import SelectorState
-from .document import expression
+from .document import parse_label_expression
 from .groups import GroupIndex
-from .groups import groups_of_upstreams
+from .groups import selectors_by_upstream
 
 DEFAULT_CLASS = "default"
 """Class of a request that names none; it needs no entry in the document."""
 
-MOST_GENERATIONS = 10**12
+GENERATION_LIMIT = 10**12
 """More than can be written; as many digits as a generation has in a key."""
 
-PROBLEMS_SHOWN = 20
+MAX_PROBLEMS_SHOWN = 20
 """Most problems named in one message."""
 
 _DIGEST = re.compile(r"[0-9a-f]{64}")
-_CARRIED = re.compile(r"[^@:\s]+@[^@:\s]+")
+_NAME_AT_VERSION = re.compile(r"[^@:\s]+@[^@:\s]+")
 _LABEL = re.compile(r"[^=!,\s]+")
 
 Path = tuple[str | int, ...]
@@ -64,7 +64,7 @@
     return text.removeprefix(".")
 
 
-def near_match(word: str, known: cabc.Iterable[str]) -> str:
+def did_you_mean(word: str, known: cabc.Iterable[str]) -> str:
     """Return a hint at the known word that was likely meant; empty if none is near."""
     found = difflib.get_close_matches(word, list(known), n=1)
     return f"; did you mean {found[0]!r}?" if found else ""
@@ -86,9 +86,9 @@
 def show_problems(lines: cabc.Iterable[str]) -> str:
     """Return problems as one message, a line each."""
     shown = list(lines)
-    rest = len(shown) - PROBLEMS_SHOWN
+    rest = len(shown) - MAX_PROBLEMS_SHOWN
     if rest > 0:
-        shown = [*shown[:PROBLEMS_SHOWN], f"and {rest} more"]
+        shown = [*shown[:MAX_PROBLEMS_SHOWN], f"and {rest} more"]
     return "\n".join(shown)
 
 
@@ -125,7 +125,7 @@
             "selector", key.groups, names, ("admin_keys", index, "groups")
         )
     )
-    named = groups_of_upstreams(configuration)
+    named = selectors_by_upstream(configuration)
     idle = (
         Problem(("labels", upstream), "no selector names it: it gets no work")
         for upstream in configuration.labels
@@ -135,7 +135,7 @@
 
 
 def _generation_problems(configuration: Configuration) -> cabc.Iterator[Problem]:
-    if not 0 <= configuration.generation < MOST_GENERATIONS:
+    if not 0 <= configuration.generation < GENERATION_LIMIT:
         yield Problem(("generation",), "a generation counts edits from 0")
 
 
@@ -151,7 +151,7 @@
 def _selector_problems(configuration: Configuration) -> cabc.Iterator[Problem]:
     first: dict[str, int] = {}
     groups = GroupIndex(configuration)
-    carried = _carried_names(configuration)
+    model_names = _model_names(configuration)
     for index, selector in enumerate(configuration.selectors):
         path: Path = ("selectors", index)
         if not selector.name:
@@ -160,8 +160,10 @@
             message = f"{selector.name!r} is the name of an earlier selector"
             yield Problem((*path, "name"), message)
         match_path = (*path, "match")
-        yield from _match_problems(configuration, selector.match, carried, match_path)
-        yield from _carried_problems(selector, path)
+        yield from _match_problems(
+            configuration, selector.match, model_names, match_path
+        )
+        yield from _version_problems(selector, path)
         yield from _group_problems(groups, selector, path)
 
 
@@ -169,7 +171,7 @@
     groups: GroupIndex, selector: Selector, path: Path
 ) -> cabc.Iterator[Problem]:
     try:
-        terms = expression(selector.group).terms
+        terms = parse_label_expression(selector.group).terms
     except ValueError as error:
         yield Problem((*path, "group"), str(error))
         return
@@ -177,7 +179,7 @@
         yield Problem((*path, "group"), "an empty expression names no upstream")
     for term in terms:
         if term.label not in groups.labels:
-            hint = near_match(term.label, groups.labels)
+            hint = did_you_mean(term.label, groups.labels)
             message = f"no upstream has a label {term.label!r}{hint}"
             yield Problem((*path, "group"), message)
     members = len(groups.members(selector))
@@ -204,12 +206,12 @@
         yield Problem(path, message)
 
 
-def _carried_problems(selector: Selector, path: Path) -> cabc.Iterator[Problem]:
+def _version_problems(selector: Selector, path: Path) -> cabc.Iterator[Problem]:
     for field in ("models", "adapters"):
         seen: dict[str, str] = {}
         for index, item in enumerate(getattr(selector, field)):
             here = (*path, field, index)
-            if not _CARRIED.fullmatch(item):
+            if not _NAME_AT_VERSION.fullmatch(item):
                 yield Problem(here, f"{item!r} is not name@version")
                 continue
             name = item.partition("@")[0]
@@ -219,7 +221,7 @@
 
 
 def _match_problems(
-    configuration: Configuration, match: Match, carried: set[str], path: Path
+    configuration: Configuration, match: Match, model_names: set[str], path: Path
 ) -> cabc.Iterator[Problem]:
     classes = {DEFAULT_CLASS, *configuration.classes}
     yield from _unknown("class", match.classes, classes, (*path, "classes"))
@@ -227,10 +229,10 @@
         "tenant", match.tenants, configuration.tenants, (*path, "tenants")
     )
     yield from _unknown("route", match.routes, configuration.routes, (*path, "routes"))
-    yield from _unknown("model", match.models, carried, (*path, "models"))
+    yield from _unknown("model", match.models, model_names, (*path, "models"))
 
 
-def _carried_names(configuration: Configuration) -> set[str]:
+def _model_names(configuration: Configuration) -> set[str]:
     names = set()
     for selector in configuration.selectors:
         models = [item.partition("@")[0] for item in selector.models]
@@ -245,7 +247,7 @@
 ) -> cabc.Iterator[Problem]:
     for index, name in enumerate(names):
         if name not in known:
-            message = f"there is no {what} {name!r}{near_match(name, known)}"
+            message = f"there is no {what} {name!r}{did_you_mean(name, known)}"
             yield Problem((*path, index), message)
 
 
@@ -254,10 +256,10 @@
         path = ("classes", name)
         for field in ("first_token", "total", "between_tokens"):
             yield from _positive(getattr(request_class, field), (*path, field))
-        yield from _order_problems(request_class, path)
+        yield from _total_problems(request_class, path)
 
 
-def _order_problems(request_class: RequestClass, path: Path) -> cabc.Iterator[Problem]:
+def _total_problems(request_class: RequestClass, path: Path) -> cabc.Iterator[Problem]:
     if request_class.total < request_class.first_token:
         message = f"{request_class.total:g} s is shorter than first_token"
         yield Problem((*path, "total"), message)
--- a/src/bergamotmast/config/contradictions.py
+++ b/src/bergamotmast/config/contradictions.py
@@ -84,8 +84,8 @@
             yield f"{what} {name!r} at versions {version!r} and {versions[name]!r}"
 
 
-def _versions(carried: tuple[str, ...]) -> dict[str, str]:
-    parts = (item.partition("@") for item in carried)
+def _versions(named_versions: tuple[str, ...]) -> dict[str, str]:
+    parts = (item.partition("@") for item in named_versions)
     return {name: version for name, _, version in parts}
 
 
--- a/src/bergamotmast/config/document.py
+++ b/src/bergamotmast/config/document.py
@@ -19,7 +19,7 @@
     WITHDRAWN = "withdrawn"
 
 
-class _Part(
+class _DocumentStruct(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
@@ -34,7 +34,7 @@
     """
 
 
-class Match(_Part, frozen=True):
+class Match(_DocumentStruct, frozen=True):
     """Which kinds of request a selector takes; an empty list takes all."""
 
     classes: tuple[str, ...] = ()
@@ -43,7 +43,7 @@
     routes: tuple[str, ...] = ()
 
 
-class RoleBounds(_Part, frozen=True):
+class RoleBounds(_DocumentStruct, frozen=True):
     """How many engines of a group may have one role.
 
     :param least: the planner never goes below this.
@@ -54,7 +54,7 @@
     most: int | None = None
 
 
-class Selector(_Part, frozen=True):
+class Selector(_DocumentStruct, frozen=True):
     """A rule that joins kinds of request to a group of upstreams.
 
     :param name: unique name, used in every message about it.
@@ -75,7 +75,7 @@
     state: SelectorState = SelectorState.SERVING
 
 
-class RequestClass(_Part, frozen=True):
+class RequestClass(_DocumentStruct, frozen=True):
     """What callers of a class may expect.
 
     :param priority: order among waiting work.
@@ -90,7 +90,7 @@
     between_tokens: float = 1.0
 
 
-class Tenant(_Part, frozen=True):
+class Tenant(_DocumentStruct, frozen=True):
     """One paying customer.
 
     :param weight: share of a full upstream, against other tenants' weights.
@@ -101,7 +101,7 @@
     keys: tuple[str, ...] = ()
 
 
-class Route(_Part, frozen=True):
+class Route(_DocumentStruct, frozen=True):
     """One path of a plain service.
 
     :param prefix: path prefix at the entry, below ``/services/``.
@@ -121,7 +121,7 @@
     EDIT = "edit"
 
 
-class AdminKey(_Part, frozen=True):
+class AdminKey(_DocumentStruct, frozen=True):
     """A team's key to the administration interface.
 
     :param team: name shown in the history.
@@ -136,7 +136,7 @@
     groups: tuple[str, ...] = ()
 
 
-class Configuration(_Part, frozen=True):
+class Configuration(_DocumentStruct, frozen=True):
     """The whole document that is in force.
 
     :param generation: raised by one with each accepted edit.
@@ -155,13 +155,15 @@
         """Return a class, or the default one where the name is not configured."""
         return self.classes.get(name, RequestClass())
 
-    def group(self, upstream: str) -> tuple[Selector, ...]:
+    def selectors_for(self, upstream: str) -> tuple[Selector, ...]:
         """Return the selectors whose label expression names an upstream."""
         labels = self.labels.get(upstream, {})
-        return tuple(s for s in self.selectors if expression(s.group).matches(labels))
+        return tuple(
+            s for s in self.selectors if parse_label_expression(s.group).matches(labels)
+        )
 
 
-class Term(msgspec.Struct, frozen=True):
+class LabelTerm(msgspec.Struct, frozen=True):
     """One comparison of a label expression."""
 
     label: str
@@ -173,10 +175,10 @@
         return (labels.get(self.label) == self.value) is self.equal
 
 
-class Expression(msgspec.Struct, frozen=True):
+class LabelExpression(msgspec.Struct, frozen=True):
     """A conjunction of comparisons; without any it matches nothing."""
 
-    terms: tuple[Term, ...]
+    terms: tuple[LabelTerm, ...]
 
     def matches(self, labels: dict[str, str]) -> bool:
         """Return whether an upstream's labels satisfy every comparison."""
@@ -184,19 +186,21 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def expression(text: str) -> Expression:
+def parse_label_expression(text: str) -> LabelExpression:
     """Parse ``label=value,label!=value``.
 
     :raises ValueError: naming the part that is neither.
     """
-    return Expression(tuple(_term(part) for part in text.split(",") if part.strip()))
+    return LabelExpression(
+        tuple(_parse_term(part) for part in text.split(",") if part.strip())
+    )
 
 
-def _term(part: str) -> Term:
+def _parse_term(part: str) -> LabelTerm:
     label, operator, value = part.partition("=")
     if not operator or not label.strip("! ") or not value.strip():
         raise ValueError(f"{part.strip()!r} is not label=value or label!=value")
-    return Term(label.strip("! "), value.strip(), not label.rstrip().endswith("!"))
+    return LabelTerm(label.strip("! "), value.strip(), not label.rstrip().endswith("!"))
 
 
 _ENCODER = msgspec.json.Encoder(order="sorted")
@@ -217,7 +221,7 @@
     configuration = _DECODER.decode(data)
     for selector in configuration.selectors:
         try:
-            expression(selector.group)
+            parse_label_expression(selector.group)
         except ValueError as error:
             raise msgspec.ValidationError(f"{selector.name!r}: {error}") from error
     return configuration
--- a/src/bergamotmast/config/edit.py
+++ b/src/bergamotmast/config/edit.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..errors import ConfigError
-from .checks import near_match
+from .checks import did_you_mean
 from .document import Configuration
 from .document import Selector
 
@@ -24,10 +24,10 @@
     """
     changed = {**configuration.labels.get(upstream, {}), **labels}
     kept = {label: value for label, value in changed.items() if value is not None}
-    everyone = {**configuration.labels, upstream: kept}
+    all_labels = {**configuration.labels, upstream: kept}
     if not kept:
-        del everyone[upstream]
-    return msgspec.structs.replace(configuration, labels=everyone)
+        del all_labels[upstream]
+    return msgspec.structs.replace(configuration, labels=all_labels)
 
 
 def with_selector(configuration: Configuration, selector: Selector) -> Configuration:
@@ -48,7 +48,7 @@
     """
     names = [selector.name for selector in configuration.selectors]
     if name not in names:
-        hint = near_match(name, names)
+        hint = did_you_mean(name, names)
         raise ConfigError(f"there is no selector {name!r}{hint}")
     kept = tuple(s for s in configuration.selectors if s.name != name)
     return msgspec.structs.replace(configuration, selectors=kept)
--- a/src/bergamotmast/config/file.py
+++ b/src/bergamotmast/config/file.py
@@ -18,14 +18,14 @@
 from ..model import Priority
 from .checks import Path
 from .checks import Problem
+from .checks import did_you_mean
 from .checks import find_problems
-from .checks import near_match
 from .checks import show_problems
 from .contradictions import find_contradictions
 from .document import Configuration
 from .document import Selector
 
-DOCUMENT_LIMIT = 1_000_000
+MAX_DOCUMENT_BYTES = 1_000_000
 """Longest document, in bytes: a value of the key-value service holds no more."""
 
 
@@ -116,12 +116,14 @@
 
 
 def _parse(data: bytes, name: str) -> ParsedFile:
-    if len(data) > DOCUMENT_LIMIT:
-        raise ConfigError(f"{name}: the document is longer than {DOCUMENT_LIMIT} bytes")
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise ConfigError(
+            f"{name}: the document is longer than {MAX_DOCUMENT_BYTES} bytes"
+        )
     try:
         if name.endswith(".json"):
             return _parse_json(data, name)
-        return _Reader(name, data.decode()).read()
+        return _YamlReader(name, data.decode()).read()
     except UnicodeDecodeError as error:
         raise ConfigError(f"{name}: this is not UTF-8 text: {error}") from error
     except yaml.MarkedYAMLError as error:
@@ -163,7 +165,7 @@
     # JSON is nearly YAML; tabs are not, and stand in no JSON string. Where the rest
     # differs only line numbers are lost.
     try:
-        reader = _Reader(name, data.decode().replace("\t", " "))
+        reader = _YamlReader(name, data.decode().replace("\t", " "))
         reader.read()
     except (yaml.YAMLError, ConfigError, RecursionError):
         return {}
@@ -197,7 +199,7 @@
     return msgspec.convert(parsed.content, Configuration)
 
 
-class _Reader:
+class _YamlReader:
     """Turns the nodes of one document into plain content, noting their lines."""
 
     def __init__(self, name: str, text: str) -> None:
@@ -286,7 +288,7 @@
             yield Problem(path, f"the field {name!r} is missing")
     for name in value:
         if name not in fields:
-            message = f"there is no field {name!r} here{near_match(name, fields)}"
+            message = f"there is no field {name!r} here{did_you_mean(name, fields)}"
             yield Problem((*path, name), message)
 
 
@@ -311,7 +313,7 @@
         pass
     named = issubclass(kind, enum.IntEnum)
     known = [m.name.lower() if named else str(m.value) for m in kind]
-    hint = near_match(str(value), known)
+    hint = did_you_mean(str(value), known)
     yield Problem(path, f"{value!r} is not one of {', '.join(known)}{hint}")
 
 
--- a/src/bergamotmast/config/groups.py
+++ b/src/bergamotmast/config/groups.py
@@ -5,9 +5,9 @@
 import collections
 
 from .document import Configuration
-from .document import Expression
+from .document import LabelExpression
 from .document import Selector
-from .document import expression
+from .document import parse_label_expression
 
 _Upstreams = frozenset[str]
 
@@ -24,7 +24,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         self.labels: set[str] = set()
-        self._everyone = frozenset(configuration.labels)
+        self._all_upstreams = frozenset(configuration.labels)
         self._by_label: dict[tuple[str, str], set[str]] = collections.defaultdict(set)
         for upstream, labels in configuration.labels.items():
             self.labels.update(labels)
@@ -36,19 +36,19 @@
 
         :raises ValueError: if its label expression can't be parsed.
         """
-        return self._matching(expression(selector.group))
+        return self._matching(parse_label_expression(selector.group))
 
-    def _matching(self, wanted: Expression) -> _Upstreams:
+    def _matching(self, wanted: LabelExpression) -> _Upstreams:
         if not wanted.terms:
             return frozenset()
-        found = self._everyone
+        found = self._all_upstreams
         for term in wanted.terms:
-            carriers = self._by_label.get((term.label, term.value), set())
-            found = found & carriers if term.equal else found - carriers
+            labelled = self._by_label.get((term.label, term.value), set())
+            found = found & labelled if term.equal else found - labelled
         return found
 
 
-def groups_of_upstreams(configuration: Configuration) -> dict[str, frozenset[str]]:
+def selectors_by_upstream(configuration: Configuration) -> dict[str, frozenset[str]]:
     """Return the names of the selectors that name each upstream, if any."""
     index = GroupIndex(configuration)
     found: dict[str, set[str]] = collections.defaultdict(set)
--- a/src/bergamotmast/config/holder.py
+++ b/src/bergamotmast/config/holder.py
@@ -10,7 +10,7 @@
 from .document import Configuration
 from .document import decode_configuration
 
-PEER_GRACE_SECONDS = 0.8
+PEER_PULL_DELAY_SECONDS = 0.8
 """Time a process is given to read an edit from the key-value service.
 
 Every process hears of an edit from its peers as soon as from the service. If it asked
@@ -19,7 +19,7 @@
 asks after this time, well within the time that an edit may take.
 """
 
-FIRST_PULL_SECONDS = 0.5
+INITIAL_PULL_INTERVAL_SECONDS = 0.5
 """Between two pulls of a process that has no configuration yet."""
 
 
@@ -86,15 +86,19 @@
             self._behind_since = now
             if self.generation:
                 return False
-        elif now < self._behind_since + self._pull_wait():
+        elif now < self._behind_since + self._pull_delay():
             return False
         self._behind_since = now
         return True
 
-    def _pull_wait(self) -> float:
-        return PEER_GRACE_SECONDS if self.generation else FIRST_PULL_SECONDS
+    def _pull_delay(self) -> float:
+        return (
+            PEER_PULL_DELAY_SECONDS
+            if self.generation
+            else INITIAL_PULL_INTERVAL_SECONDS
+        )
 
-    async def wait_newer(self, generation: int) -> Configuration:
+    async def wait_for_newer(self, generation: int) -> Configuration:
         """Wait until a configuration newer than this is in force and return it."""
         while self.generation <= generation:
             await self._changed.wait()
--- a/src/bergamotmast/config/permissions.py
+++ b/src/bergamotmast/config/permissions.py
@@ -10,9 +10,9 @@
 from .document import AdminKey
 from .document import Configuration
 from .document import Scope
-from .groups import groups_of_upstreams
+from .groups import selectors_by_upstream
 
-_OWNED = ("labels", "selectors", "generation")
+_PARTLY_EDITABLE = ("labels", "selectors", "generation")
 """Fields that a key limited to some selectors may change in part."""
 
 
@@ -57,7 +57,9 @@
     if not key.groups:
         return
     for field in Configuration.__struct_fields__:
-        if field not in _OWNED and getattr(before, field) != getattr(after, field):
+        if field not in _PARTLY_EDITABLE and getattr(before, field) != getattr(
+            after, field
+        ):
             _forbid(key, f"may not change {field}")
     allowed = frozenset(key.groups)
     _require_selectors(key, allowed, before, after)
@@ -83,7 +85,7 @@
     before: Configuration,
     after: Configuration,
 ) -> None:
-    old, new = groups_of_upstreams(before), groups_of_upstreams(after)
+    old, new = selectors_by_upstream(before), selectors_by_upstream(after)
     for upstream in sorted(before.labels.keys() | after.labels.keys()):
         was, will_be = old.get(upstream, _NONE), new.get(upstream, _NONE)
         same_labels = before.labels.get(upstream) == after.labels.get(upstream)
--- a/src/bergamotmast/config/store.py
+++ b/src/bergamotmast/config/store.py
@@ -38,26 +38,26 @@
 
 CONFIG_PREFIX = "/bergamotmast/config/"
 CURRENT_KEY = CONFIG_PREFIX + "current"
-MARK_PREFIX = CONFIG_PREFIX + "mark/"
+DIGEST_KEY_PREFIX = CONFIG_PREFIX + "mark/"
 DELTA_PREFIX = CONFIG_PREFIX + "delta/"
 HISTORY_PREFIX = CONFIG_PREFIX + "history/"
 
 GENERATION_DIGITS = 12
 """Zero padding of a generation in a key, so that keys sort as numbers do."""
 
-MARK_DIGITS = 32
+DIGEST_KEY_DIGITS = 32
 """Hex digits of a document's digest in its mark."""
 
-HISTORY_KEPT = 100
+MAX_HISTORY_RECORDS = 100
 """Records kept; the service is small, and each record holds a whole document."""
 
-DELTAS_KEPT = 32
+MAX_DELTAS = 32
 """A process that is further behind reads the whole document."""
 
-WRITE_ATTEMPTS = 6
+MAX_WRITE_ATTEMPTS = 6
 """Sends of one transaction while its outcome stays unknown."""
 
-FIRST_RESEND_SECONDS = 0.1
+FIRST_RETRY_DELAY_SECONDS = 0.1
 """Pause before the second send; doubled before each later one."""
 
 
@@ -105,9 +105,9 @@
     return f"{DELTA_PREFIX}{generation:0{GENERATION_DIGITS}d}"
 
 
-def mark_key(document: bytes) -> str:
+def digest_key(document: bytes) -> str:
     """Return the key that is there while a document is the current one."""
-    return MARK_PREFIX + hashlib.sha256(document).hexdigest()[:MARK_DIGITS]
+    return DIGEST_KEY_PREFIX + hashlib.sha256(document).hexdigest()[:DIGEST_KEY_DIGITS]
 
 
 class ConfigStore:
@@ -180,19 +180,19 @@
         """
         proposed = _with_generation(configuration, against_generation + 1)
         check_configuration(proposed)
-        marks = await self._read_marks()
+        digest_keys = await self._read_digest_keys()
         stored = await self.read()
         if stored.configuration.generation != against_generation:
-            return await self._settle(proposed, nonce)
+            return await self._resolve_conflict(proposed, nonce)
         record = self._new_record(stored, proposed, author, nonce)
-        if await self._swap(stored, marks, record):
+        if await self._compare_and_swap(stored, digest_keys, record):
             self.history_sink.record(
                 ConfigAccepted(at=_now(), generation=proposed.generation)
             )
             return proposed
-        return await self._settle(proposed, nonce)
+        return await self._resolve_conflict(proposed, nonce)
 
-    async def put_back(self, document: bytes, author: str, nonce: str) -> bool:
+    async def republish(self, document: bytes, author: str, nonce: str) -> bool:
         """Give a service that lost its newest document the one in force.
 
         A service restored from a backup holds an older document, which processes
@@ -203,7 +203,7 @@
         :return: whether the service was changed.
         """
         ours = decode_configuration(document)
-        marks = await self._read_marks()
+        digest_keys = await self._read_digest_keys()
         stored = await self.read()
         theirs = stored.configuration
         if theirs.generation > ours.generation or stored.document == document:
@@ -213,10 +213,10 @@
                 return False
             ours = _with_generation(theirs, theirs.generation + 1)
         record = self._new_record(stored, ours, author, nonce)
-        return await self._swap(stored, marks, record)
+        return await self._compare_and_swap(stored, digest_keys, record)
 
-    async def _read_marks(self) -> tuple[KeyValue, ...]:
-        return (await self.kv.range(MARK_PREFIX)).items
+    async def _read_digest_keys(self) -> tuple[KeyValue, ...]:
+        return (await self.kv.range(DIGEST_KEY_PREFIX)).items
 
     def _new_record(
         self,
@@ -235,10 +235,10 @@
             configuration=proposed,
         )
 
-    async def _swap(
+    async def _compare_and_swap(
         self,
         stored: StoredConfiguration,
-        marks: tuple[KeyValue, ...],
+        digest_keys: tuple[KeyValue, ...],
         record: ConfigRecord,
     ) -> bool:
         """Send the transaction until its outcome is known.
@@ -248,12 +248,12 @@
         is safe, because its condition can hold only once; when it fails, the nonce in
         the record tells whether an earlier copy was the one that took effect.
         """
-        compares = _compares(stored, marks)
-        writes = _writes(stored, record, marks)
+        compares = _compares(stored, digest_keys)
+        writes = _writes(stored, record, digest_keys)
         lost: KeyValueOutcomeUnknownError | None = None
-        for attempt in range(WRITE_ATTEMPTS):
+        for attempt in range(MAX_WRITE_ATTEMPTS):
             if attempt:
-                await asyncio.sleep(FIRST_RESEND_SECONDS * 2 ** (attempt - 1))
+                await asyncio.sleep(FIRST_RETRY_DELAY_SECONDS * 2 ** (attempt - 1))
             try:
                 result: TxnResult = await self.kv.txn(compares, writes)
                 return result.succeeded or await self._is_ours(record)
@@ -274,7 +274,9 @@
             raise KeyValueOutcomeUnknownError(error.message) from error
         return found is not None and found.nonce == record.nonce
 
-    async def _settle(self, proposed: Configuration, nonce: str) -> Configuration:
+    async def _resolve_conflict(
+        self, proposed: Configuration, nonce: str
+    ) -> Configuration:
         """Return the proposal if an earlier send of it was accepted, else raise."""
         first = await self.read_record(proposed.generation)
         if first is not None and first.nonce == nonce:
@@ -294,7 +296,7 @@
 
 
 def _compares(
-    stored: StoredConfiguration, marks: tuple[KeyValue, ...]
+    stored: StoredConfiguration, digest_keys: tuple[KeyValue, ...]
 ) -> list[Compare]:
     """Return what must hold for an edit of a stored document to be written.
 
@@ -303,26 +305,26 @@
     unseen. The mark is named by the document itself and was read before it, so that
     both together hold for this document alone.
     """
-    own = [Compare(item.key, item.mod_revision) for item in marks]
+    own = [Compare(item.key, item.mod_revision) for item in digest_keys]
     return [Compare(CURRENT_KEY, stored.mod_revision), *own]
 
 
 def _writes(
-    stored: StoredConfiguration, record: ConfigRecord, marks: tuple[KeyValue, ...]
+    stored: StoredConfiguration, record: ConfigRecord, digest_keys: tuple[KeyValue, ...]
 ) -> list[Put | Delete]:
     generation = record.generation
     document = encode_configuration(record.configuration)
-    writes: list[Put | Delete] = [Delete(item.key) for item in marks]
+    writes: list[Put | Delete] = [Delete(item.key) for item in digest_keys]
     writes += [
         Put(CURRENT_KEY, document),
-        Put(mark_key(document), b""),
+        Put(digest_key(document), b""),
         Put(delta_key(generation), make_delta(stored.document, document)),
         Put(history_key(generation), _RECORD_ENCODER.encode(record)),
     ]
-    if generation > DELTAS_KEPT:
-        writes.append(Delete(delta_key(generation - DELTAS_KEPT)))
-    if generation > HISTORY_KEPT:
-        writes.append(Delete(history_key(generation - HISTORY_KEPT)))
+    if generation > MAX_DELTAS:
+        writes.append(Delete(delta_key(generation - MAX_DELTAS)))
+    if generation > MAX_HISTORY_RECORDS:
+        writes.append(Delete(history_key(generation - MAX_HISTORY_RECORDS)))
     return writes
 
 
--- a/src/bergamotmast/entry/fleet.py
+++ b/src/bergamotmast/entry/fleet.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..config.groups import groups_of_upstreams
+from ..config.groups import selectors_by_upstream
 from ..model import SideReport
 from .core import EntryCore
 from .peer import Peer
@@ -64,7 +64,7 @@
 
 def read_fleet(core: EntryCore) -> FleetStatus:
     """Return what an entry knows now: listed upstreams and labelled ones."""
-    groups = groups_of_upstreams(core.holder.current)
+    groups = selectors_by_upstream(core.holder.current)
     labelled = core.holder.current.labels
     names = sorted(core.membership.infos.keys() | labelled.keys())
     return FleetStatus(
--- a/src/bergamotmast/planner/groups.py
+++ b/src/bergamotmast/planner/groups.py
@@ -45,7 +45,7 @@
     members: dict[tuple[str, ...], list[str]] = collections.defaultdict(list)
     named: dict[tuple[str, ...], tuple[Selector, ...]] = {}
     for engine in sorted(engines):
-        selectors = configuration.group(engine)
+        selectors = configuration.selectors_for(engine)
         if not selectors or any(
             s.state is not SelectorState.SERVING for s in selectors
         ):
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -389,7 +389,7 @@
     async def _follow_configuration(self) -> None:
         generation = -1
         while True:
-            configuration = await self.holder.wait_newer(generation)
+            configuration = await self.holder.wait_for_newer(generation)
             generation = configuration.generation
             self.telemetry.on_generation(generation)
             self._after_readiness_change()
--- a/tests/test_config_holder.py
+++ b/tests/test_config_holder.py
@@ -15,7 +15,7 @@
 from bergamotmast.config.document import Selector
 from bergamotmast.config.document import decode_configuration
 from bergamotmast.config.document import encode_configuration
-from bergamotmast.config.holder import PEER_GRACE_SECONDS
+from bergamotmast.config.holder import PEER_PULL_DELAY_SECONDS
 from bergamotmast.config.holder import ConfigHolder
 from bergamotmast.history import ConfigInForce
 from bergamotmast.history import MemoryHistory
@@ -43,7 +43,7 @@
 @pytest.mark.looptime
 async def test_waiters_wake_on_a_newer_document():
     holder = ConfigHolder("entry-1", MemoryHistory())
-    waiter = asyncio.create_task(holder.wait_newer(4))
+    waiter = asyncio.create_task(holder.wait_for_newer(4))
     await asyncio.sleep(10)
     holder.offer(document(4))
     await asyncio.sleep(10)
@@ -122,7 +122,7 @@
     assert not holder.should_pull(3)
     holder.offer(document(3))
     assert not holder.should_pull(4)
-    await asyncio.sleep(PEER_GRACE_SECONDS)
+    await asyncio.sleep(PEER_PULL_DELAY_SECONDS)
     assert holder.should_pull(4)
     assert not holder.should_pull(4)
     holder.offer(document(4))
--- a/tests/test_config_over_http.py
+++ b/tests/test_config_over_http.py
@@ -54,9 +54,9 @@
     async with watching(url, "entry-1") as holder:
         async with asyncio.timeout(WITHIN_SECONDS):
             await run("apply", str(EXAMPLE))
-            await holder.wait_newer(0)
+            await holder.wait_for_newer(0)
             await run("label", "engine-3", "state=draining")
-            await holder.wait_newer(1)
+            await holder.wait_for_newer(1)
         await server.__aexit__(None, None, None)
         with pytest.raises(KeyValueUnavailableError):
             await run("label", "engine-3", "state=active")
@@ -64,7 +64,7 @@
         async with serving(KeyValueFront(standin).application(), port=port):
             async with asyncio.timeout(WITHIN_SECONDS):
                 await run("label", "engine-3", "state=active")
-                await holder.wait_newer(2)
+                await holder.wait_for_newer(2)
             capsys.readouterr()
             await run("show")
     assert capsys.readouterr().out.startswith("generation: 3\n")
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -8,8 +8,8 @@
 from bergamotmast.config.document import Configuration
 from bergamotmast.config.file import load_configuration
 from bergamotmast.config.store import CURRENT_KEY
-from bergamotmast.config.store import HISTORY_KEPT
-from bergamotmast.config.store import WRITE_ATTEMPTS
+from bergamotmast.config.store import MAX_HISTORY_RECORDS
+from bergamotmast.config.store import MAX_WRITE_ATTEMPTS
 from bergamotmast.config.store import ConfigStore
 from bergamotmast.config.store import history_key
 from bergamotmast.errors import ConfigError
@@ -78,7 +78,7 @@
     assert len(await store(service).history()) == 2
 
 
-@pytest.mark.parametrize("losses", [1, 2, WRITE_ATTEMPTS - 1])
+@pytest.mark.parametrize("losses", [1, 2, MAX_WRITE_ATTEMPTS - 1])
 async def test_a_lost_reply_of_an_edit_that_took_effect(losses):
     # The service takes the edit and its reply is lost, also when it is sent again.
     # The operator must see success, and the edit must be there once.
@@ -154,11 +154,11 @@
 
 async def test_old_records_are_removed():
     edits = store(KeyValueStandIn())
-    for generation in range(HISTORY_KEPT + 3):
+    for generation in range(MAX_HISTORY_RECORDS + 3):
         await edits.propose(labelled(a=str(generation)), generation, "ana", "n")
     records = await edits.history(limit=1000)
-    assert len(records) == HISTORY_KEPT
-    assert records[0].generation == HISTORY_KEPT + 3
+    assert len(records) == MAX_HISTORY_RECORDS
+    assert records[0].generation == MAX_HISTORY_RECORDS + 3
 
 
 async def test_what_is_no_configuration_is_an_error_with_a_code():
--- a/tests/test_config_watch.py
+++ b/tests/test_config_watch.py
@@ -69,7 +69,7 @@
         began = loop.time()
         async with asyncio.timeout(WITHIN_SECONDS):
             for holder in self.holders.values():
-                await holder.wait_newer(generation - 1)
+                await holder.wait_for_newer(generation - 1)
         return loop.time() - began
 
     def pools(self) -> set[str]:
