--- a/src/bergamotmast/adapters/curve_files.py
+++ b/src/bergamotmast/adapters/curve_files.py
@@ -24,12 +24,12 @@
     """
     if not secret_file:
         return None
-    public, secret = _pair(secret_file)
-    peers = _peers(peers_file)
+    public, secret = _load_key_pair(secret_file)
+    peers = _load_peer_keys(peers_file)
     return CurveKeys(public, secret, peers[0], frozenset(peers))
 
 
-def _pair(path: str) -> tuple[bytes, bytes]:
+def _load_key_pair(path: str) -> tuple[bytes, bytes]:
     try:
         public, secret = zmq.auth.load_certificate(path)
     except (OSError, ValueError) as error:
@@ -42,21 +42,21 @@
     return public, secret
 
 
-def _peers(path: str) -> list[bytes]:
+def _load_peer_keys(path: str) -> list[bytes]:
     try:
         lines = pathlib.Path(path).read_text().splitlines()
     except (OSError, UnicodeDecodeError) as error:
         raise SettingError(
             "--curve-peers-file", path, f"a list of keys: {error}"
         ) from error
-    keys = [key for line in lines if (key := _key(line)) is not None]
+    keys = [key for line in lines if (key := _parse_key(line)) is not None]
     if not keys or any(len(key) != PUBLIC_KEY_LENGTH for key in keys):
         allowed = f"public keys of {PUBLIC_KEY_LENGTH} characters, one a line"
         raise SettingError("--curve-peers-file", path, allowed)
     return [key.encode() for key in keys]
 
 
-def _key(line: str) -> str | None:
+def _parse_key(line: str) -> str | None:
     """Return what a line has before its comment; nothing if that is all it has.
 
     Keys may have ``#`` anywhere. Taken for a comment's mark there, it would leave a
--- a/src/bergamotmast/adapters/engine_http.py
+++ b/src/bergamotmast/adapters/engine_http.py
@@ -26,7 +26,7 @@
 CALL_SECONDS = 2.0
 """Time one call may take; a stream may take any."""
 
-SILENCE_SECONDS = 60.0
+CHUNK_TIMEOUT_SECONDS = 60.0
 """Time between two chunks after which a stream counts as broken."""
 
 DONE = b"[DONE]"
@@ -53,7 +53,7 @@
     kv_handle: str = ""
 
 
-class LoadBody(msgspec.Struct, frozen=True):
+class EngineLoadBody(msgspec.Struct, frozen=True):
     """A load report; its age in seconds, because clocks of instances differ."""
 
     age: float
@@ -81,7 +81,7 @@
 
     async def load(self) -> EngineLoad:
         """Read the latest load report."""
-        body = await self._get("/admin/load", LoadBody)
+        body = await self._get("/admin/load", EngineLoadBody)
         measured_at = asyncio.get_running_loop().time() - body.age
         return EngineLoad(measured_at, body.running, body.waiting, body.kv_used)
 
@@ -101,11 +101,11 @@
             self.session,
             "POST",
             self.url + "/v1/completions",
-            silence=SILENCE_SECONDS,
+            read_timeout=CHUNK_TIMEOUT_SECONDS,
             data=msgspec.json.encode(body),
             headers=JSON_TYPE,
         ) as response:
-            _refuse_error(response)
+            _raise_for_error(response)
             async for event in split_stream(response, b"\n\n"):
                 data = event.removeprefix(b"data: ")
                 if data == DONE:
@@ -138,11 +138,11 @@
             data=data,
             headers=JSON_TYPE,
         ) as response:
-            _refuse_error(response)
+            _raise_for_error(response)
             return await response.read()
 
 
-def _refuse_error(response: aiohttp.ClientResponse) -> None:
+def _raise_for_error(response: aiohttp.ClientResponse) -> None:
     """Raise for an error: 503 and 4xx say that nothing was begun, others do not."""
     status = response.status
     if status < 300:
--- a/src/bergamotmast/adapters/http_calls.py
+++ b/src/bergamotmast/adapters/http_calls.py
@@ -22,7 +22,7 @@
 was never seen would count as one of unknown outcome.
 """
 
-CONNECTIONS = 1024
+MAX_CONNECTIONS = 1024
 """Most connections of one session."""
 
 JSON_TYPE = {"Content-Type": "application/json"}
@@ -40,10 +40,10 @@
     return aiohttp.ClientSession(
         connector=connector
         or aiohttp.TCPConnector(
-            limit=CONNECTIONS, keepalive_timeout=KEEP_ALIVE_SECONDS
+            limit=MAX_CONNECTIONS, keepalive_timeout=KEEP_ALIVE_SECONDS
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
-        middlewares=(_never_repeat,),
+        middlewares=(_prevent_library_retry,),
         auto_decompress=decompress,
     )
 
@@ -54,20 +54,20 @@
     method: str,
     url: str,
     total: float | None = None,
-    silence: float | None = None,
+    read_timeout: float | None = None,
     connect: float = CONNECT_SECONDS,
     **options: t.Any,
 ) -> cabc.AsyncIterator[aiohttp.ClientResponse]:
     """Send a request and give its response to the body of an ``async with``.
 
     :param total: seconds the whole exchange may take.
-    :param silence: seconds between two reads.
+    :param read_timeout: seconds between two reads.
     :param connect: seconds to open a connection.
     :raises NotReachedError: if no connection was made, so that nothing was sent.
     :raises ReplyLostError: for every other failure, also while the body is read.
     """
     timeout = aiohttp.ClientTimeout(
-        total=total, sock_connect=connect, sock_read=silence
+        total=total, sock_connect=connect, sock_read=read_timeout
     )
     try:
         async with session.request(
@@ -101,7 +101,7 @@
 )
 
 
-async def _never_repeat(
+async def _prevent_library_retry(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Keep the library from sending a request a second time by itself.
--- a/src/bergamotmast/adapters/key_value_http.py
+++ b/src/bergamotmast/adapters/key_value_http.py
@@ -104,7 +104,7 @@
         body = msgspec.json.encode({"create_request": create})
         try:
             async with self._post("/v3/watch", body, None) as response:
-                _refuse_error(response.status)
+                _raise_for_error(response.status)
                 async for line in split_stream(response, b"\n"):
                     for event in read_watch_events(msgspec.json.decode(line)):
                         yield event
@@ -129,7 +129,7 @@
     async def _call(self, path: str, body: JsonObject) -> JsonObject:
         data = msgspec.json.encode(body)
         async with self._post(path, data, CALL_SECONDS) as response:
-            _refuse_error(response.status)
+            _raise_for_error(response.status)
             return msgspec.json.decode(await response.read(), type=JsonObject)
 
     def _post(
@@ -145,7 +145,7 @@
         )
 
 
-def _refuse_error(status: int) -> None:
+def _raise_for_error(status: int) -> None:
     """Raise for an error: 503 and 4xx say that nothing was done, others do not."""
     if status == 404:
         raise LeaseLapsedError("the lease has lapsed")
--- a/src/bergamotmast/adapters/memory.py
+++ b/src/bergamotmast/adapters/memory.py
@@ -13,7 +13,7 @@
 
 from ..errors import NotReachedError
 
-DEFAULT_LATENCY = 0.001
+DEFAULT_LATENCY_SECONDS = 0.001
 """One way between availability zones, in seconds."""
 
 
@@ -23,13 +23,13 @@
     :param latency: seconds a frame takes one way.
     """
 
-    def __init__(self, latency: float = DEFAULT_LATENCY) -> None:
+    def __init__(self, latency: float = DEFAULT_LATENCY_SECONDS) -> None:
         self.latency = latency
         self.listeners: dict[str, MemoryListener] = {}
-        self.cut: set[str] = set()
-        self.held: dict[str, list[tuple[asyncio.Queue[_Frame], _Frame]]] = {}
+        self.partitioned: set[str] = set()
+        self.held_frames: dict[str, list[tuple[asyncio.Queue[_Frame], _Frame]]] = {}
         self.peers = itertools.count(1)
-        self.under_way: collections.deque[tuple[asyncio.Queue[_Frame], _Frame]] = (
+        self.in_flight: collections.deque[tuple[asyncio.Queue[_Frame], _Frame]] = (
             collections.deque()
         )
 
@@ -50,23 +50,23 @@
 
     def partition(self, address: str) -> None:
         """Hold every frame from and to an address until :meth:`heal`."""
-        self.cut.add(address)
+        self.partitioned.add(address)
 
     def heal(self, address: str) -> None:
         """Deliver what was held, in order."""
-        self.cut.discard(address)
-        for queue, frame in self.held.pop(address, []):
+        self.partitioned.discard(address)
+        for queue, frame in self.held_frames.pop(address, []):
             self._deliver(queue, frame)
 
     def carry(self, address: str, queue: asyncio.Queue[_Frame], frame: _Frame) -> None:
         """Put a frame on its way."""
-        if address in self.cut:
-            self.held.setdefault(address, []).append((queue, frame))
+        if address in self.partitioned:
+            self.held_frames.setdefault(address, []).append((queue, frame))
         else:
             self._deliver(queue, frame)
 
     def _deliver(self, queue: asyncio.Queue[_Frame], frame: _Frame) -> None:
-        self.under_way.append((queue, frame))
+        self.in_flight.append((queue, frame))
         asyncio.get_running_loop().call_later(self.latency, self._arrive)
 
     def _arrive(self) -> None:
@@ -76,7 +76,7 @@
         whole bursts into one: the chunks of an answer would change places, which no
         socket does. Every frame takes equally long, so the oldest is the one due.
         """
-        queue, frame = self.under_way.popleft()
+        queue, frame = self.in_flight.popleft()
         queue.put_nowait(frame)
 
 
--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -37,11 +37,26 @@
 OTHER = "other"
 """Label of everything beyond those."""
 
-_SECONDS = (0.005, 0.01, 0.02, 0.039, 0.08, 0.15, 0.3, 0.54, 1, 2, 5, 10, 30, 120)
+_BOUNDS_SECONDS = (
+    0.005,
+    0.01,
+    0.02,
+    0.039,
+    0.08,
+    0.15,
+    0.3,
+    0.54,
+    1,
+    2,
+    5,
+    10,
+    30,
+    120,
+)
 """Histogram bounds; among them the users' 39 ms and 0.54 s."""
 
 
-class _Bounded:
+class _LabelLimiter:
     """Lets through the first labels it sees, up to a limit."""
 
     def __init__(self, limit: int) -> None:
@@ -57,7 +72,7 @@
         return label
 
 
-class _TokenTimes:
+class _TokenIntervals:
     """Times between tokens by class, as counts up to each bound.
 
     The library's histograms take one value at a time and cost as much as a quarter
@@ -73,14 +88,14 @@
     def add(self, label: str, seconds: float, times: int) -> None:
         """Count a time."""
         if label not in self.counts:
-            self.counts[label] = [0] * (len(_SECONDS) + 1)
+            self.counts[label] = [0] * (len(_BOUNDS_SECONDS) + 1)
             self.sums[label] = 0.0
-        self.counts[label][bisect.bisect_left(_SECONDS, seconds)] += times
+        self.counts[label][bisect.bisect_left(_BOUNDS_SECONDS, seconds)] += times
         self.sums[label] += seconds * times
 
     def read_buckets(self, options: CallbackOptions) -> cabc.Iterable[Observation]:
         """Return the counts up to each bound."""
-        bounds = [*(str(float(bound)) for bound in _SECONDS), "+Inf"]
+        bounds = [*(str(float(bound)) for bound in _BOUNDS_SECONDS), "+Inf"]
         for label, counts in self.counts.items():
             totals = itertools.accumulate(counts)
             for bound, total in zip(bounds, totals, strict=True):
@@ -103,26 +118,26 @@
         reader = PrometheusMetricReader(
             disable_target_info=True, scope_info_enabled=False, registry=self.registry
         )
-        buckets = ExplicitBucketHistogramAggregation(_SECONDS)
+        buckets = ExplicitBucketHistogramAggregation(_BOUNDS_SECONDS)
         self.provider = MeterProvider(
             metric_readers=[reader],
             views=[View(instrument_name="*.seconds", aggregation=buckets)],
             shutdown_on_exit=False,
         )
         self.process = process
-        self.tenants = _Bounded(MAX_TENANTS)
-        self.classes = _Bounded(MAX_CLASSES)
+        self.tenants = _LabelLimiter(MAX_TENANTS)
+        self.classes = _LabelLimiter(MAX_CLASSES)
         meter = self.provider.get_meter("bergamotmast")
         self.second_sends = meter.create_counter("second.sends")
-        self.first_token = self._pair("first_token")
-        self.total = self._pair("total")
-        self.queue_wait = self._pair("queue_wait")
-        self.between = _TokenTimes()
+        self.first_token = self._create_histograms("first_token")
+        self.total = self._create_histograms("total")
+        self.queue_wait = self._create_histograms("queue_wait")
+        self.token_intervals = _TokenIntervals()
         meter.create_observable_counter(
-            "between_tokens.seconds.bucket", [self.between.read_buckets]
+            "between_tokens.seconds.bucket", [self.token_intervals.read_buckets]
         )
         meter.create_observable_counter(
-            "between_tokens.seconds.sum", [self.between.read_sums]
+            "between_tokens.seconds.sum", [self.token_intervals.read_sums]
         )
         self.ended = meter.create_counter("requests.ended")
         self.ended_by_size = meter.create_counter("requests.by_size")
@@ -132,7 +147,7 @@
         self.queued = meter.create_gauge("side.queued")
         self.ready = meter.create_gauge("side.ready")
 
-    def _pair(self, name: str) -> tuple[Histogram, Histogram]:
+    def _create_histograms(self, name: str) -> tuple[Histogram, Histogram]:
         meter = self.provider.get_meter("bergamotmast")
         return (
             meter.create_histogram(f"class.{name}.seconds", unit="s"),
@@ -141,12 +156,12 @@
 
     def _observe(
         self,
-        pair: tuple[Histogram, Histogram],
+        histograms: tuple[Histogram, Histogram],
         tenant: str,
         request_class: str,
         seconds: float,
     ) -> None:
-        by_class, by_tenant = pair
+        by_class, by_tenant = histograms
         by_class.record(seconds, {"class": self.classes(request_class)})
         by_tenant.record(seconds, {"tenant": self.tenants(tenant)})
 
@@ -158,7 +173,7 @@
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
         """Take the time to each of so many tokens that came as one chunk."""
-        self.between.add(self.classes(request_class), seconds, tokens)
+        self.token_intervals.add(self.classes(request_class), seconds, tokens)
 
     def on_ended(
         self, tenant: str, request_class: str, code: ResultCode, seconds: float
--- a/src/bergamotmast/adapters/service_http.py
+++ b/src/bergamotmast/adapters/service_http.py
@@ -11,8 +11,8 @@
 from ..model import ServiceCall
 from .http_calls import exchange
 
-KEY_HEADER = "Idempotency-Key"
-REQUEST_HEADER = "X-Request-Id"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+REQUEST_ID_HEADER = "X-Request-Id"
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
@@ -48,9 +48,9 @@
 
 
 def _headers(call: ServiceCall) -> dict[str, str]:
-    headers = {REQUEST_HEADER: call.request_id}
+    headers = {REQUEST_ID_HEADER: call.request_id}
     if call.idempotency_key:
-        headers[KEY_HEADER] = call.idempotency_key
+        headers[IDEMPOTENCY_KEY_HEADER] = call.idempotency_key
     if call.content_type:
         headers["Content-Type"] = call.content_type
     return headers
--- a/src/bergamotmast/adapters/opaque_http.py
+++ b/src/bergamotmast/adapters/upstream_http.py
@@ -26,17 +26,17 @@
 IDLE_SECONDS = 4.0
 """How long an idle connection is kept; servers commonly drop theirs after five."""
 
-SILENT_PEER_MS = 3_000
+TCP_USER_TIMEOUT_MS = 3_000
 """Unacknowledged bytes end a connection after this: a machine that lost power or is
 cut off would hold it, and the request on it, for many minutes."""
 
-_LEFT_OUT = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+_SUPPRESSED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 """Headers that the library would add by itself."""
 
-MOST_BODY_BYTES = 1 << 26
+MAX_REPLY_BODY_BYTES = 1 << 26
 """Longest body of a reply that is read whole; upstreams send well under it."""
 
-MOST_HEADER_BYTES = 65_536
+MAX_REPLY_HEADER_BYTES = 65_536
 """Longest header of a reply; upstreams send well under it."""
 
 
@@ -73,9 +73,9 @@
         self.unframed = _is_unframed(response)
         if self.closed is not None:
             self.closed.add_done_callback(self._on_closed)
-            _expect_failure(self.closed)
+            _mark_exception_retrieved(self.closed)
 
-    def forget(self) -> None:
+    def stop_watching(self) -> None:
         """Watch no longer for the end of the connection, which may be kept."""
         if self.closed is not None:
             self.closed.remove_done_callback(self._on_closed)
@@ -99,17 +99,19 @@
         body = bytearray()
         async for part in self.chunks():
             body += part
-            if len(body) > MOST_BODY_BYTES:
+            if len(body) > MAX_REPLY_BODY_BYTES:
                 # A body without an end would take all memory, and the system would end
                 # the process with every request at work.
-                raise ReplyLostError(f"a body of more than {MOST_BODY_BYTES} bytes")
+                raise ReplyLostError(
+                    f"a body of more than {MAX_REPLY_BODY_BYTES} bytes"
+                )
         return bytes(body)
 
     async def chunks(self) -> cabc.AsyncIterator[bytes]:
         """Yield the body as it arrives."""
         async for part in self.response.content.iter_any():
             yield part
-        self._refuse_reset()
+        self._raise_if_reset()
 
     def _on_closed(self, closed: asyncio.Future[None]) -> None:
         """End a body whose connection has ended.
@@ -121,7 +123,7 @@
         if not body.is_eof() and body.exception() is None:
             body.set_exception(aiohttp.ClientPayloadError("the body breaks off"))
 
-    def _refuse_reset(self) -> None:
+    def _raise_if_reset(self) -> None:
         """Refuse a body without a length whose connection was reset.
 
         The library takes a reset for the end of such a body, and the caller would get
@@ -143,7 +145,7 @@
     return connection.protocol.closed
 
 
-def _expect_failure(closed: asyncio.Future[None]) -> None:
+def _mark_exception_retrieved(closed: asyncio.Future[None]) -> None:
     """Keep the event loop from logging a reset that concerns no request.
 
     One callback a connection, however many replies it carries.
@@ -163,7 +165,7 @@
     """An :class:`~bergamotmast.direct.ports.UpstreamClient`."""
 
     def __init__(self) -> None:
-        self.kept = self._session(force_close=False)
+        self.pooled = self._session(force_close=False)
         self.fresh = self._session(force_close=True)
 
     async def __aenter__(self) -> HttpUpstreamClient:
@@ -177,7 +179,7 @@
         traceback: types.TracebackType | None,
     ) -> None:
         """Close every connection."""
-        await self.kept.close()
+        await self.pooled.close()
         await self.fresh.close()
 
     @contextlib.asynccontextmanager
@@ -192,7 +194,7 @@
         fresh: bool,
     ) -> cabc.AsyncIterator[HttpReply]:
         """Send a request once and give its reply; leaving early cancels it."""
-        session = self.fresh if fresh else self.kept
+        session = self.fresh if fresh else self.pooled
         async with exchange(
             session,
             method,
@@ -200,15 +202,15 @@
             connect=CONNECT_SECONDS,
             headers=headers,
             data=body or None,
-            skip_auto_headers=_LEFT_OUT,
-            max_line_size=MOST_HEADER_BYTES,
-            max_field_size=MOST_HEADER_BYTES,
+            skip_auto_headers=_SUPPRESSED_HEADERS,
+            max_line_size=MAX_REPLY_HEADER_BYTES,
+            max_field_size=MAX_REPLY_HEADER_BYTES,
         ) as response:
             reply = HttpReply(response)
             try:
                 yield reply
             finally:
-                reply.forget()
+                reply.stop_watching()
                 if not response.content.is_eof():
                     response.close()
 
@@ -227,6 +229,6 @@
 def _new_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
     made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_PEER_MS)
+    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return made
--- a/src/bergamotmast/adapters/weights_http.py
+++ b/src/bergamotmast/adapters/weights_http.py
@@ -15,7 +15,7 @@
 """Time one call may take; a load may take any."""
 
 
-class StoreBody(msgspec.Struct, frozen=True):
+class WeightStoreBody(msgspec.Struct, frozen=True):
     """What the store says of itself.
 
     :param sizes: gigabytes of each version.
@@ -52,10 +52,10 @@
         quoted = urllib.parse.quote(version, safe="")
         await self._call("POST", f"/loads/{quoted}", None)
 
-    async def _store(self) -> StoreBody:
+    async def _store(self) -> WeightStoreBody:
         data = await self._call("GET", "/store", CALL_SECONDS)
         try:
-            return msgspec.json.decode(data, type=StoreBody)
+            return msgspec.json.decode(data, type=WeightStoreBody)
         except msgspec.DecodeError as error:
             raise ReplyLostError(f"the weight store: {error}") from error
 
--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -25,7 +25,7 @@
 HANDSHAKE_MILLISECONDS = 5000
 """How long a peer may take to show its key."""
 
-BURST = 64
+MAX_FRAMES_PER_TURN = 64
 """Frames taken from a socket before the event loop's other tasks get a turn."""
 
 _NOBLOCK = int(zmq.NOBLOCK)
@@ -76,7 +76,7 @@
         return ZmqLink(socket)
 
 
-class _Readiness:
+class _FrameWaiter:
     """Wakes the one task that waits for a socket's next frame.
 
     Frames are taken without waiting while there are any, so that a burst costs one
@@ -94,28 +94,28 @@
         self.socket = socket
         self.loop: asyncio.AbstractEventLoop | None = None
         self.waiter: asyncio.Future[None] | None = None
-        self.taken = 0
+        self.frames_taken = 0
 
-    async def turn(self) -> None:
+    async def yield_after_burst(self) -> None:
         """Give other tasks a turn after a burst; nothing is held meanwhile."""
-        if self.taken >= BURST:
-            self.taken = 0
+        if self.frames_taken >= MAX_FRAMES_PER_TURN:
+            self.frames_taken = 0
             await asyncio.sleep(0)
 
     async def wait(self) -> None:
         """Wait until there may be a frame, after one look that found none."""
         loop = asyncio.get_running_loop()
         if self.loop is None:
-            loop.add_reader(self.socket.FD, self.look)
+            loop.add_reader(self.socket.FD, self.poll)
             self.loop = loop
-        self.taken = 0
+        self.frames_taken = 0
         self.waiter = loop.create_future()
         try:
             await self.waiter
         finally:
             self.waiter = None
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Wake the waiting task if there is a frame."""
         # Asked also when nobody waits: the descriptor stays readable until then, and
         # the event loop would spin.
@@ -127,7 +127,7 @@
     def after_send(self) -> None:
         """Look for frames whose news a send may have taken in."""
         if self.waiter is not None:
-            self.look()
+            self.poll()
 
     def close(self) -> None:
         """Stop watching; a task that still waits is cancelled."""
@@ -143,7 +143,7 @@
 
     def __init__(self, socket: zmq.Socket[bytes]) -> None:
         self.socket = socket
-        self.readiness = _Readiness(socket)
+        self.frame_waiter = _FrameWaiter(socket)
 
     async def send(self, frame: bytes) -> None:
         """Hand a frame over without waiting."""
@@ -154,37 +154,37 @@
         except zmq.ZMQError as error:
             raise NotReachedError(f"not handed over: {error}") from error
         finally:
-            self.readiness.after_send()
+            self.frame_waiter.after_send()
 
     async def receive(self) -> bytes:
         """Return the next frame, a part of a message."""
-        await self.readiness.turn()
-        while (frame := self._take()) is None:
-            await self.readiness.wait()
+        await self.frame_waiter.yield_after_burst()
+        while (frame := self._receive_now()) is None:
+            await self.frame_waiter.wait()
         return frame
 
     async def receive_many(self) -> list[bytes]:
         """Return the frames that have come, in order, at least one."""
         frames = [await self.receive()]
-        while self.readiness.taken < BURST:
-            frame = self._take()
+        while self.frame_waiter.frames_taken < MAX_FRAMES_PER_TURN:
+            frame = self._receive_now()
             if frame is None:
                 break
             frames.append(frame)
         return frames
 
-    def _take(self) -> bytes | None:
+    def _receive_now(self) -> bytes | None:
         try:
             frame = self.socket.recv(_NOBLOCK)
         except zmq.Again:
             return None
-        self.readiness.taken += 1
+        self.frame_waiter.frames_taken += 1
         return frame
 
     def close(self) -> None:
         """Drop the connection with all frames still queued."""
         if not self.socket.closed:
-            self.readiness.close()
+            self.frame_waiter.close()
         self.socket.close(linger=0)
 
 
@@ -202,7 +202,7 @@
         self, context: zmq.asyncio.Context, address: str, keys: CurveKeys | None
     ) -> None:
         self.socket = _open(context, zmq.ROUTER)
-        self.readiness = _Readiness(self.socket)
+        self.frame_waiter = _FrameWaiter(self.socket)
         # Without this, a frame for a peer that is gone would be dropped in silence.
         self.socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
         self.authenticator: zmq.auth.asyncio.AsyncioAuthenticator | None = None
@@ -229,17 +229,17 @@
 
     async def receive(self) -> tuple[bytes, bytes]:
         """Return the next frame with the identity of its peer."""
-        await self.readiness.turn()
+        await self.frame_waiter.yield_after_burst()
         while True:
             try:
                 parts = self.socket.recv_multipart(_NOBLOCK)
             except zmq.Again:
-                await self.readiness.wait()
+                await self.frame_waiter.wait()
                 continue
-            self.readiness.taken += 1
+            self.frame_waiter.frames_taken += 1
             if len(parts) == 2:
                 return parts[0], parts[1]
-            await self.readiness.turn()
+            await self.frame_waiter.yield_after_burst()
 
     async def send(self, peer: bytes, *frames: bytes) -> None:
         """Hand frames over as the parts of one message, without waiting."""
@@ -254,12 +254,12 @@
         except zmq.ZMQError as error:
             raise NotReachedError(f"not handed over: {error}") from error
         finally:
-            self.readiness.after_send()
+            self.frame_waiter.after_send()
 
     def close(self) -> None:
         """Release the address; answers just handed over still go out for a while."""
         if not self.socket.closed:
-            self.readiness.close()
+            self.frame_waiter.close()
         self.socket.close(linger=CLOSE_LINGER_MILLISECONDS)
         if self.authenticator is not None:
             self.authenticator.stop()
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -12,7 +12,7 @@
 
 from .adapters.datagrams import datagram_port
 from .adapters.metrics import OpenTelemetryMetrics
-from .adapters.opaque_http import HttpUpstreamClient
+from .adapters.upstream_http import HttpUpstreamClient
 from .direct.context import Context
 from .direct.core import DirectCore
 from .direct.fleet import Fleet
--- a/src/bergamotmast/faults/world.py
+++ b/src/bergamotmast/faults/world.py
@@ -205,10 +205,10 @@
         if not self.kv.down and name not in self.cut_from_kv:
             return True
         if name not in ENTRIES:
-            return name not in self.network.cut and self._any_entry_lives()
+            return name not in self.network.partitioned and self._any_entry_lives()
         return any(
             side in self.processes
-            and side not in self.network.cut
+            and side not in self.network.partitioned
             and not self.processes[side].gate.paused
             for side in (*ENGINES, *SERVICES)
         )
--- a/src/bergamotmast/standins/engine_front.py
+++ b/src/bergamotmast/standins/engine_front.py
@@ -11,7 +11,7 @@
 from ..adapters.engine_http import DONE
 from ..adapters.engine_http import Choice
 from ..adapters.engine_http import CompletionEvent
-from ..adapters.engine_http import LoadBody
+from ..adapters.engine_http import EngineLoadBody
 from ..errors import ReplyLostError
 from ..model import GenerateRequest
 from ..model import Order
@@ -92,7 +92,7 @@
     async def _load(self, request: web.Request) -> web.Response:
         load = await self.standin.load()
         age = asyncio.get_running_loop().time() - load.measured_at
-        body = LoadBody(age, load.running, load.waiting, load.kv_used)
+        body = EngineLoadBody(age, load.running, load.waiting, load.kv_used)
         return http_front.json_response(body)
 
     async def _order(self, request: web.Request) -> web.Response:
--- a/src/bergamotmast/standins/small_fronts.py
+++ b/src/bergamotmast/standins/small_fronts.py
@@ -7,9 +7,9 @@
 import msgspec
 from aiohttp import web
 
-from ..adapters.service_http import KEY_HEADER
-from ..adapters.service_http import REQUEST_HEADER
-from ..adapters.weights_http import StoreBody
+from ..adapters.service_http import IDEMPOTENCY_KEY_HEADER
+from ..adapters.service_http import REQUEST_ID_HEADER
+from ..adapters.weights_http import WeightStoreBody
 from ..errors import NotReachedError
 from ..model import InstanceInfo
 from ..model import Priority
@@ -58,7 +58,7 @@
 async def _service_call(request: web.Request) -> ServiceCall:
     deadline = asyncio.get_running_loop().time() + CALL_BUDGET
     return ServiceCall(
-        request_id=request.headers.get(REQUEST_HEADER, ""),
+        request_id=request.headers.get(REQUEST_ID_HEADER, ""),
         tenant="",
         request_class="",
         priority=Priority.STANDARD,
@@ -68,7 +68,7 @@
         body=await request.read(),
         content_type=request.content_type,
         repeatable=True,
-        idempotency_key=request.headers.get(KEY_HEADER, ""),
+        idempotency_key=request.headers.get(IDEMPOTENCY_KEY_HEADER, ""),
         deadline=deadline,
     )
 
@@ -99,7 +99,7 @@
     """Serve the weight store at ``/store`` and ``/loads/{version}``."""
 
     async def store(request: web.Request) -> web.Response:
-        body = StoreBody(await standin.sizes(), await standin.rate())
+        body = WeightStoreBody(await standin.sizes(), await standin.rate())
         return http_front.json_response(body)
 
     async def load(request: web.Request) -> web.Response:
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -10,7 +10,7 @@
 import random
 import typing as t
 
-from bergamotmast.adapters.opaque_http import HttpUpstreamClient
+from bergamotmast.adapters.upstream_http import HttpUpstreamClient
 from bergamotmast.direct.context import Context
 from bergamotmast.direct.core import DirectCore
 from bergamotmast.direct.fleet import Fleet
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -11,7 +11,7 @@
 import pytest
 
 import direct_support
-from bergamotmast.adapters.opaque_http import HttpUpstreamClient
+from bergamotmast.adapters.upstream_http import HttpUpstreamClient
 from bergamotmast.direct.fleet import Fleet
 from bergamotmast.direct.placing import Placing
 from bergamotmast.direct.role_planner import RolePlanner
--- a/tests/test_reply_faults.py
+++ b/tests/test_reply_faults.py
@@ -8,7 +8,7 @@
 
 from answer_support import CALLER
 from answer_support import ROUTES
-from bergamotmast.adapters import opaque_http
+from bergamotmast.adapters import upstream_http
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
 from bergamotmast.protocol.plan import EnginePlan
@@ -107,7 +107,7 @@
     Kept to its end, it would take the memory of the process, and the system would end
     that with every request at work. It is taken for broken.
     """
-    monkeypatch.setattr(opaque_http, "MOST_BODY_BYTES", 1 << 20)
+    monkeypatch.setattr(upstream_http, "MAX_REPLY_BODY_BYTES", 1 << 20)
     sent = 0
 
     async def script(replica: Replica, received: Received, writer) -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -59,13 +59,13 @@
         session = await open_session(old, 1)
         f.network.partition("service-1")
         await old.send(messages.encode(service_offer(session)))
-        held = f.network.held.pop("service-1")
+        held = f.network.held_frames.pop("service-1")
         f.network.heal("service-1")
         new = f.network.dial("service-1")
         renewed = await open_session(new, 2)
         await new.send(messages.encode(messages.Cancel(renewed, "a1")))
         assert (await next_about(new, "a1")).state == "never_started"
-        f.network.held["service-1"] = held
+        f.network.held_frames["service-1"] = held
         f.network.heal("service-1")
         assert (await next_about(old, "a1")).code is ResultCode.STALE_SESSION
         assert f.upstreams["service-1"].runs == []
--- a/tests/test_zeromq.py
+++ b/tests/test_zeromq.py
@@ -9,7 +9,7 @@
 import zmq
 import zmq.asyncio
 
-from bergamotmast.adapters.zeromq import BURST
+from bergamotmast.adapters.zeromq import MAX_FRAMES_PER_TURN
 from bergamotmast.adapters.zeromq import CurveKeys
 from bergamotmast.adapters.zeromq import ZmqDialer
 from bergamotmast.adapters.zeromq import ZmqListener
@@ -60,9 +60,9 @@
     # A side sends more than one wake-up takes. The entry's other tasks run meanwhile,
     # or a busy side would keep it from writing to its callers.
     listener, link, peer = await connected(context)
-    expected = [b"%d" % i for i in range(3 * BURST)]
-    await listener.send(peer, *expected[:BURST])
-    for frame in expected[BURST:]:
+    expected = [b"%d" % i for i in range(3 * MAX_FRAMES_PER_TURN)]
+    await listener.send(peer, *expected[:MAX_FRAMES_PER_TURN])
+    for frame in expected[MAX_FRAMES_PER_TURN:]:
         await listener.send(peer, frame)
     turns = 0
 
@@ -77,7 +77,7 @@
     async with asyncio.timeout(20):
         while len(received) < len(expected):
             frames = await link.receive_many()
-            assert 1 <= len(frames) <= BURST
+            assert 1 <= len(frames) <= MAX_FRAMES_PER_TURN
             received += frames
     other.cancel()
     assert received == expected
