--- a/src/bergamotmast/platform/__init__.py
+++ b/src/bergamotmast/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls, and nothing that decides.
+"""Adapters for the users' platform: its names, formats and calls, without decisions.
 
-Nothing outside this package imports it but the composition root.
+Only the composition root imports this package.
 """
--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -1,4 +1,4 @@
-"""The platform's store entries: the operators' configuration and the upstreams."""
+"""Decoders for the platform's store entries: configuration and registrations."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 }
 
 _LEAVING_BY_STATE = {"ready": False, "draining": True}
-"""Whether an upstream in this state is leaving."""
+"""Whether an upstream in each state is leaving."""
 
 
 MIN_CALLER_TIMEOUT_MS = 2_000.0
 CALLER_TIMEOUT_OBJECTIVES = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
-"""Callers leave a stream without an event after the longest of these; the platform
-names them for all its routes."""
+"""Callers time out on a stream after the longest of these without an event; the
+platform sets them for all routes."""
 
 
 class _Wire(msgspec.Struct, frozen=True, rename="kebab"):
-    """Fields are spelled with dashes; what is not known is left out of account."""
+    """Base of JSON objects with kebab-case names; unknown fields are ignored."""
 
 
 class _Split(_Wire, frozen=True):
@@ -82,10 +82,10 @@
 
 
 class _Registration(_Wire, frozen=True):
-    """An upstream's entry.
+    """An upstream's registration.
 
-    ``sequence`` counts its writes and ``version`` is its software's: neither matters
-    here. ``born`` is when it started, in milliseconds of the wall clock.
+    ``sequence``, a counter of writes, and ``version``, of its software, are ignored.
+    ``born`` is its start time, in milliseconds of the wall clock.
     """
 
     service: str
@@ -98,13 +98,13 @@
 
 
 class PlatformDirectory:
-    """A :class:`~bergamotmast.direct.ports.Directory`."""
+    """Implements :class:`~bergamotmast.direct.ports.Directory`."""
 
     config_key = "op/config"
     upstream_prefix = "servers/"
 
     def decode_routing(self, value: bytes) -> Routing:
-        """Read the configuration."""
+        """Decode the operators' configuration."""
         try:
             read = msgspec.json.decode(value, type=_Config)
             return Routing(
@@ -120,19 +120,17 @@
                 ),
             )
         except (msgspec.DecodeError, KeyError) as error:
-            raise ConfigError(
-                f"The configuration is not understood: {error}"
-            ) from error
+            raise ConfigError(f"the configuration can't be decoded: {error}") from error
 
     def decode_upstream(self, key: str, value: bytes) -> Upstream:
-        """Read an upstream's entry."""
+        """Decode an upstream's registration."""
         try:
             read = msgspec.json.decode(value, type=_Registration)
             leaving = _LEAVING_BY_STATE[read.state]
             role = Role(read.stage) if read.stage else None
             _check_address(read.address)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
-            raise ConfigError(f"{key} is not understood: {error}") from error
+            raise ConfigError(f"{key} can't be decoded: {error}") from error
         return Upstream(
             name=key.removeprefix(self.upstream_prefix),
             boot=str(read.born),
@@ -146,11 +144,11 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise :exc:`ValueError` for what is no ``host:port``."""
+    """Raise :exc:`ValueError` unless an address is ``host:port``."""
     host, _, port = address.rpartition(":")
     parsed = yarl.URL.build(scheme="http", host=host, port=int(port))
     if not parsed.port or parsed.host != host:
-        raise ValueError(f"{address!r} is no address")
+        raise ValueError(f"address {address!r} is not host:port")
 
 
 def _route(route: _Route) -> Route:
@@ -172,7 +170,7 @@
 
 
 def _caller_timeout(route: _Route) -> float:
-    """Return after how many seconds callers of a route leave a silent stream."""
+    """Return the seconds without an event after which a route's callers time out."""
     objective = CALLER_TIMEOUT_OBJECTIVES * route.target_latency_ms
     gaps = CALLER_TIMEOUT_GAPS * route.gap_aim_ms
     return max(MIN_CALLER_TIMEOUT_MS, objective, gaps) / 1e3
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -1,4 +1,4 @@
-"""How requests and replies speak on the platform: headers and small bodies."""
+"""Encoding of requests and decoding of replies in the platform's HTTP dialect."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 REQUEST_ID = "X-Request-Id"
 TIME_LEFT = "X-Deadline-Ms"
-"""A duration, not a point in time: milliseconds that are left."""
+"""Milliseconds left until the deadline: a duration, not a point in time."""
 EXPECTED_UPSTREAM = "X-Expect-Instance"
 EXPECTED_WEIGHTS = "X-Expect-Version"
 PRIORITY = "X-Request-Priority"
@@ -30,7 +30,7 @@
 LAST_EVENT = "Last-Event-Id"
 PROMPT_PARTS = "X-Prompt-Prefix"
 TOKENS = "X-Token-Count"
-"""Prompt tokens and the most output tokens, with a comma between."""
+"""Prompt tokens and maximum output tokens, separated by a comma."""
 LENGTH_ESTIMATE = "X-Length-Hint"
 SIGNATURE = "X-Response-Signature"
 NOT_RUN = "X-Not-Executed"
@@ -52,15 +52,15 @@
         FETCH_FROM,
     )
 )
-"""A caller's own copy could run its request on another's memory or out of turn."""
+"""A caller could use these to read another's KV cache or to raise its priority."""
 
 WRONG_UPSTREAM_STATUS = 421
 
 _ENCODING = "Content-Encoding"
-"""Nobody asks for one: what bears it is not the upstream's body."""
+"""Never requested, so that a body with an encoding is not the upstream's own."""
 
 _HANDLE = re.compile(r"[0-9A-Za-z._~:-]{1,200}")
-"""A handle stands in a header and in a path, and must not end either."""
+"""A handle is sent in a header and in a path, so delimiters of both are excluded."""
 
 
 class _PrefilledBody(msgspec.Struct, frozen=True):
@@ -69,16 +69,16 @@
 
 
 class PlatformDialect:
-    """A :class:`~bergamotmast.direct.ports.Dialect`."""
+    """Implements :class:`~bergamotmast.direct.ports.Dialect`."""
 
     ready_path = "/readiness"
 
     def request_id(self, headers: cabc.Mapping[str, str]) -> str:
-        """Return the id of a caller's request; empty where it has none."""
+        """Return the id of a caller's request; empty if it has none."""
         return headers.get(REQUEST_ID, "")
 
     def read_call(self, headers: cabc.Mapping[str, str]) -> CallTraits:
-        """Read a caller's headers."""
+        """Parse a caller's headers."""
         prompt_tokens, max_tokens = _tokens(headers.get(TOKENS, ""))
         time_left = headers.get(TIME_LEFT)
         return CallTraits(
@@ -117,7 +117,7 @@
         return tuple(written)
 
     def read_reply(self, status: int, headers: cabc.Mapping[str, str]) -> ReplyTraits:
-        """Read an upstream's status and headers."""
+        """Parse an upstream's status and headers."""
         wrong_upstream = status == WRONG_UPSTREAM_STATUS
         return ReplyTraits(
             request_id=headers.get(REQUEST_ID, ""),
@@ -129,33 +129,33 @@
         )
 
     def read_prefilled(self, body: bytes) -> Prefilled:
-        """Read the reply to a request that only prefills."""
+        """Decode the reply to a prefill-only request."""
         try:
             read = msgspec.json.decode(body, type=_PrefilledBody)
         except msgspec.DecodeError as error:
             raise ReplyLostError(
-                f"the prefill's reply is not understood: {error}"
+                f"the prefill reply can't be decoded: {error}"
             ) from error
         if not _HANDLE.fullmatch(read.transfer_handle):
-            raise ReplyLostError(f"{read.transfer_handle!r} is no handle")
+            raise ReplyLostError(f"invalid transfer handle {read.transfer_handle!r}")
         return Prefilled(read.transfer_handle, str(read.version))
 
     def kv_source(self, address: str, handle: str) -> str:
-        """Return the name of an exported KV cache for other engines."""
+        """Return the reference by which other engines import an exported KV cache."""
         return f"{address}/{handle}"
 
     def release_target(self, handle: str) -> tuple[str, str]:
-        """Return method and path that free an exported KV cache."""
+        """Return the method and path that free an exported KV cache."""
         return "DELETE", f"/kv-handle/{handle}"
 
     def refusal_headers(self, request_id: str) -> Headers:
-        """Return the headers of an answer that the entry makes itself."""
+        """Return the headers of a response that the entry generates itself."""
         return ((REQUEST_ID, request_id),) if request_id else ()
 
 
 def _is_signed(headers: cabc.Mapping[str, str]) -> bool:
     signature = headers.get(SIGNATURE, "")
-    # One that was spoilt on the way could not be passed on.
+    # A signature that is not ASCII was corrupted on the way and can't be forwarded.
     return signature.isascii() and signature != "" and _ENCODING not in headers
 
 
@@ -170,7 +170,7 @@
 
 
 def _count(text: str) -> int:
-    """Return a whole number; 0 for none or for what is none, which only hints."""
+    """Return a count, which is only a hint; 0 if it is missing or invalid."""
     text = text.strip()
     return int(text) if text.isascii() and text.isdigit() and len(text) < 16 else 0
 
--- a/src/bergamotmast/platform/orders.py
+++ b/src/bergamotmast/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, as the platform's engines take them."""
+"""Client for the reports and role change orders of the platform's engines."""
 
 from __future__ import annotations
 
@@ -16,54 +16,54 @@
 from .headers import EXPECTED_UPSTREAM
 
 CHECK_TIMEOUT_SECONDS = 0.3
-"""Time for a report that is asked for to see whether an engine lives."""
+"""Timeout of a report that is requested as a liveness check."""
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""Time for a report or for the reply to an order; both come within milliseconds."""
+"""Timeout of a report or an order; both are answered within milliseconds."""
 
 _REPLIES = {202: OrderReply.TAKEN, 200: OrderReply.HOLDS, 409: OrderReply.CONFLICT}
 _STALE_TOKEN_STATUS = 412
 
 
 class _Report(msgspec.Struct, frozen=True):
-    """What an engine says of itself; ``sequence`` counts the orders it has taken."""
+    """An engine's report; ``sequence`` counts the orders that it has accepted."""
 
     sequence: int
     busy: bool
 
 
 class PlatformOrders:
-    """An :class:`~bergamotmast.direct.role_planner.EngineOrders`.
+    """Implements :class:`~bergamotmast.direct.role_planner.EngineOrders`.
 
-    It is an :class:`~bergamotmast.direct.ports.EngineCheck` too: both ask for a report.
+    Its reports also implement :class:`~bergamotmast.direct.ports.EngineCheck`.
     """
 
     def __init__(self, client: UpstreamClient) -> None:
         self.client = client
 
     async def sequence(self, upstream: Upstream) -> int | None:
-        """Return how many orders an engine has taken; ``None`` while one goes on."""
+        """Return how many orders an engine has accepted; ``None`` while one runs."""
         status, body = await self._call(upstream, "GET", "/report", b"")
         if status != 200:
-            raise ReplyLostError(f"the report was answered {status}")
+            raise ReplyLostError(f"the engine's report has status {status}")
         try:
             report = msgspec.json.decode(body, type=_Report)
         except msgspec.DecodeError as error:
-            raise ReplyLostError(f"the report is not understood: {error}") from error
+            raise ReplyLostError(f"the report can't be decoded: {error}") from error
         return None if report.busy else report.sequence
 
     async def answers(self, engine: Upstream) -> bool:
-        """Return whether an engine answers; a report waits for no other work."""
+        """Return whether an engine responds; reports don't queue behind other work."""
         try:
             async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
                 status, _ = await self._call(engine, "GET", "/report", b"")
         except (PortError, TimeoutError):
-            # Not to be reached and not heard in time are one answer: no.
+            # Unreachable and timed out both mean that the engine does not respond.
             return False
         return status == 200
 
     async def order(self, call: RoleOrderCall) -> OrderReply:
-        """Give an order."""
+        """Send a role change order."""
         body = msgspec.json.encode(
             {
                 "operation": "stage",
@@ -77,7 +77,7 @@
         if status == _STALE_TOKEN_STATUS:
             raise OrderRefusedError("the engine has seen a higher fencing token")
         if status not in _REPLIES:
-            raise ReplyLostError(f"the order was answered {status}")
+            raise ReplyLostError(f"the reply to the order has status {status}")
         return _REPLIES[status]
 
     async def _call(
@@ -93,4 +93,4 @@
                 ) as reply:
                     return reply.status, await reply.read()
         except TimeoutError as error:
-            raise ReplyLostError(f"{target}: no answer in time") from error
+            raise ReplyLostError(f"{target}: timed out") from error
--- a/src/bergamotmast/platform/store.py
+++ b/src/bergamotmast/platform/store.py
@@ -37,13 +37,13 @@
 logger = logging.getLogger(__name__)
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""Time one call may take; it is answered within milliseconds, while slow in 0.3 s."""
+"""Timeout of a call; the store answers within milliseconds, or 0.3 s when slow."""
 
 CONNECT_SECONDS = 0.5
-"""Time to open a connection to the store."""
+"""Timeout for opening a connection to the store."""
 
 WATCH_SLACK_SECONDS = 0.7
-"""How much later than its wait a watch's answer is still on its way."""
+"""Time beyond the wait of a watch call in which its answer may still arrive."""
 
 RANGE_READ_SECONDS = 0.3
 """Time reserved for reading all keys again after a watch has failed."""
@@ -60,8 +60,8 @@
 def store_session() -> aiohttp.ClientSession:
     """Return a session that opens a new connection for each call to the store.
 
-    If all connections go silent at once, a reused one would delay the read that follows
-    a failed watch.
+    If all connections stall at once, a reused one would delay the read that follows a
+    failed watch.
     """
     return client_session(aiohttp.TCPConnector(force_close=True))
 
@@ -71,7 +71,7 @@
 
 
 class _Item(_Wire, frozen=True):
-    """A key; as an event, ``tombstone`` says that it was removed."""
+    """A key and its value; in an event, ``tombstone`` marks a deleted key."""
 
     key: str
     revision: int
@@ -112,7 +112,7 @@
 
 
 class PlatformStore:
-    """A :class:`~bergamotmast.ports.KeyValueService`.
+    """Implements :class:`~bergamotmast.ports.KeyValueService`.
 
     Revisions and leases are qualified with their era, see :mod:`.store_era`. After a
     restore, revisions of a former era are older and fail comparisons, and leases of a
@@ -120,7 +120,7 @@
 
     :param session: a session from :func:`store_session`.
     :param address: where the store listens, ``host:port``.
-    :param recovery_seconds: maximum time to detect a silent connection and read all
+    :param recovery_seconds: maximum time to detect a stalled connection and read all
         keys again.
     :param watch_pause: returns the delay, in seconds, between a watch answer with
         changes and the next watch call, so that one call can return several changes.
@@ -167,8 +167,8 @@
     async def range(self, prefix: str) -> RangeResult:
         """Read every key below a prefix, page by page.
 
-        Pages are not of one moment; the revision is the first one's, so that a watch
-        from there brings again whatever changed between them.
+        Pages are not one snapshot: the revision is the first page's, so that a watch
+        from there repeats all changes made between pages.
         """
         items: list[KeyValue] = []
         first_revision: int | None = None
@@ -239,7 +239,7 @@
     async def watch(
         self, prefix: str, from_revision: int
     ) -> cabc.AsyncGenerator[WatchEvent | None, None]:
-        """Yield changes below a prefix in order; ``None`` is a sign of life."""
+        """Yield changes below a prefix in order; ``None`` is a keep-alive."""
         era, after = era_of(from_revision - 1), unqualify(from_revision - 1)
         while True:
             query = urllib.parse.urlencode(
@@ -348,11 +348,11 @@
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.DecodeError as error:
-        raise failure(f"the store's answer is not understood: {error}") from error
+        raise failure(f"the store's answer can't be decoded: {error}") from error
 
 
 def _decode_written(body: bytes, kind: type[_S]) -> _S:
-    """Decode the answer to a write, which has been done also if it is not read."""
+    """Decode the answer to a write, which took effect even if this fails."""
     return _decode(body, kind, KeyValueOutcomeUnknownError)
 
 
@@ -360,7 +360,7 @@
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError:
-        # What can't be read is no value; the reader of the key says so with its name.
+        # Decoding the empty value fails, and the error names the key.
         return b""
 
 
