--- a/src/bergamotmast/entry/placement.py
+++ b/src/bergamotmast/entry/placement.py
@@ -1,4 +1,4 @@
-"""What every run of a request shares: choosing an upstream and offering it work."""
+"""Placement of requests: choosing an upstream, offering it work, counting failures."""
 
 from __future__ import annotations
 
@@ -17,24 +17,25 @@
 from ..protocol import timing
 from .attempt import DeadlinePassed
 from .attempt import EntryAttempt
-from .interfaces import RunsEntry
+from .interfaces import EntryContext
 
 MAX_REFUSALS = 3
-"""Upstreams that may refuse a fresh request for load before it is turned away."""
+"""Refusals for load after which a request that no upstream has accepted is refused."""
 
 MAX_FAILURES = 4
-"""Attempts that may break before a request is given up.
+"""Failed attempts after which a request is given up.
 
-A prompt that crashes its engine would otherwise take one engine after the other.
+Without this bound, a prompt that crashes its engine would crash one engine after
+another.
 """
 
 RETRY_AFTER_NO_UPSTREAM = 2.0
-"""Seconds after which a caller may come back when nothing can serve it."""
+"""Seconds in ``Retry-After`` when no upstream can serve a request."""
 
-PAUSE_RANGE = (0.05, 0.15)
-"""Seconds, jittered, between two looks for an upstream for work already accepted."""
+CHOICE_RETRY_DELAY_RANGE = (0.05, 0.15)
+"""Bounds of the jittered delay, in seconds, before an upstream is chosen again."""
 
-_MOVED = frozenset(
+_FLEET_CHANGE_CODES = frozenset(
     {
         ResultCode.UPSTREAM_LEAVING,
         ResultCode.ENGINE_NOT_READY,
@@ -42,26 +43,26 @@
         ResultCode.NOT_HANDED_OVER,
     }
 )
-"""Refusals that say nothing of load: the fleet changed under the request."""
+"""Refusals caused by changes of the fleet, not by load."""
 
 
 class Placement:
-    """The search for a place to run one request.
+    """Finds an upstream for one request and tracks what its attempts came to.
 
-    :param entry: the entry that runs it.
+    :param entry: the entry that runs the request.
     :param call: the request.
-    :param excluded: upstreams that refused or failed it.
-    :param accepted: whether it was taken once, so that it is owed an answer: the
-        fleet's changes and failures no longer turn it away, only time does.
-    :param no_choice: what the caller hears when nobody is left to ask: the last
-        refusal for load, if there was one.
+    :param excluded: upstreams that refused the request or failed it.
+    :param accepted: whether an upstream accepted the request once. From then on,
+        changes of the fleet and failures are retried; only a deadline ends it.
+    :param no_candidate_choice: the result when no candidate is left: the last refusal
+        for load, or else ``NO_UPSTREAM``.
     :param may_have_run: whether some attempt may have started.
     :param has_run: whether some attempt is known to have started.
-    :param ending: whether no further attempt may be made, since the entry ends.
-    :param attempt: the one under way.
+    :param aborting: whether the entry shuts down, so that no further attempt is made.
+    :param attempt: the current attempt.
     """
 
-    def __init__(self, entry: RunsEntry, call: ModelCall | ServiceCall) -> None:
+    def __init__(self, entry: EntryContext, call: ModelCall | ServiceCall) -> None:
         self.entry = entry
         self.call = call
         self.excluded: set[str] = set()
@@ -69,14 +70,16 @@
         self.may_have_run = False
         self.has_run = False
         self.refusals = 0
-        self.no_choice = Choice(None, ResultCode.NO_UPSTREAM, RETRY_AFTER_NO_UPSTREAM)
+        self.no_candidate_choice = Choice(
+            None, ResultCode.NO_UPSTREAM, RETRY_AFTER_NO_UPSTREAM
+        )
         self.failures = 0
-        self.ending = False
+        self.aborting = False
         self.attempt: EntryAttempt | None = None
 
-    def end(self) -> None:
-        """Let the request end now, as the entry does, with what is known of it."""
-        self.ending = True
+    def abort(self) -> None:
+        """End the request now, with its known outcome, as the entry shuts down."""
+        self.aborting = True
         if self.attempt is not None:
             self.attempt.events.put_nowait(DeadlinePassed())
 
@@ -85,15 +88,19 @@
         return asyncio.get_running_loop().time()
 
     async def choose(self, resumed_tokens: int, wait_until: float) -> Choice:
-        """Return the next place to try.
+        """Choose the upstream of the next attempt.
+
+        A request that was accepted, or whose only upstream lost its session just now,
+        waits for an upstream; any other is refused if none is available.
 
-        :param wait_until: how long an accepted request looks for one.
-        :raises RequestError: if there is none.
+        :param resumed_tokens: tokens of the answer that the caller already has.
+        :param wait_until: local monotonic time until which the request waits.
+        :raises RequestError: if no upstream is available.
         """
         while True:
-            if self.ending:
+            if self.aborting:
                 raise self.error(ResultCode.SHUTTING_DOWN, None)
-            choice = self._choose_now(resumed_tokens)
+            choice = self._choose_once(resumed_tokens)
             if choice.upstream is not None:
                 return choice
             if not self.accepted and not self._may_reconnect(choice.code):
@@ -101,16 +108,18 @@
             if self.now() >= wait_until:
                 raise self.error(ResultCode.EXPIRED_IN_QUEUE, choice.retry_after)
             self.excluded.clear()
-            await asyncio.sleep(self.entry.rng.uniform(*PAUSE_RANGE))
+            await asyncio.sleep(self.entry.rng.uniform(*CHOICE_RETRY_DELAY_RANGE))
 
     def _may_reconnect(self, code: ResultCode) -> bool:
-        """Whether the one thing missing is a session that was lost just now."""
-        return code is ResultCode.NO_UPSTREAM and self.entry.reconnecting(self.call)
+        """Return whether only a session that was lost just now is missing."""
+        return code is ResultCode.NO_UPSTREAM and self.entry.has_reconnecting_upstream(
+            self.call
+        )
 
-    def _choose_now(self, resumed_tokens: int) -> Choice:
+    def _choose_once(self, resumed_tokens: int) -> Choice:
         candidates = self.entry.candidates(self.call)
         if not any(c.name not in self.excluded for c in candidates):
-            return self.no_choice
+            return self.no_candidate_choice
         return self.entry.policy.choose(
             self.call,
             candidates,
@@ -125,9 +134,10 @@
         cost: Cost,
         work: messages.ModelWork | messages.ServiceWork,
     ) -> EntryAttempt | None:
-        """Hand an offer to an upstream; ``None`` if it was certainly not handed over.
+        """Offer the request to an upstream and start the timer of its deadline.
 
-        The attempt also hears when the caller's deadline has passed.
+        :returns: the attempt; ``None`` if the offer was certainly not handed over.
+        :raises RequestError: if that was the last refusal allowed.
         """
         peer = self.entry.peer(upstream)
         survives = isinstance(work, messages.ServiceWork) and not work.repeatable
@@ -167,42 +177,42 @@
     def on_refused(
         self, upstream: str, code: ResultCode, retry_after: float | None
     ) -> None:
-        """Note a refusal.
+        """Record that an upstream refused the request.
 
-        :raises RequestError: if it is the last one that the request may get.
+        :raises RequestError: if no further attempt may be made.
         """
         self.excluded.add(upstream)
-        self._tell_policy(upstream, code, 0)
-        if code in _MOVED:
+        self._report_to_policy(upstream, code, 0)
+        if code in _FLEET_CHANGE_CODES:
             self.accepted = True
             return
         if self.accepted and code is not ResultCode.EXPIRED_IN_QUEUE:
             return
         self.refusals += 1
-        self.no_choice = Choice(None, code, retry_after)
+        self.no_candidate_choice = Choice(None, code, retry_after)
         last = self.refusals >= MAX_REFUSALS or code is ResultCode.EXPIRED_IN_QUEUE
         if last or not self.entry.policy.may_retry(self.call, self.now()):
             raise self.error(code, retry_after)
 
     def on_failed(self, upstream: str, code: ResultCode, output_tokens: int) -> None:
-        """Note an attempt that broke after it may have started.
+        """Record an attempt that failed after it may have started.
 
-        :raises RequestError: if no further one may be made.
+        :raises RequestError: if no further attempt may be made.
         """
         self.excluded.add(upstream)
         self.accepted = True
         self.may_have_run = True
         self.failures += 1
-        self._tell_policy(upstream, code, output_tokens)
+        self._report_to_policy(upstream, code, output_tokens)
         if self.failures >= MAX_FAILURES:
             raise self.error(ResultCode.UPSTREAM_FAILED, None)
 
     def on_done(self, upstream: str, output_tokens: int) -> None:
-        """Note an attempt that gave all it was asked for."""
-        self._tell_policy(upstream, ResultCode.OK, output_tokens)
+        """Record an attempt that completed its work."""
+        self._report_to_policy(upstream, ResultCode.OK, output_tokens)
 
-    def leave(self, attempt: EntryAttempt) -> None:
-        """Ignore everything that still comes of an attempt."""
+    def detach(self, attempt: EntryAttempt) -> None:
+        """Stop tracking an attempt; later messages about it are ignored."""
         self.attempt = None
         if attempt.timer is not None:
             attempt.timer.cancel()
@@ -211,39 +221,43 @@
             peer.forget(attempt)
 
     async def resolve(self, attempt: EntryAttempt) -> str:
-        """Cancel an attempt and return what the side says became of it.
+        """Cancel an attempt and return the state that its side reports.
 
-        :returns: ``never_started``, ``started``, ``done``, or ``unknown`` where the
-            side can't be asked or does not answer.
+        :returns: ``never_started``, ``started``, ``done``, or ``unknown`` if the side
+            can't be reached or does not reply in time.
         """
         peer = self.entry.membership.peers.get(attempt.upstream)
         if peer is None or not await peer.cancel(attempt):
             return "unknown"
         try:
             async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
-                return await _state(attempt)
+                return await _wait_for_state(attempt)
         except TimeoutError:
             return "unknown"
 
     def error(self, code: ResultCode, retry_after: float | None) -> RequestError:
-        """Return the final error, never claiming "not run" of what may have run."""
+        """Return the final error of the request.
+
+        A code whose outcome is "not run" is replaced if some attempt ran or may have
+        run.
+        """
         if CODE_INFO[code].outcome is Outcome.NOT_RUN:
             if self.has_run:
                 code = ResultCode.UPSTREAM_FAILED
             elif self.may_have_run:
                 code = ResultCode.OUTCOME_UNKNOWN
         detail = ""
-        if code is ResultCode.EXPIRED_IN_QUEUE and self.ending:
+        if code is ResultCode.EXPIRED_IN_QUEUE and self.aborting:
             code = ResultCode.SHUTTING_DOWN
-        elif code is ResultCode.DEADLINE_EXCEEDED and self.ending:
+        elif code is ResultCode.DEADLINE_EXCEEDED and self.aborting:
             detail = "The request ran and was not whole when the entry ended."
         return RequestError(code, detail, retry_after)
 
-    def _tell_policy(self, upstream: str, code: ResultCode, tokens: int) -> None:
+    def _report_to_policy(self, upstream: str, code: ResultCode, tokens: int) -> None:
         self.entry.policy.on_ended(upstream, self.call, code, tokens, self.now())
 
 
-async def _state(attempt: EntryAttempt) -> str:
+async def _wait_for_state(attempt: EntryAttempt) -> str:
     while True:
         event = await attempt.events.get()
         if isinstance(event, messages.AttemptState):
