--- a/src/bergamotmast/config/checks.py
+++ b/src/bergamotmast/config/checks.py
@@ -1,4 +1,4 @@
-"""What must hold between the parts of a configuration, beyond the type of each."""
+"""Validation of a configuration beyond the types of its fields."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 from .groups import selectors_by_upstream
 
 DEFAULT_CLASS = "default"
-"""Class of a request that names none; it needs no entry in the document."""
+"""Class of a request that names none; the document need not define it."""
 
 GENERATION_LIMIT = 10**12
-"""More than can be written; as many digits as a generation has in a key."""
+"""Exclusive upper bound on a generation, which has 12 digits in a key."""
 
 MAX_PROBLEMS_SHOWN = 20
-"""Most problems named in one message."""
+"""Maximum number of problems named in one message."""
 
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 _NAME_AT_VERSION = re.compile(r"[^@:\s]+@[^@:\s]+")
 _LABEL = re.compile(r"[^=!,\s]+")
 
 Path = tuple[str | int, ...]
-"""Where a value stands: fields, keys and positions from the outside in."""
+"""Location of a value: field names, keys and indexes, outermost first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong.
+    """A validation problem of a configuration.
 
-    :param path: where.
-    :param message: what is wrong, and what was likely meant.
+    :param path: location of the value; empty for the whole document.
+    :param message: what is wrong, with a suggestion if a known name is close.
     """
 
     path: Path
@@ -65,16 +65,16 @@
 
 
 def did_you_mean(word: str, known: cabc.Iterable[str]) -> str:
-    """Return a hint at the known word that was likely meant; empty if none is near."""
+    """Return a hint that suggests the closest known word; empty if none is close."""
     found = difflib.get_close_matches(word, list(known), n=1)
     return f"; did you mean {found[0]!r}?" if found else ""
 
 
 def check_configuration(configuration: Configuration) -> None:
-    """Refuse a document that can't be obeyed.
+    """Reject an invalid document.
 
     :raises ContradictionError: if two selectors contradict each other.
-    :raises ConfigError: for anything else that is wrong, naming the first problems.
+    :raises ConfigError: for any other problem, naming the first ones.
     """
     problems = find_problems(configuration)
     if problems:
@@ -84,7 +84,7 @@
 
 
 def show_problems(lines: cabc.Iterable[str]) -> str:
-    """Return problems as one message, a line each."""
+    """Return one message with a line for each problem, up to a limit."""
     shown = list(lines)
     rest = len(shown) - MAX_PROBLEMS_SHOWN
     if rest > 0:
@@ -93,7 +93,7 @@
 
 
 def find_problems(configuration: Configuration) -> tuple[Problem, ...]:
-    """Return everything that is wrong except contradictions between selectors."""
+    """Return every problem except contradictions between selectors."""
     return (
         *_generation_problems(configuration),
         *_label_problems(configuration),
@@ -106,9 +106,9 @@
 
 
 def find_warnings(configuration: Configuration) -> tuple[Problem, ...]:
-    """Return what is allowed and still likely a mistake.
+    """Return what is valid but likely a mistake.
 
-    The document must have no problems.
+    The document must be free of problems.
     """
     groups = GroupIndex(configuration)
     empty = (
@@ -116,7 +116,7 @@
         for index, selector in enumerate(configuration.selectors)
         if selector.state is SelectorState.SERVING and not groups.members(selector)
     )
-    # A key may name a selector that its team is still to write, or has removed.
+    # Only a warning: the team may not have added its selector yet, or has removed it.
     names = {selector.name for selector in configuration.selectors}
     unknown = (
         problem
--- a/src/bergamotmast/config/contradictions.py
+++ b/src/bergamotmast/config/contradictions.py
@@ -1,4 +1,4 @@
-"""Finds selectors that ask for different things of the same upstream."""
+"""Detection of selectors with conflicting demands on the same upstream."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contradiction:
-    """Two selectors that can't both be obeyed.
+    """Two selectors whose demands conflict.
 
-    :param first: index of one selector in the document.
-    :param second: index of the other; higher.
+    :param first: index of the first selector in the document.
+    :param second: index of the second selector; greater than ``first``.
     :param selectors: names of both.
-    :param upstream: one upstream that both name.
-    :param reason: what they ask of it.
+    :param upstream: one upstream that both select.
+    :param reason: how their demands conflict.
     """
 
     first: int
@@ -42,7 +42,7 @@
 def find_contradictions(configuration: Configuration) -> tuple[Contradiction, ...]:
     """Return every pair of selectors that contradict each other, once.
 
-    The label expressions must be known to parse.
+    All label expressions must be valid.
     """
     selectors = configuration.selectors
     index = GroupIndex(configuration)
--- a/src/bergamotmast/config/delta.py
+++ b/src/bergamotmast/config/delta.py
@@ -1,11 +1,11 @@
-"""What an edit changes in a document, so that processes need not read it whole.
+"""Deltas between encoded documents, which processes read instead of whole documents.
 
-At full size the document is some 200 KB and an edit a few hundred bytes. With an edit
-every half minute, reading it whole would take more than a process may spend on all of
-its control traffic.
+At full size the document has some 200 KB and an edit a few hundred bytes. With an edit
+every half minute, reading whole documents would exceed the budget that a process has
+for all of its control traffic.
 
-A delta is a merge patch (RFC 7396): mappings are merged, ``null`` removes a key, and
-anything else, lists too, is replaced.
+A delta is a JSON merge patch (RFC 7396): objects are merged, ``null`` removes a key,
+and all other values, including lists, are replaced.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def make_delta(before: bytes, after: bytes) -> bytes:
-    """Return what turns one encoded document into another.
+    """Return the delta from one encoded document to another.
 
     :param before: empty for no document.
     """
@@ -29,12 +29,12 @@
 
 
 def apply_delta(document: bytes, delta: bytes) -> bytes:
-    """Return the document that a delta leads to, encoded in the same way.
+    """Return the document that results from a delta, encoded in the same way.
 
-    The result is right only if the delta was made from this very document; the
-    caller has to compare its mark.
+    The result is right only if the delta was made from this very document: the caller
+    must compare its digest key.
 
-    :raises msgspec.DecodeError: if either is no JSON object.
+    :raises msgspec.DecodeError: if either is not a JSON object.
     """
     return _ENCODER.encode(_merged(_decode(document), _decode(delta)))
 
--- a/src/bergamotmast/config/diff.py
+++ b/src/bergamotmast/config/diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configuration documents, for people and for programs."""
+"""Differences between two configuration documents, as text and as data."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from .document import Configuration
 
 _KEY_FIELDS = {"selectors": "name", "admin_keys": "digest"}
-"""Lists whose items have a name of their own, so that moving one is no change."""
+"""Lists whose items are identified by a field, so that their order is ignored."""
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One place where two documents differ.
+    """One difference between two documents.
 
-    :param path: where, for instance ``selectors[appraisals].models``.
-    :param before: the older value; ``None`` where there was none.
-    :param after: the newer value; ``None`` where there is none.
+    :param path: location, for instance ``selectors[appraisals].models``.
+    :param before: the older value; ``None`` if it was absent.
+    :param after: the newer value; ``None`` if it is absent.
     """
 
     path: str
@@ -38,13 +38,13 @@
 def diff(before: Configuration, after: Configuration) -> tuple[Change, ...]:
     """Return every difference in content, in the order of the paths.
 
-    The generation is left out: it differs between any two documents.
+    The generation is ignored: it differs between any two documents.
     """
     return tuple(_compare("", _plain(before), _plain(after)))
 
 
 def show_diff(changes: cabc.Iterable[Change]) -> str:
-    """Return changes as lines for a person."""
+    """Return one line for each change."""
     return "\n".join(change.show() for change in changes)
 
 
--- a/src/bergamotmast/config/document.py
+++ b/src/bergamotmast/config/document.py
@@ -12,7 +12,7 @@
 
 
 class SelectorState(enum.Enum):
-    """What the operators want of the engines a selector names."""
+    """Desired state of the engines in a selector's group."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -26,16 +26,16 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """Common base: unknown fields are errors, not silent typing mistakes.
+    """Base of all parts of the document; unknown fields are errors, to find typos.
 
-    Fields that have their default are not written: else a process of an earlier
-    version, which refuses what it does not know, would refuse every document that a
-    later version writes, and an upgrade of one process would cut off all others.
+    Fields with their default value are not encoded: otherwise a process of an earlier
+    version, which rejects unknown fields, would reject every document of a later
+    version, and an upgrade of one process would cut off all others.
     """
 
 
 class Match(_DocumentStruct, frozen=True):
-    """Which kinds of request a selector takes; an empty list takes all."""
+    """Filter of the requests that a selector applies to; an empty list matches all."""
 
     classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
@@ -44,10 +44,10 @@
 
 
 class RoleBounds(_DocumentStruct, frozen=True):
-    """How many engines of a group may have one role.
+    """Bounds on the number of engines in a group that have one role.
 
-    :param least: the planner never goes below this.
-    :param most: the planner never goes above this; ``None`` for no bound.
+    :param least: minimum, below which the planner never goes.
+    :param most: maximum, above which the planner never goes; ``None`` for no bound.
     """
 
     least: int = 0
@@ -55,14 +55,14 @@
 
 
 class Selector(_DocumentStruct, frozen=True):
-    """A rule that joins kinds of request to a group of upstreams.
+    """A rule that routes matching requests to a group of upstreams.
 
     :param name: unique name, used in every message about it.
     :param group: label expression, for instance ``pool=main,tier!=old``.
-    :param match: the kinds of request that go to the group.
-    :param models: what the group's engines carry, ``name@version``.
-    :param adapters: adapters they carry, ``name@version``.
-    :param roles: bounds for each role.
+    :param match: filter of the requests that go to the group.
+    :param models: models that the group's engines serve, ``name@version``.
+    :param adapters: adapters that they load, ``name@version``.
+    :param roles: bounds on the number of engines for each role.
     :param state: whether the group serves, drains or is withdrawn.
     """
 
@@ -76,11 +76,11 @@
 
 
 class RequestClass(_DocumentStruct, frozen=True):
-    """What callers of a class may expect.
+    """Priority and latency targets of a class of requests.
 
-    :param priority: order among waiting work.
-    :param first_token: seconds until the first token must be out.
-    :param total: seconds until the whole answer must be out.
+    :param priority: scheduling priority among queued requests.
+    :param first_token: seconds until the first token is due.
+    :param total: seconds until the whole answer is due.
     :param between_tokens: seconds allowed between tokens, on average.
     """
 
@@ -93,8 +93,9 @@
 class Tenant(_DocumentStruct, frozen=True):
     """One paying customer.
 
-    :param weight: share of a full upstream, against other tenants' weights.
-    :param keys: SHA-256 hex digests of its caller keys; empty admits by header.
+    :param weight: share of a saturated upstream, relative to other tenants' weights.
+    :param keys: SHA-256 hex digests of its caller keys; if empty, a header suffices to
+        identify its callers.
     """
 
     weight: float = 1.0
@@ -102,7 +103,7 @@
 
 
 class Route(_DocumentStruct, frozen=True):
-    """One path of a plain service.
+    """One path prefix of a plain service.
 
     :param prefix: path prefix at the entry, below ``/services/``.
     :param repeatable: whether a call may run more than once.
@@ -115,7 +116,7 @@
 
 
 class Scope(enum.Enum):
-    """What an administration key allows."""
+    """Permission that an administration key grants."""
 
     READ = "read"
     EDIT = "edit"
@@ -126,7 +127,7 @@
 
     :param team: name shown in the history.
     :param digest: SHA-256 hex digest of the key.
-    :param scopes: what it allows.
+    :param scopes: permissions that it grants.
     :param groups: names of the selectors it may edit; empty for all.
     """
 
@@ -139,7 +140,7 @@
 class Configuration(_DocumentStruct, frozen=True):
     """The whole document that is in force.
 
-    :param generation: raised by one with each accepted edit.
+    :param generation: incremented by each accepted edit.
     :param labels: labels of each upstream, by its name.
     """
 
@@ -152,11 +153,11 @@
     admin_keys: tuple[AdminKey, ...] = ()
 
     def request_class(self, name: str) -> RequestClass:
-        """Return a class, or the default one where the name is not configured."""
+        """Return a class by name, or a default one if the name is not configured."""
         return self.classes.get(name, RequestClass())
 
     def selectors_for(self, upstream: str) -> tuple[Selector, ...]:
-        """Return the selectors whose label expression names an upstream."""
+        """Return the selectors whose label expression matches an upstream."""
         labels = self.labels.get(upstream, {})
         return tuple(
             s for s in self.selectors if parse_label_expression(s.group).matches(labels)
@@ -176,7 +177,7 @@
 
 
 class LabelExpression(msgspec.Struct, frozen=True):
-    """A conjunction of comparisons; without any it matches nothing."""
+    """A conjunction of comparisons; an empty one matches nothing."""
 
     terms: tuple[LabelTerm, ...]
 
@@ -189,7 +190,7 @@
 def parse_label_expression(text: str) -> LabelExpression:
     """Parse ``label=value,label!=value``.
 
-    :raises ValueError: naming the part that is neither.
+    :raises ValueError: naming a part that is neither comparison.
     """
     return LabelExpression(
         tuple(_parse_term(part) for part in text.split(",") if part.strip())
@@ -216,7 +217,8 @@
     """Decode what :func:`encode_configuration` wrote.
 
     :raises msgspec.DecodeError: for anything else, including a label expression
-        that can't be parsed: it would fail later, in the middle of taking effect.
+        that can't be parsed, which would otherwise fail when the document is put in
+        force.
     """
     configuration = _DECODER.decode(data)
     for selector in configuration.selectors:
--- a/src/bergamotmast/config/edit.py
+++ b/src/bergamotmast/config/edit.py
@@ -19,8 +19,8 @@
 ) -> Configuration:
     """Return a document with some labels of one upstream changed.
 
-    :param labels: new values; ``None`` removes a label. An upstream that is left
-        without labels is removed.
+    :param labels: new values; ``None`` removes a label. An upstream without any
+        remaining label is removed.
     """
     changed = {**configuration.labels.get(upstream, {}), **labels}
     kept = {label: value for label, value in changed.items() if value is not None}
@@ -44,7 +44,7 @@
 def without_selector(configuration: Configuration, name: str) -> Configuration:
     """Return a document without a selector.
 
-    :raises ConfigError: if there is none of this name.
+    :raises ConfigError: if there is no selector with this name.
     """
     names = [selector.name for selector in configuration.selectors]
     if name not in names:
--- a/src/bergamotmast/config/file.py
+++ b/src/bergamotmast/config/file.py
@@ -1,4 +1,4 @@
-"""Reads configuration files in YAML or JSON, with messages that name file and line."""
+"""Parser of configuration files in YAML or JSON; its errors name file and line."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 from .document import Selector
 
 MAX_DOCUMENT_BYTES = 1_000_000
-"""Longest document, in bytes: a value of the key-value service holds no more."""
+"""Maximum size of a document: the key-value service limits a value to this."""
 
 
 _Lines = dict[Path, int]
-"""Line numbers from 1 at which values begin, by path."""
+"""Line number, counted from 1, at which each value begins, by path."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedFile:
-    """A document's plain content.
+    """The content of a document before it is converted and checked.
 
-    :param name: the document, as it is called in messages.
-    :param find_lines: returns the line of each value, as far as known. Finding them
-        in JSON takes longer than all else, and is done for messages only.
+    :param name: name of the document in messages.
+    :param find_lines: returns the line of each value, as far as known. In JSON this
+        takes longer than all other steps, so it is called for messages only.
     """
 
     name: str
@@ -76,7 +76,7 @@
 def parse_configuration(data: bytes, name: str) -> Configuration:
     """Parse and check a document.
 
-    :param name: what to call the document in messages; JSON ends in ``.json``.
+    :param name: name of the document in messages; that of JSON ends in ``.json``.
     :raises ConfigError: naming the line and field of each problem.
     :raises ContradictionError: if two selectors contradict each other.
     """
@@ -84,7 +84,7 @@
 
 
 def parse_body(data: bytes) -> Configuration:
-    """Parse and check a JSON document that came over HTTP, without line numbers.
+    """Parse and check a JSON document from an HTTP body, without line numbers.
 
     :raises ConfigError: naming the field of each problem.
     :raises ContradictionError: if two selectors contradict each other.
@@ -94,9 +94,9 @@
 
 
 def parse_selector(plain: dict[str, t.Any], name: str) -> Selector:
-    """Return one selector from its plain content.
+    """Convert the plain content of one selector.
 
-    :param name: what to call the document in messages.
+    :param name: name of the document in messages.
     :raises ConfigError: naming each field with a problem.
     """
     problems = list(_type_problems(plain, Selector, ("selector",)))
@@ -106,7 +106,7 @@
 
 
 def dump_yaml(configuration: Configuration) -> str:
-    """Return a document as YAML, without fields that have their default."""
+    """Return a document as YAML, without fields that have their default value."""
     plain = msgspec.to_builtins(configuration)
     for request_class in plain.get("classes", {}).values():
         if "priority" in request_class:
@@ -162,8 +162,8 @@
 
 
 def _find_json_lines(data: bytes, name: str) -> _Lines:
-    # JSON is nearly YAML; tabs are not, and stand in no JSON string. Where the rest
-    # differs only line numbers are lost.
+    # YAML accepts nearly all JSON except tabs, which no JSON string contains. Where the
+    # two differ otherwise, only line numbers are lost.
     try:
         reader = _YamlReader(name, data.decode().replace("\t", " "))
         reader.read()
@@ -195,12 +195,12 @@
         problems = list(_type_problems(parsed.content, Configuration, ()))
     if problems:
         raise ConfigError(show_problems(parsed.locate(problems)))
-    # Priorities are numbers now; nothing else was wrong.
+    # _type_problems has replaced priority names by numbers; nothing else was wrong.
     return msgspec.convert(parsed.content, Configuration)
 
 
 class _YamlReader:
-    """Turns the nodes of one document into plain content, noting their lines."""
+    """Builds a document's content from its YAML nodes and records their lines."""
 
     def __init__(self, name: str, text: str) -> None:
         self.name = name
@@ -239,13 +239,13 @@
     def build_scalar(self, node: yaml.Node) -> t.Any:
         try:
             value = self.loader.construct_object(node)
-            str(value).encode()  # refuses half of a surrogate pair, which is no text
+            str(value).encode()  # rejects a lone surrogate, which is not encodable
             return value
         except (ValueError, KeyError, IndexError, OverflowError) as error:
             raise self.error(node, f"{node.value!r} has no value") from error
 
     def refuse_alias(self, node: yaml.Node) -> None:
-        # A few lines of aliases to aliases stand for more content than memory holds.
+        # A few lines of nested aliases can expand to more content than memory holds.
         if id(node) in self.seen:
             raise self.error(node, "aliases are not allowed")
         self.seen.add(id(node))
@@ -255,7 +255,7 @@
 
 
 def _type_problems(value: t.Any, kind: t.Any, path: Path) -> cabc.Iterator[Problem]:
-    """Return every value of the wrong type, turning priorities' names to numbers."""
+    """Return every value of the wrong type; replace priority names by numbers."""
     origin = t.get_origin(kind)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         yield from _struct_problems(value, kind, path)
--- a/src/bergamotmast/config/groups.py
+++ b/src/bergamotmast/config/groups.py
@@ -1,4 +1,4 @@
-"""Which upstreams each selector names, for a whole document at once."""
+"""Evaluation of label expressions on all upstreams of a document at once."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class GroupIndex:
-    """The upstreams of a document by label, to evaluate many expressions on.
+    """Index of a document's upstreams by label, for evaluating many expressions.
 
-    Matching every upstream against every selector takes a tenth of a second of an
-    entry's loop at 600 upstreams and 50 selectors, in which no caller gets a token.
+    Matching every upstream against every selector blocks an entry's event loop, and so
+    all its streams, for a tenth of a second at 600 upstreams and 50 selectors.
 
     :param configuration: the document.
     :param labels: the names of all labels.
@@ -49,7 +49,7 @@
 
 
 def selectors_by_upstream(configuration: Configuration) -> dict[str, frozenset[str]]:
-    """Return the names of the selectors that name each upstream, if any."""
+    """Return the names of the selectors that match each upstream, if any."""
     index = GroupIndex(configuration)
     found: dict[str, set[str]] = collections.defaultdict(set)
     for selector in configuration.selectors:
