--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -75,7 +75,7 @@
         dialer: Dialer,
         holder: ConfigHolder,
         counters: cabc.Iterator[int],
-        interval: float = timing.BEAT_INTERVAL,
+        interval: float = timing.HEARTBEAT_INTERVAL_SECONDS,
         telemetry: Telemetry | None = None,
     ) -> None:
         self.entry = entry
@@ -105,7 +105,7 @@
     @property
     def is_observer(self) -> bool:
         """Whether the side is only observed and gets no work."""
-        return self.interval > timing.BEAT_INTERVAL
+        return self.interval > timing.HEARTBEAT_INTERVAL_SECONDS
 
     @property
     def is_ready(self) -> bool:
@@ -166,7 +166,7 @@
     async def run(self) -> None:
         """Maintain a session with the side until cancelled."""
         while True:
-            retry = timing.HELLO_RETRY
+            retry = timing.HELLO_RETRY_SECONDS
             link = self.dialer.dial(self.info.side_address)
             try:
                 await self._run_session(link)
@@ -174,7 +174,7 @@
                 logger.info("side %s is not heard", self.info.name)
             except VersionError as error:
                 logger.warning("no session with side %s: %s", self.info.name, error)
-                retry = timing.VERSION_RETRY
+                retry = timing.VERSION_RETRY_SECONDS
             finally:
                 self._on_session_lost()
                 link.close()
@@ -210,10 +210,10 @@
             )
             try:
                 await link.send(messages.encode(hello))
-                async with asyncio.timeout(timing.SIDE_TIMEOUT):
+                async with asyncio.timeout(timing.SIDE_TIMEOUT_SECONDS):
                     return await self._wait_for_welcome(link)
             except NotReachedError:
-                await asyncio.sleep(timing.HELLO_RETRY)
+                await asyncio.sleep(timing.HELLO_RETRY_SECONDS)
 
     async def _wait_for_welcome(self, link: Link) -> messages.Welcome:
         while True:
@@ -258,10 +258,12 @@
         :raises TimeoutError: if the side sent nothing for too long.
         """
         try:
-            async with asyncio.timeout(self.interval * timing.MISSED_BY_ENTRY):
+            async with asyncio.timeout(
+                self.interval * timing.ENTRY_MAX_MISSED_HEARTBEATS
+            ):
                 return await link.receive_many()
         except TimeoutError:
-            async with asyncio.timeout(timing.LAST_LOOK):
+            async with asyncio.timeout(timing.FINAL_RECEIVE_SECONDS):
                 return await link.receive_many()
 
     def _decode(self, frame: bytes) -> messages.ToEntry | None:
@@ -293,7 +295,9 @@
         self.session = None
         self.report = None
         self.link = None
-        self.reconnect_by = asyncio.get_running_loop().time() + timing.RECONNECT_GRACE
+        self.reconnect_by = (
+            asyncio.get_running_loop().time() + timing.RECONNECT_GRACE_SECONDS
+        )
         for attempt in list(self.attempts.values()):
             attempt.events.put_nowait(SessionLost())
             if not attempt.survives_session:
@@ -308,7 +312,7 @@
         match message:
             case messages.Chunk():
                 self._on_chunk(message)
-            case messages.ReportBeat():
+            case messages.ReportHeartbeat():
                 await self._on_report(message)
             case messages.Started():
                 if attempt := self.attempts.get(message.attempt):
@@ -325,7 +329,7 @@
             case messages.ConfigPull():
                 await self._send_document(message.generation)
             case messages.ConfigDocument():
-                config_exchange.take_document(self.holder, message)
+                config_exchange.offer_document(self.holder, message)
 
     def _on_chunk(self, chunk: messages.Chunk) -> None:
         attempt = self.attempts.get(chunk.attempt)
@@ -334,7 +338,7 @@
         attempt.on_progress(chunk.tokens)
         attempt.events.put_nowait(chunk)
 
-    async def _on_report(self, beat: messages.ReportBeat) -> None:
+    async def _on_report(self, beat: messages.ReportHeartbeat) -> None:
         if beat.session != self.session:
             return
         self.report = beat.report
@@ -348,11 +352,11 @@
 
     async def _compare_generation(self, generation: int) -> None:
         self.generation = generation
-        if request := config_exchange.pull(self.holder, generation):
+        if request := config_exchange.config_pull(self.holder, generation):
             await self._send(request)
 
     async def _send_document(self, generation: int) -> None:
-        if document := config_exchange.newer_document(self.holder, generation):
+        if document := config_exchange.newer_config_document(self.holder, generation):
             await self._send(document)
 
     async def _send(self, message: messages.ToSide) -> bool:
@@ -369,10 +373,10 @@
 
 
 def _negotiated_version(welcome: messages.Welcome) -> int:
-    version = messages.agreed_version(welcome.version)
+    version = messages.negotiate_version(welcome.version)
     if version is None:
         raise VersionError(
             f"it speaks protocol {welcome.version}, this entry takes "
-            f"{messages.OLDEST_VERSION} to {messages.PROTOCOL_VERSION}"
+            f"{messages.MIN_PROTOCOL_VERSION} to {messages.PROTOCOL_VERSION}"
         )
     return version
--- a/src/bergamotmast/entry/service_run.py
+++ b/src/bergamotmast/entry/service_run.py
@@ -189,7 +189,7 @@
     ) -> ServiceAnswer | None:
         """Wait for the answer that follows the report that the call is done."""
         try:
-            async with asyncio.timeout(timing.RESOLVE_TIMEOUT):
+            async with asyncio.timeout(timing.CANCEL_REPLY_TIMEOUT_SECONDS):
                 while True:
                     event = await attempt.events.get()
                     if isinstance(event, messages.ServiceDone):
