--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -28,7 +28,9 @@
 pytestmark = pytest.mark.looptime
 
 
-class Bench:
+class Cluster:
+    """A key-value service and the claim stores of several entries."""
+
     def __init__(self, delay=0.005):
         self.service = KeyValueStandIn(delay=delay)
         self.tasks = {}
@@ -50,8 +52,8 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(**options):
-    made = Bench(**options)
+async def cluster(**options):
+    made = Cluster(**options)
     yield made
     for store in list(made.tasks):
         assert not made.tasks[store].done()
@@ -67,25 +69,25 @@
 
 
 async def test_a_replay_gets_the_first_answer_wherever_it_arrives():
-    # The caller's connection broke after its call ran. It sends the call again: to
-    # the same entry, to another, and to one that is started after all were replaced.
-    async with bench() as b:
-        one, other = b.entry("one"), b.entry("other")
+    # The caller's connection broke after its call ran. It sends the call again to the
+    # same entry, to another, and to one that was started after all were replaced.
+    async with cluster() as c:
+        one, other = c.entry("one"), c.entry("other")
         assert await outcome(one) is CLAIMED
         assert await outcome(other) is HELD
         await one.complete("k", ANSWER)
         assert await outcome(one) == ANSWER
         await asyncio.sleep(LINGER_SECONDS + 1)
         assert await outcome(other) == ANSWER
-        await b.kill(one)
-        await b.kill(other)
-        assert await outcome(b.entry("new")) == ANSWER
+        await c.kill(one)
+        await c.kill(other)
+        assert await outcome(c.entry("new")) == ANSWER
 
 
 @pytest.mark.parametrize("size", [MAX_ANSWER_BYTES, MAX_ANSWER_BYTES + 1])
 async def test_a_long_answer_is_not_kept(size):
-    async with bench() as b:
-        one = b.entry("one")
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("k", b"d")
         answer = ServiceAnswer(200, b"x" * size, "text/plain")
         await one.complete("k", answer)
@@ -95,26 +97,26 @@
 
 
 async def test_a_key_of_another_request_is_refused():
-    async with bench() as b:
-        one, other = b.entry("one"), b.entry("other")
+    async with cluster() as c:
+        one, other = c.entry("one"), c.entry("other")
         await one.claim("k", b"d")
         assert await outcome(one, digest=b"e") is ResultCode.KEY_MISMATCH
         assert await outcome(other, digest=b"e") is ResultCode.KEY_MISMATCH
 
 
 async def test_an_entry_that_dies_between_claim_and_answer_leaves_the_claim():
-    async with bench() as b:
-        one = b.entry("one")
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("k", b"d")
-        await b.kill(one)
-        assert await outcome(b.entry("new")) is HELD
+        await c.kill(one)
+        assert await outcome(c.entry("new")) is HELD
 
 
 async def test_a_released_key_can_be_claimed_again_at_once():
-    # The call was refused and truly not run. The caller comes back, at any entry, and
-    # must not be told that it may have run.
-    async with bench() as b:
-        one, other = b.entry("one"), b.entry("other")
+    # The call was refused and not run. When the caller retries at any entry, it must
+    # not be refused because the call may have run.
+    async with cluster() as c:
+        one, other = c.entry("one"), c.entry("other")
         await one.claim("k", b"d")
         await one.claim("answered", b"d")
         await one.complete("answered", ANSWER)
@@ -129,18 +131,18 @@
 
 @pytest.mark.parametrize("entries", [2, 8])
 async def test_one_of_many_claims_of_a_key_at_the_same_time_wins(entries):
-    async with bench() as b:
-        stores = [b.entry(f"entry-{i}") for i in range(entries)]
+    async with cluster() as c:
+        stores = [c.entry(f"entry-{i}") for i in range(entries)]
         results = await asyncio.gather(*(outcome(s) for s in stores for _ in "ab"))
         assert results.count(CLAIMED) == 1
         assert set(results) == {CLAIMED, HELD}
 
 
-async def test_a_storm_of_the_same_keys_settles():
-    # Every entry is sent the same sixty keys, in its own order, with fresh ones among
-    # them. Each batch is in dispute; each key still goes to exactly one entry.
-    async with bench() as b:
-        stores = [b.entry(f"entry-{i}") for i in range(5)]
+async def test_concurrent_claims_of_many_shared_keys_all_get_an_outcome():
+    # Every entry gets the same sixty keys in a different order, mixed with new ones.
+    # Each batch conflicts with others; each key must still go to exactly one entry.
+    async with cluster() as c:
+        stores = [c.entry(f"entry-{i}") for i in range(5)]
         calls = []
         for number, store in enumerate(stores):
             keys = [f"shared-{i}" for i in range(60)]
@@ -154,56 +156,56 @@
 
 
 async def test_a_claim_whose_reply_is_lost_is_read_back():
-    async with bench() as b:
-        one = b.entry("one")
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("first", b"d")
-        b.service.lose_next_reply()
+        c.service.lose_next_reply()
         results = await asyncio.gather(*(outcome(one, f"k{i}") for i in range(20)))
         assert results == [CLAIMED] * 20
-        assert await outcome(b.entry("other"), "k3") is HELD
+        assert await outcome(c.entry("other"), "k3") is HELD
 
 
-async def test_a_lost_lease_is_asked_for_again():
-    async with bench() as b:
-        b.service.lose_next_reply()
-        assert await outcome(b.entry("one")) is CLAIMED
+async def test_a_lease_whose_grant_was_lost_is_requested_again():
+    async with cluster() as c:
+        c.service.lose_next_reply()
+        assert await outcome(c.entry("one")) is CLAIMED
 
 
 async def test_no_claim_while_the_service_is_down():
-    # Refused at once and truly not run; after the outage the key is free.
-    async with bench() as b:
-        one = b.entry("one")
-        b.service.down = True
+    # The call is refused at once and not run; after the outage the key is free.
+    async with cluster() as c:
+        one = c.entry("one")
+        c.service.down = True
         assert await outcome(one) is UNAVAILABLE
-        b.service.down = False
-        assert b.records() == []
-        assert await outcome(b.entry("other")) is CLAIMED
+        c.service.down = False
+        assert c.records() == []
+        assert await outcome(c.entry("other")) is CLAIMED
 
 
-async def test_a_claim_of_unknown_end_is_not_run_and_given_back():
-    # The write takes effect, its reply is lost and the service goes down, so that it
-    # can't be read back. The caller is told "not run"; once the service is back, the
-    # claim is given back and the caller's next attempt runs.
-    async with bench(delay=1.0) as b:
-        one = b.entry("one")
+async def test_a_claim_of_unknown_outcome_is_not_run_and_is_released():
+    # The write takes effect, its reply is lost and the service goes down, so that the
+    # record can't be read back. The caller is told that the call was not run. After the
+    # outage the claim must be released, so that the caller's next attempt can run.
+    async with cluster(delay=1.0) as c:
+        one = c.entry("one")
         await one.claim("first", b"d")
         attempt = asyncio.create_task(outcome(one))
         await asyncio.sleep(0.8)
-        assert len(b.records()) == 2
-        b.service.down = True
+        assert len(c.records()) == 2
+        c.service.down = True
         assert await attempt is UNAVAILABLE
         await asyncio.sleep(30)
-        assert len(b.records()) == 2
-        b.service.down = False
+        assert len(c.records()) == 2
+        c.service.down = False
         await asyncio.sleep(15)
-        assert len(b.records()) == 1
-        assert await outcome(b.entry("other")) is CLAIMED
+        assert len(c.records()) == 1
+        assert await outcome(c.entry("other")) is CLAIMED
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.3, 0.8, 1.2])
-async def test_a_caller_that_goes_away_leaves_no_claim(seconds):
-    async with bench(delay=1.0) as b:
-        one = b.entry("one")
+async def test_a_caller_that_disconnects_leaves_no_claim(seconds):
+    async with cluster(delay=1.0) as c:
+        one = c.entry("one")
         await one.claim("first", b"d")
         await asyncio.sleep(1)
         attempt = asyncio.create_task(outcome(one))
@@ -211,20 +213,20 @@
         if not attempt.done():
             attempt.cancel()
             await asyncio.sleep(10)
-            assert len(b.records()) == 1
+            assert len(c.records()) == 1
             assert await outcome(one) is CLAIMED
 
 
-async def test_a_slow_service_is_given_up_in_time():
-    async with bench(delay=60.0) as b:
-        one = b.entry("one")
+async def test_a_claim_times_out_if_the_service_is_slow():
+    async with cluster(delay=60.0) as c:
+        one = c.entry("one")
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         assert await outcome(one) is UNAVAILABLE
         assert loop.time() - began_at <= CLAIM_TIMEOUT_SECONDS
 
 
-async def test_a_writer_that_hangs_is_given_up_in_time():
+async def test_a_claim_times_out_if_the_writer_hangs():
     store = ClaimStore(KeyValueStandIn().client("one"), "one", random.Random(1))
     loop = asyncio.get_running_loop()
     began_at = loop.time()
@@ -232,11 +234,11 @@
     assert loop.time() - began_at == pytest.approx(CLAIM_TIMEOUT_SECONDS, abs=0.1)
 
 
-async def test_a_caller_that_goes_in_the_moment_of_its_claim_leaves_none():
-    # The writer has ended the claim, and before the caller's task goes on with it the
-    # task is cancelled. Nobody would ever run or release the claim.
-    async with bench() as b:
-        one = b.entry("one")
+async def test_a_caller_cancelled_just_after_its_claim_is_written_leaves_none():
+    # The caller's task is cancelled after the claim was written and before the task
+    # resumes. Without special care nobody would ever run the call or release the claim.
+    async with cluster() as c:
+        one = c.entry("one")
         commit = one.batch.commit
 
         async def commit_and_cancel(steps):
@@ -249,14 +251,15 @@
         with pytest.raises(asyncio.CancelledError):
             await attempt
         await asyncio.sleep(1)
-        assert await outcome(b.entry("other")) is CLAIMED
+        assert await outcome(c.entry("other")) is CLAIMED
 
 
-async def test_no_write_names_a_key_twice(monkeypatch):
-    # The entry has forgotten a claim of its own whose completion still waits.
+async def test_no_transaction_writes_a_key_twice(monkeypatch):
+    # The entry has evicted one of its claims from memory while its completion is still
+    # deferred. A new claim of the key must not go into the same transaction.
     monkeypatch.setattr("bergamotmast.claims.store.MAX_REMEMBERED_CLAIMS", 1)
-    async with bench() as b:
-        one = b.entry("one")
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("k", b"d")
         await one.complete("k", ANSWER)
         txn = one.batch.kv.txn
@@ -273,64 +276,65 @@
 
 
 async def test_an_answer_is_kept_through_an_outage():
-    async with bench() as b:
-        one = b.entry("one")
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("k", b"d")
-        b.service.down = True
+        c.service.down = True
         await one.complete("k", ANSWER)
         await asyncio.sleep(600)
-        b.service.down = False
+        c.service.down = False
         await asyncio.sleep(10)
-        assert await outcome(b.entry("other")) == ANSWER
+        assert await outcome(c.entry("other")) == ANSWER
 
 
-async def test_what_was_put_off_is_written_at_the_end():
-    async with bench() as b:
-        one = b.entry("one")
+async def test_flush_writes_deferred_steps():
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("k", b"d")
         await one.complete("k", ANSWER)
-        await b.kill(one)
+        await c.kill(one)
         await one.flush()
-        assert [record.done for record in b.records()] == [True]
+        assert [record.done for record in c.records()] == [True]
 
 
-async def test_claims_are_kept_for_the_retention_and_not_for_ever():
-    async with bench() as b:
-        one = b.entry("one")
+async def test_claims_expire_after_their_retention():
+    async with cluster() as c:
+        one = c.entry("one")
         await one.claim("k", b"d")
         await asyncio.sleep(RETENTION_SECONDS - 60)
-        assert await outcome(b.entry("other")) is HELD
+        assert await outcome(c.entry("other")) is HELD
         await asyncio.sleep(LEASE_REUSE_SECONDS + 120)
-        assert b.records() == []
+        assert c.records() == []
         assert await outcome(one) is CLAIMED
 
 
 async def test_a_lease_that_the_service_lost_is_replaced():
-    # The service comes back from a backup without the lease that claims are put on.
-    async with bench() as b:
-        backup = b.service.snapshot()
-        one = b.entry("one")
+    # The service is restored from a backup without the lease that claims are attached
+    # to.
+    async with cluster() as c:
+        backup = c.service.snapshot()
+        one = c.entry("one")
         await one.claim("k", b"d")
-        b.service.restore(backup)
+        c.service.restore(backup)
         await one.complete("k", ANSWER)
         await asyncio.sleep(LINGER_SECONDS + 1)
         assert await outcome(one, "k2") is CLAIMED
 
 
-async def test_claims_go_together():
-    # A burst of a thousand claims is a few writes, each within the service's limit.
-    async with bench() as b:
-        one = b.entry("one")
+async def test_claims_are_batched():
+    # A burst of 1,000 claims takes few writes, each within the service's limit.
+    async with cluster() as c:
+        one = c.entry("one")
         results = await asyncio.gather(*(outcome(one, f"k{i}") for i in range(1000)))
         assert set(results) == {CLAIMED}
-        assert b.service.writes == 1000 // MAX_STEPS_PER_TXN + 1
+        assert c.service.writes == 1000 // MAX_STEPS_PER_TXN + 1
 
 
 async def test_a_steady_load_costs_fewer_writes_than_claims():
-    # Three entries with 200 calls a second, each answered within half a second: claim
-    # and completion together cost about a write for every two calls.
-    async with bench() as b:
-        stores = [b.entry(f"entry-{i}") for i in range(3)]
+    # Three entries get 200 calls a second, each answered within half a second. Claims
+    # and completions together take about one write for every two calls.
+    async with cluster() as c:
+        stores = [c.entry(f"entry-{i}") for i in range(3)]
         rng = random.Random(1)
 
         async def call(number):
@@ -344,11 +348,11 @@
                 await asyncio.sleep(rng.expovariate(200))
                 group.create_task(call(number))
         await asyncio.sleep(LINGER_SECONDS + 1)
-        assert all(record.done for record in b.records())
-        assert 400 <= b.service.writes <= 650
+        assert all(record.done for record in c.records())
+        assert 400 <= c.service.writes <= 650
 
 
-async def test_a_key_s_place_says_nothing_of_the_key():
-    place = claim_key("tenant/route/secret")
-    assert "secret" not in place
-    assert place != claim_key("tenant/route/secret2")
+async def test_the_stored_key_does_not_reveal_the_caller_s_key():
+    stored_key = claim_key("tenant/route/secret")
+    assert "secret" not in stored_key
+    assert stored_key != claim_key("tenant/route/secret2")
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -51,7 +51,7 @@
         messages.Credit("s", "a", -1),
     ],
 )
-def test_numbers_that_would_upset_a_side_are_refused(message):
+def test_invalid_numbers_in_messages_to_a_side_are_refused(message):
     with pytest.raises(msgspec.ValidationError):
         messages.decode_to_side(messages.encode(message))
 
@@ -68,6 +68,6 @@
         messages.ReportHeartbeat("s", 1, 7, replace(REPORT, kv_free=math.nan)),
     ],
 )
-def test_numbers_that_would_upset_an_entry_are_refused(message):
+def test_invalid_numbers_in_messages_to_an_entry_are_refused(message):
     with pytest.raises(msgspec.ValidationError):
         messages.decode_to_entry(messages.encode(message))
--- a/tests/test_plan_store.py
+++ b/tests/test_plan_store.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_large_write_goes_in_parts_of_rising_revision():
+async def test_a_large_write_is_split_into_transactions_of_increasing_revision():
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     await planner.open()
@@ -59,15 +59,15 @@
 
 @pytest.mark.looptime
 async def test_a_planner_that_was_paused_past_its_lease_changes_nothing():
-    # Operators see planner-2 at work; planner-1, paused past its lease, wakes and
-    # writes what it had decided. Its comparison with the head fails, because
-    # planner-2's first write replaced it, so no side ever sees the old decision.
+    # planner-1 resumes after its lease has expired and writes what it had decided. Its
+    # comparison with the head fails, because planner-2's first write replaced the head,
+    # so that no side ever receives the outdated decision.
     service = KeyValueStandIn()
     old = store(service, "planner-1")
     await old.open()
     await old.write({"e1": PREFILL})
     new = store(service, "planner-2")
-    # One write raises the epoch, the next puts every part under it.
+    # One write raises the epoch, and the next rewrites every engine plan.
     assert await new.open() == FencingToken(2, 4)
     with pytest.raises(AuthorityLostError):
         await old.write({"e1": DECODE})
@@ -78,9 +78,9 @@
 
 
 @pytest.mark.looptime
-async def test_of_two_planners_that_open_at_once_one_loses():
-    # Both hold what they take for the lease, both read the same head, both write:
-    # the comparison lets one write through and tells the other.
+async def test_one_of_two_planners_that_open_concurrently_fails():
+    # Both planners believe that they hold the lease, read the same head and write. The
+    # comparison accepts one write, and the other planner gets an error.
     service = KeyValueStandIn(delay=0.01)
     planners = [store(service, "planner-1"), store(service, "planner-2")]
     results = await asyncio.gather(
@@ -93,8 +93,8 @@
 
 @pytest.mark.looptime
 async def test_a_lost_reply_is_resolved_by_the_nonce():
-    # The write took effect and its reply was lost; the planner reads its nonce back
-    # and goes on under the same authority.
+    # The write took effect and its reply was lost. The planner finds its nonce in the
+    # head and continues in the same epoch.
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     await planner.open()
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.looptime
-async def test_a_lost_write_is_not_taken_for_done():
-    # The request itself is lost, and reading back shows the planner's write before.
+async def test_a_lost_write_is_not_considered_applied():
+    # The request itself is lost, and the head still holds the planner's earlier write.
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     await planner.open()
@@ -120,10 +120,10 @@
 
 
 @pytest.mark.looptime
-async def test_a_write_of_unknown_end_is_settled_by_opening_again():
-    # The service goes down under a write, which takes no effect, and the planner
-    # can't read back. It must not go on from the old head: opening again raises the
-    # epoch, so that even a late arrival of that write would fail.
+async def test_a_write_of_unknown_outcome_is_resolved_by_opening_again():
+    # The service goes down during a write, which takes no effect, and the planner
+    # can't read the head back. It must not continue from the old head: opening again
+    # raises the epoch, so that the write would fail even if it arrived late.
     service = KeyValueStandIn(delay=1.0)
     planner = store(service, "planner-1")
     await planner.open()
@@ -140,10 +140,10 @@
 
 
 @pytest.mark.looptime
-async def test_a_restored_service_that_gives_revisions_out_again_fools_nobody():
-    # The service comes back from a backup; planner-2's head then stands at the very
-    # revision that planner-1 remembers of its own. Planner-1's write still fails, by
-    # the key named by its nonce, and it goes on above all numbers it has seen.
+async def test_a_former_planner_is_fenced_off_though_a_restore_reuses_revisions():
+    # After a restore, planner-2's head has the same revision in the store as the one
+    # that planner-1 last wrote. planner-1's write must still fail, by the comparison
+    # of the guard key, and its next token must exceed all that it has seen.
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     await planner.open()
@@ -158,9 +158,10 @@
 
 
 @pytest.mark.looptime
-async def test_what_a_restore_lost_is_written_again_above_what_sides_have_seen():
-    # Sides obey the last write and refuse the backup's lower numbers. Without this
-    # the plan and the fleet would differ until the engine's next change.
+async def test_plans_lost_by_a_restore_are_rewritten_with_higher_tokens():
+    # Sides obey the last write and refuse the lower tokens of the backup. Unless the
+    # lost plans are rewritten, the plan and the fleet differ until the engine's next
+    # change.
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     await planner.open()
@@ -177,7 +178,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_new_process_passes_lost_epochs_by_its_hint():
+async def test_the_epoch_hint_makes_a_new_process_exceed_lost_epochs():
     service = KeyValueStandIn()
     planner = store(service, "planner-1")
     planner.epoch_hint = lambda: 1_000
@@ -189,7 +190,7 @@
 
 
 @pytest.mark.looptime
-async def test_one_candidate_holds_the_lease_and_another_follows_its_death():
+async def test_another_candidate_is_elected_after_the_holder_dies():
     service = KeyValueStandIn(delay=0.01)
     first = PlannerElection(service.client("a"), "a", random.Random(1))
     second = PlannerElection(service.client("b"), "b", random.Random(2))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -43,8 +43,8 @@
 from bergamotmast.standins.weights import WeightStoreStandIn
 
 P, D, M = Role.PREFILL, Role.DECODE, Role.MIXED
-START = 25.0
-"""Seconds in which a planner surely has the lease and has adopted a fleet."""
+STARTUP_SECONDS = 25.0
+"""Seconds within which a planner always wins the lease and adopts a fleet."""
 
 
 class NoWork:
@@ -60,8 +60,8 @@
         pass
 
 
-class Wishes:
-    """A shift policy that asks for what the test says."""
+class RequestedRole:
+    """Shift policy that requests the role change set by the test."""
 
     def __init__(self):
         self.engine = ""
@@ -76,7 +76,7 @@
 
 
 class Fleet:
-    """Engines with their sides, and what a planner hears of them."""
+    """Engines with their sides, and the fleet view that planners get of them."""
 
     def __init__(self, names, honours_fencing=True):
         self.history = MemoryHistory()
@@ -85,8 +85,8 @@
         self.holder = ConfigHolder("entry-1", self.history)
         self.engines = {}
         self.reports = {}
-        self.silent = set()
-        self.gone = set()
+        self.not_reporting = set()
+        self.leaving_engines = set()
         self.tasks = []
         spec = EngineSpec(change_seconds=8, honours_fencing=honours_fencing)
         for name in names:
@@ -113,7 +113,7 @@
                 held.role if held else None,
                 held.models + held.adapters if held else (),
             )
-            if name not in self.silent:
+            if name not in self.not_reporting:
                 self.reports[name] = TimedReport(report, now)
 
         client = self.service.client(f"side-{name}")
@@ -128,7 +128,7 @@
             PlanStore(client, name, rng, self.history),
             self.holder,
             self,
-            policy or Wishes(),
+            policy or RequestedRole(),
             self.store,
             rng,
         )
@@ -145,7 +145,7 @@
         return [InstanceInfo(n, kind, "z", "s:1", "http://u") for n in self.engines]
 
     def leaving(self):
-        return self.gone
+        return self.leaving_engines
 
     def last_report(self, upstream):
         return self.reports.get(upstream)
@@ -155,7 +155,7 @@
             e.orders.assignment.role for e in self.engines.values()
         )
 
-    def most_at_once(self):
+    def max_concurrent_orders(self):
         under_way, most = set(), 0
         for record in self.history.records:
             if isinstance(record, OrderTaken):
@@ -165,7 +165,7 @@
             most = max(most, len(under_way))
         return most
 
-    def taken(self):
+    def orders_taken(self):
         return [r for r in self.history.records if isinstance(r, OrderTaken)]
 
 
@@ -194,7 +194,7 @@
         f.configure(1, selector())
         f.start(f.planner("p1").run())
         await asyncio.sleep(60)
-        assert f.taken() == []
+        assert f.orders_taken() == []
 
 
 @pytest.mark.looptime
@@ -202,35 +202,35 @@
     async with fleet() as f:
         f.configure(1, selector(roles=bounds(prefill=(1, 2), decode=(2, None))))
         f.start(f.planner("p1").run())
-        await asyncio.sleep(START + 60)
+        await asyncio.sleep(STARTUP_SECONDS + 60)
         assert f.roles() == {P: 1, D: 2, M: 1}
-        assert len(f.taken()) == 3
-        assert f.most_at_once() == 1
+        assert len(f.orders_taken()) == 3
+        assert f.max_concurrent_orders() == 1
 
 
 @pytest.mark.looptime
-async def test_a_new_version_rolls_through_the_group_at_the_store_s_pace():
+async def test_a_new_version_is_loaded_by_one_engine_of_a_group_at_a_time():
     async with fleet() as f:
         f.configure(1, selector())
         f.start(f.planner("p1").run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         f.configure(2, selector(models=("m@2",), adapters=("a@1",)))
         await asyncio.sleep(60)
         held = {e.orders.assignment for e in f.engines.values()}
         assert held == {Assignment(M, ("m@2",), ("a@1",))}
-        assert f.most_at_once() == 1
+        assert f.max_concurrent_orders() == 1
         assert f.store.loads == 8
 
 
 @pytest.mark.looptime
-async def test_groups_change_beside_each_other_and_share_the_store():
+async def test_groups_change_concurrently_and_share_the_weight_store():
     async with fleet() as f:
         f.store.versions["m@2"] = 200
         labels = {n: {"pool": "main" if n < "e2" else "side"} for n in f.engines}
         both = selector(), selector(name="side", group="pool=side")
         f.configure(1, *both, labels=labels)
         f.start(f.planner("p1").run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         split = bounds(decode=(1, None))
         both = (
             selector(roles=split),
@@ -238,13 +238,13 @@
         )
         f.configure(2, *both, labels=labels)
         await asyncio.sleep(25)
-        assert f.most_at_once() == 2
-        before = len(f.taken())
+        assert f.max_concurrent_orders() == 2
+        before = len(f.orders_taken())
         new = ("m@2",)
         both = selector(new), selector(new, name="side", group="pool=side")
         f.configure(3, *both, labels=labels)
         await asyncio.sleep(30)
-        first, second = f.taken()[before:]
+        first, second = f.orders_taken()[before:]
         assert second.at - first.at >= 20
 
 
@@ -256,60 +256,62 @@
         wide = selector(roles=bounds(decode=(1, None)))
         f.configure(1, wide, selector((), "narrow", "tier=new"), labels=labels)
         f.start(f.planner("p1").run())
-        await asyncio.sleep(START + 30)
-        assert len(f.taken()) == 1
+        await asyncio.sleep(STARTUP_SECONDS + 30)
+        assert len(f.orders_taken()) == 1
 
 
 @pytest.mark.looptime
-async def test_an_engine_that_never_comes_back_holds_its_group_up_for_a_time_only():
+async def test_an_engine_that_never_comes_back_blocks_its_group_until_a_timeout():
     async with fleet() as f:
-        wishes = Wishes()
-        planner = f.planner("p1", wishes)
+        requested = RequestedRole()
+        planner = f.planner("p1", requested)
         f.configure(1, selector())
         f.start(planner.run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         f.engines["e0"].reachable = False
         await asyncio.sleep(10)
-        wishes.engine, wishes.role = "e1", D
+        requested.engine, requested.role = "e1", D
         await asyncio.sleep(20)
-        assert f.taken() == []
+        assert f.orders_taken() == []
         await asyncio.sleep(CHANGE_TIMEOUT_SECONDS)
-        assert [r.engine for r in f.taken()] == ["e1"]
+        assert [r.engine for r in f.orders_taken()] == ["e1"]
         planned = planner.store.plans["e0"].assignment
-        wishes.engine = "e0"
+        requested.engine = "e0"
         await asyncio.sleep(20)
         assert planner.store.plans["e0"].assignment == planned
 
 
 @pytest.mark.looptime
-async def test_the_policy_s_wish_is_kept_within_the_bounds():
+async def test_role_changes_of_the_policy_are_limited_by_the_bounds():
     async with fleet() as f:
-        wishes = Wishes()
-        wishes.engine, wishes.role = "e1", D
+        requested = RequestedRole()
+        requested.engine, requested.role = "e1", D
         f.configure(1, selector(roles=bounds(decode=(0, 0))))
-        f.start(f.planner("p1", wishes).run())
-        await asyncio.sleep(START + 30)
-        assert f.taken() == []
+        f.start(f.planner("p1", requested).run())
+        await asyncio.sleep(STARTUP_SECONDS + 30)
+        assert f.orders_taken() == []
         f.configure(2, selector(roles=bounds(decode=(0, 1))))
         await asyncio.sleep(30)
-        assert [(r.engine, r.assignment[:6]) for r in f.taken()] == [("e1", "decode")]
+        assert [(r.engine, r.assignment[:6]) for r in f.orders_taken()] == [
+            ("e1", "decode")
+        ]
 
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("count", [1, 2])
-async def test_nothing_is_changed_on_a_stale_picture(count):
-    # Reports of two engines of four stop, as in a partition: the planner sees only
-    # half the load and leaves the roles alone. One silent engine holds nothing up.
+async def test_nothing_is_changed_while_too_many_reports_are_stale(count):
+    # Reports of two of four engines stop, as in a partition: the planner sees only
+    # half the load and must not change roles. One missing report blocks nothing.
     async with fleet() as f:
-        wishes = Wishes()
+        requested = RequestedRole()
         f.configure(1, selector())
-        f.start(f.planner("p1", wishes).run())
-        await asyncio.sleep(START)
-        f.silent = {f"e{i}" for i in range(count)}
+        f.start(f.planner("p1", requested).run())
+        await asyncio.sleep(STARTUP_SECONDS)
+        f.not_reporting = {f"e{i}" for i in range(count)}
         await asyncio.sleep(20)
-        wishes.engine, wishes.role = "e3", D
+        requested.engine, requested.role = "e3", D
         await asyncio.sleep(20)
-        assert len(f.taken()) == (1 if count == 1 else 0)
+        assert len(f.orders_taken()) == (1 if count == 1 else 0)
 
 
 @pytest.mark.looptime
@@ -318,50 +320,51 @@
         labels = {n: {"pool": "main"} for n in f.engines}
         labels["e0"] = {"pool": "out"}
         drain = selector((), "out", "pool=out", state=SelectorState.DRAINING)
-        f.gone = {"e1"}
+        f.leaving_engines = {"e1"}
         f.configure(1, selector(roles=bounds(prefill=(2, 2))), drain, labels=labels)
         f.start(f.planner("p1").run())
-        await asyncio.sleep(START + 40)
-        assert {r.engine for r in f.taken()} == {"e2", "e3"}
+        await asyncio.sleep(STARTUP_SECONDS + 40)
+        assert {r.engine for r in f.orders_taken()} == {"e2", "e3"}
 
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("honours_fencing", [True, False])
-async def test_a_planner_paused_past_its_lease_wakes_and_changes_nothing(
+async def test_a_planner_paused_past_its_lease_changes_nothing_when_it_resumes(
     honours_fencing,
 ):
-    # p1 is paused in the middle of a write, its lease lapses and p2 plans. When p1
-    # wakes, its write reaches the service, fails its comparison, and no engine moves.
+    # p1 is paused during a write, its lease expires and p2 plans. When p1 resumes, its
+    # write reaches the service and fails its comparison, so that no engine changes.
     async with fleet(honours_fencing=honours_fencing) as f:
-        wishes = Wishes()
-        first = f.planner("p1", wishes)
+        requested = RequestedRole()
+        first = f.planner("p1", requested)
         f.configure(1, selector())
         f.start(first.run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         assert first.planning
         f.service.delays["p1"] = 100.0
-        wishes.engine, wishes.role = "e1", D
+        requested.engine, requested.role = "e1", D
         await asyncio.sleep(1.5)
         f.start(f.planner("p2").run())
         await asyncio.sleep(45)
         written = [r for r in f.history.records if isinstance(r, PlanWritten)]
         assert written[-1].writer == "p2"
         await asyncio.sleep(60)
-        assert f.taken() == []
+        assert f.orders_taken() == []
         assert f.roles() == {M: 4}
 
 
 @pytest.mark.looptime
-async def test_two_planners_at_once_make_one_plan():
-    # Both take themselves for the holder of the lease, wanting opposite things. The
-    # comparison lets one at a time write; each engine holds one order at a time.
+async def test_two_concurrent_planners_make_one_plan():
+    # Both planners believe that they hold the lease, and their policies request
+    # different roles. The compare-and-swap lets one at a time write, and an engine has
+    # one order at a time.
     async with fleet() as f:
         planners = []
         f.configure(1, selector())
         for name, role in (("p1", P), ("p2", D)):
-            wishes = Wishes()
-            wishes.engine, wishes.role = "e1", role
-            planner = f.planner(name, wishes)
+            requested = RequestedRole()
+            requested.engine, requested.role = "e1", role
+            planner = f.planner(name, requested)
 
             async def always(planner=planner):
                 await asyncio.sleep(planner.rng.uniform(0, 3))
@@ -372,36 +375,36 @@
         await asyncio.sleep(120)
         writers = {r.writer for r in f.history.records if isinstance(r, PlanWritten)}
         assert writers == {"p1", "p2"}
-        assert f.most_at_once() == 1
+        assert f.max_concurrent_orders() == 1
 
 
 @pytest.mark.looptime
-async def test_a_lost_reply_to_a_plan_write_is_no_second_change():
+async def test_a_lost_reply_to_a_plan_write_causes_no_second_change():
     async with fleet() as f:
-        wishes = Wishes()
+        requested = RequestedRole()
         f.configure(1, selector())
-        f.start(f.planner("p1", wishes).run())
-        await asyncio.sleep(START)
+        f.start(f.planner("p1", requested).run())
+        await asyncio.sleep(STARTUP_SECONDS)
         f.service.lose_next_reply("p1", 2)
-        wishes.engine, wishes.role = "e1", D
+        requested.engine, requested.role = "e1", D
         await asyncio.sleep(60)
-        assert len(f.taken()) == 1
+        assert len(f.orders_taken()) == 1
 
 
 @pytest.mark.looptime
-async def test_an_outage_stops_changes_and_nothing_else():
-    # The service is down for a minute, longer than the lease. Engines stay as they
-    # are; afterwards planning goes on by itself.
+async def test_an_outage_only_stops_changes_of_the_plan():
+    # The service is down for a minute, longer than the lease. Engines keep their
+    # assignments, and planning resumes by itself afterwards.
     async with fleet() as f:
-        wishes = Wishes()
-        planner = f.planner("p1", wishes)
+        requested = RequestedRole()
+        planner = f.planner("p1", requested)
         f.configure(1, selector())
         f.start(planner.run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         f.service.down = True
-        wishes.engine, wishes.role = "e1", D
+        requested.engine, requested.role = "e1", D
         await asyncio.sleep(60)
-        assert f.taken() == []
+        assert f.orders_taken() == []
         assert not planner.planning
         f.service.down = False
         await asyncio.sleep(60)
@@ -409,13 +412,13 @@
 
 
 @pytest.mark.looptime
-async def test_a_failed_load_is_ordered_again_under_a_new_number():
-    # The weight store fails under a load; the engine no longer knows what it is and
-    # has used the order's number up. A new number brings it back.
+async def test_a_failed_load_is_reissued_with_a_new_token():
+    # The weight store fails during a load. The engine has no assignment then, and has
+    # already used the order's token. The plan must be reissued with a new one.
     async with fleet() as f:
         f.configure(1, selector())
         f.start(f.planner("p1").run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         f.configure(2, selector(models=("m@1", "m@3")))
         await asyncio.sleep(10)
         assert None in {e.orders.assignment for e in f.engines.values()}
@@ -432,7 +435,7 @@
         planner = f.planner("p1")
         f.configure(1, selector())
         f.start(planner.run())
-        await asyncio.sleep(START)
+        await asyncio.sleep(STARTUP_SECONDS)
         assert len(planner.store.plans) == 4
         f.configure(2, selector(), labels={"e0": {"pool": "main"}})
         await asyncio.sleep(3)
@@ -449,7 +452,7 @@
         ({P: 1, D: 0, M: 0}, {"prefill": (1, 1), "decode": (1, 1)}, None),
     ],
 )
-def test_bounds_ask_for_one_change_at_a_time(counts, asked, wanted):
+def test_bounds_require_one_change_at_a_time(counts, asked, wanted):
     full = {role: RoleBounds() for role in Role} | bounds(**asked)
     assert find_required_shift(counts, full) == wanted
 
@@ -474,8 +477,8 @@
 
 
 def test_a_report_stays_fresh_for_as_long_as_the_next_one_may_take():
-    # With 600 sides a planner hears each every 48 s. Its picture must not count as
-    # stale all the time, or a large fleet would never be planned.
+    # With 600 sides, each reports to a planner every 48 s. If such reports counted as
+    # stale, the plan of a large fleet would never change.
     seldom = TimedReport(SideReport(Readiness.READY, Role.MIXED), 100.0, 48.0)
     often = TimedReport(SideReport(Readiness.READY, Role.MIXED), 100.0, 0.5)
     assert seldom.fresh_until > 148.0
