--- a/src/bergamotmast/config/edit.py
+++ b/src/bergamotmast/config/edit.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..errors import ConfigError
-from .checks import near_match
+from .checks import did_you_mean
 from .document import Configuration
 from .document import Selector
 
@@ -19,15 +19,15 @@
 ) -> Configuration:
     """Return a document with some labels of one upstream changed.
 
-    :param labels: new values; ``None`` removes a label. An upstream that is left
-        without labels is removed.
+    :param labels: new values; ``None`` removes a label. An upstream without any
+        remaining label is removed.
     """
     changed = {**configuration.labels.get(upstream, {}), **labels}
     kept = {label: value for label, value in changed.items() if value is not None}
-    everyone = {**configuration.labels, upstream: kept}
+    all_labels = {**configuration.labels, upstream: kept}
     if not kept:
-        del everyone[upstream]
-    return msgspec.structs.replace(configuration, labels=everyone)
+        del all_labels[upstream]
+    return msgspec.structs.replace(configuration, labels=all_labels)
 
 
 def with_selector(configuration: Configuration, selector: Selector) -> Configuration:
@@ -44,11 +44,11 @@
 def without_selector(configuration: Configuration, name: str) -> Configuration:
     """Return a document without a selector.
 
-    :raises ConfigError: if there is none of this name.
+    :raises ConfigError: if there is no selector with this name.
     """
     names = [selector.name for selector in configuration.selectors]
     if name not in names:
-        hint = near_match(name, names)
+        hint = did_you_mean(name, names)
         raise ConfigError(f"there is no selector {name!r}{hint}")
     kept = tuple(s for s in configuration.selectors if s.name != name)
     return msgspec.structs.replace(configuration, selectors=kept)
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -12,7 +12,7 @@
 
 from .adapters.datagrams import datagram_port
 from .adapters.metrics import OpenTelemetryMetrics
-from .adapters.opaque_http import HttpUpstreamClient
+from .adapters.upstream_http import HttpUpstreamClient
 from .direct.context import Context
 from .direct.core import DirectCore
 from .direct.fleet import Fleet
@@ -164,7 +164,7 @@
         name,
         context.rng,
         NullHistory(),
-        epoch_hint=store.least_epoch,
+        epoch_hint=store.min_epoch,
         max_engines_per_txn=MOST_PLAN_WRITES,
         carry_over=False,
     )
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -410,7 +410,7 @@
         """Apply each new configuration, which may mark this upstream as leaving."""
         generation = -1
         while True:
-            configuration = await self.holder.wait_newer(generation)
+            configuration = await self.holder.wait_for_newer(generation)
             generation = configuration.generation
             self.telemetry.on_generation(generation)
             self._after_readiness_change()
