--- a/src/bergamotmast/connections.py
+++ b/src/bergamotmast/connections.py
@@ -1,7 +1,8 @@
-"""Callers' connections that know whether a request is on its way to its handler.
+"""HTTP connections that track whether request headers are partly received.
 
-The HTTP library tells of a request once its head is whole. A connection that is closed
-within a head is no idle one to its caller, who can't know whether it was read.
+The HTTP library calls a handler only after the complete headers have arrived. If a
+connection is closed before that, the caller doesn't consider it idle, and can't know
+whether its request was read.
 """
 
 from __future__ import annotations
@@ -13,29 +14,29 @@
 from aiohttp.web_protocol import RequestHandler
 
 HEAD_SECONDS = 0.5
-"""Within which a caller sends the rest of a head that it has begun. A caller that sends
-byte by byte must not keep its connection, and the process, for longer."""
+"""Time for the rest of partly received headers during a shutdown. A caller that sends
+byte by byte must not delay the end of the process for longer."""
 
 
 class Connection(RequestHandler):
-    """One caller's connection.
+    """Connection of one caller.
 
-    :param received: how often bytes have come.
-    :param head_until: by when the head must be whole of which a part has come; a point
-        in time, ``None`` outside a head.
+    :param receive_count: number of times that data was received.
+    :param head_until: deadline for the rest of partly received headers, seconds on the
+        event loop's clock; ``None`` if no headers are being received.
     """
 
-    __slots__ = ("head_until", "received")
+    __slots__ = ("head_until", "receive_count")
 
     def __init__(self, manager: web.Server, **options: t.Any) -> None:
         super().__init__(manager, **options)
-        self.received = 0
+        self.receive_count = 0
         self.head_until: float | None = None
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, and note whether they begin a head without ending it."""
+        """Process received data; start the deadline of headers that are incomplete."""
         super().data_received(data)
-        self.received += 1
+        self.receive_count += 1
         waits_for_head = self._waiter is not None and not self._waiter.done()
         if not waits_for_head:
             self.head_until = None
@@ -43,14 +44,14 @@
             self.head_until = asyncio.get_running_loop().time() + HEAD_SECONDS
 
     def is_within_head(self, now: float) -> bool:
-        """Return whether the rest of a head may still come in time."""
+        """Return whether partly received headers may still be completed in time."""
         return self.head_until is not None and now < self.head_until
 
 
 class ConnectionServer(web.Server):
-    """A server whose connections are :class:`Connection`.
+    """Server whose connections are :class:`Connection`.
 
-    :param server: tells how requests are handled.
+    :param server: server whose handler and options are taken over.
     """
 
     def __init__(self, server: web.Server) -> None:
@@ -62,19 +63,19 @@
         )
 
     def __call__(self) -> Connection:
-        """Return the protocol of a new connection."""
+        """Return the protocol instance for a new connection."""
         return Connection(self, loop=self._loop, **self._kwargs)
 
 
 class ConnectionServerRunner(web.ServerRunner):
-    """Runs a server with :class:`Connection`."""
+    """Runner of a low-level server with :class:`Connection`."""
 
     async def _make_server(self) -> ConnectionServer:
         return ConnectionServer(await super()._make_server())
 
 
 class ConnectionAppRunner(web.AppRunner):
-    """Runs an application with :class:`Connection`."""
+    """Runner of an application with :class:`Connection`."""
 
     async def _make_server(self) -> ConnectionServer:
         return ConnectionServer(await super()._make_server())
--- a/src/bergamotmast/daemons.py
+++ b/src/bergamotmast/daemons.py
@@ -1,4 +1,4 @@
-"""The thin daemons: an entry and a side as processes of their own."""
+"""Daemons that run an entry or a side as a process of its own."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 from .lifecycle import METRICS_PATH
 from .lifecycle import Ending
 from .lifecycle import address_errors
-from .lifecycle import exposition
-from .lifecycle import running
+from .lifecycle import metrics_handler
+from .lifecycle import run_background_tasks
 from .lifecycle import told_to_end
 from .policy.presets import PRESETS
 from .serving import Listening
@@ -52,72 +52,76 @@
 logger = logging.getLogger(__name__)
 
 CLAIMS_SECONDS = 1.0
-"""Given to the last records of claims; a silent key-value service takes none."""
+"""Timeout of the last writes of claims; the key-value service may be unresponsive."""
 
 FINAL_ANSWER_SECONDS = 2.0
-"""Given after ``--shutdown-seconds`` for telling callers what became of their requests:
-a side's word takes up to 0.5 s, the end of a call's claim up to 1 s."""
+"""Time after ``--shutdown-seconds`` for the responses to aborted requests: a side's
+reply takes up to 0.5 s, the write that ends a call's claim up to 1 s."""
 
 
 async def serve_entry(settings: EntrySettings) -> None:
-    """Run an entry until it is told to end and its last answer is out.
+    """Run an entry until a signal or a failure, and shut it down gracefully.
 
-    A task that fails ends the process in the same steps: most requests at work need
-    none of what failed, and would be cut off.
+    A failed background task starts the same shutdown: most running requests don't
+    depend on the task and would otherwise be cut off.
     """
-    ending = Ending(told_to_end())
-    async with _outside(settings) as (session, context):
+    shutdown = Ending(told_to_end())
+    async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
-        parts = _parts(settings, _key_values(settings, session), metrics)
+        parts = _parts(settings, _key_value_client(settings, session), metrics)
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
         entry = EntryProcess(
             parts,
             ZmqDialer(context, keys),
             HttpInstanceList(session, settings.instance_list_url),
-            _weights(settings, session),
+            _weight_store_client(settings, session),
             may_plan=settings.planner,
             lease_seconds=settings.planner_lease_seconds,
         )
         limits = CallerLimits(settings.max_body_bytes, settings.max_context_tokens)
         application = entry.application(limits)
-        application.router.add_get(METRICS_PATH, exposition(metrics))
+        application.router.add_get(METRICS_PATH, metrics_handler(metrics))
         callers = Listening(
             application, settings.listen_address, entry.busy, _tls(settings)
         )
         async with (
             _serving(callers),
-            running(entry.background_tasks(), ending),
+            run_background_tasks(entry.background_tasks(), shutdown),
         ):
-            await _until(ending.told)
-            await _end_entry(entry, callers, settings.shutdown_seconds)
-    ending.raise_failure()
+            await _wait_for_shutdown(shutdown.requested)
+            await _shut_down_entry(entry, callers, settings.shutdown_seconds)
+    shutdown.raise_failure()
 
 
 async def serve_side(settings: SideSettings) -> None:
-    """Run a side until it is told to end and its work in flight is done.
+    """Run a side until a signal or a failure, and shut it down gracefully.
 
-    A task that fails ends the process in the same steps.
+    A failed background task starts the same shutdown.
     """
-    ending = Ending(told_to_end())
-    async with _outside(settings) as (session, context):
+    shutdown = Ending(told_to_end())
+    async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
-        parts = _parts(settings, _key_values(settings, session), metrics)
+        parts = _parts(settings, _key_value_client(settings, session), metrics)
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
         with address_errors(settings.listen_address):
             listener = ZmqListener(context, settings.listen_address, keys)
         side = _side(settings, parts, listener, session)
         application = web.Application()
-        application.router.add_get(METRICS_PATH, exposition(metrics))
+        application.router.add_get(METRICS_PATH, metrics_handler(metrics))
         async with contextlib.AsyncExitStack() as stack:
             if settings.metrics_address:
                 metrics_listening = Listening(application, settings.metrics_address)
                 await stack.enter_async_context(_serving(metrics_listening))
-            await stack.enter_async_context(running(side.background_tasks(), ending))
-            await _until(ending.told)
-            if not await _bounded(side.core.leave(), settings.shutdown_seconds):
+            await stack.enter_async_context(
+                run_background_tasks(side.background_tasks(), shutdown)
+            )
+            await _wait_for_shutdown(shutdown.requested)
+            if not await _completes_within(
+                side.core.leave(), settings.shutdown_seconds
+            ):
                 await side.core.abort_attempts()
             side.listener.close()
-    ending.raise_failure()
+    shutdown.raise_failure()
 
 
 def _side(
@@ -134,7 +138,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _outside(
+async def _open_clients(
     settings: SharedSettings,
 ) -> cabc.AsyncIterator[tuple[aiohttp.ClientSession, zmq.asyncio.Context]]:
     context = zmq.asyncio.Context()
@@ -146,13 +150,13 @@
         context.destroy(linger=0)
 
 
-def _key_values(
+def _key_value_client(
     settings: SharedSettings, session: aiohttp.ClientSession
 ) -> KeyValueService:
     return HttpKeyValueService(session, settings.key_value_url, settings.name)
 
 
-def _weights(
+def _weight_store_client(
     settings: SharedSettings, session: aiohttp.ClientSession
 ) -> HttpWeightStore | None:
     if not settings.weight_store_url:
@@ -203,12 +207,14 @@
         await listening.close()
 
 
-async def _end_entry(entry: EntryProcess, callers: Listening, seconds: float) -> None:
-    """Serve on until callers are sent elsewhere and the last request is answered."""
-    told_at = asyncio.get_running_loop().time()
-    end_by = told_at + seconds
+async def _shut_down_entry(
+    entry: EntryProcess, callers: Listening, seconds: float
+) -> None:
+    """Serve until callers are routed elsewhere and all requests have a response."""
+    requested_at = asyncio.get_running_loop().time()
+    end_by = requested_at + seconds
     entry.core.closing = True
-    if not await callers.drain(told_at + READINESS_DRAIN_SECONDS, end_by):
+    if not await callers.drain(requested_at + READINESS_DRAIN_SECONDS, end_by):
         logger.warning("work in flight did not end within %g s", seconds)
         entry.core.abort_requests()
         await callers.wait_until_closed(end_by + FINAL_ANSWER_SECONDS)
@@ -217,15 +223,15 @@
             await entry.claims.flush()
 
 
-async def _until(told: asyncio.Event) -> None:
-    """Say that the process is ready, and wait until it is told to end."""
+async def _wait_for_shutdown(requested: asyncio.Event) -> None:
+    """Report readiness on standard output, and wait until the shutdown is requested."""
     print("ready", file=sys.stdout, flush=True)
-    await told.wait()
-    logger.info("told to end")
+    await requested.wait()
+    logger.info("shutdown requested")
 
 
-async def _bounded(work: cabc.Awaitable[None], seconds: float) -> bool:
-    """Return whether work ended within its time."""
+async def _completes_within(work: cabc.Awaitable[None], seconds: float) -> bool:
+    """Await work with a timeout; return whether it completed in time."""
     try:
         async with asyncio.timeout(seconds):
             await work
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -28,8 +28,8 @@
 from .lifecycle import METRICS_PATH
 from .lifecycle import Ending
 from .lifecycle import address_errors
-from .lifecycle import exposition
-from .lifecycle import running
+from .lifecycle import metrics_handler
+from .lifecycle import run_background_tasks
 from .lifecycle import told_to_end
 from .planner.election import PlannerElection
 from .planner.plan_store import PlanStore
@@ -131,8 +131,8 @@
         follower = Follower(store, fleet, rng)
         store.on_restored.append(follower.on_restored)
         works = (follower.run(), presence.run(), planner.run())
-        tasks = await stack.enter_async_context(running(works, ending))
-        await ending.told.wait()
+        tasks = await stack.enter_async_context(run_background_tasks(works, ending))
+        await ending.requested.wait()
         core.stopping = True
         # It gives the lease back meanwhile, which must not use up the requests' time.
         tasks[-1].cancel()
@@ -195,7 +195,7 @@
 
 
 def _metrics(metrics: OpenTelemetryMetrics) -> web.Server:
-    answer = exposition(metrics)
+    answer = metrics_handler(metrics)
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != METRICS_PATH:
--- a/src/bergamotmast/lifecycle.py
+++ b/src/bergamotmast/lifecycle.py
@@ -1,4 +1,4 @@
-"""What the daemons share: signals, tasks beside a body, addresses, metrics."""
+"""Process lifecycle of the daemons: signals, background tasks, addresses, metrics."""
 
 from __future__ import annotations
 
@@ -21,41 +21,45 @@
 METRICS_PATH = "/metrics"
 
 CANCEL_SECONDS = 0.5
-"""Most time that a cancelled task's own ending is waited for."""
+"""Maximum wait for the cleanup of cancelled tasks."""
 
 
 def told_to_end() -> asyncio.Event:
-    """Return the event that SIGTERM and SIGINT set, however often they come.
+    """Install signal handlers; return the event that SIGTERM and SIGINT set.
 
-    To be called before anything listens: until then a signal ends the process at once.
-    SIGHUP would too by default, with all that runs; it changes nothing here.
+    Repeated signals have no further effect. Must be called before anything listens:
+    until then a signal terminates the process at once. SIGHUP would do so as well by
+    default, and cut off all requests; here it only writes a log line.
     """
-    told = asyncio.Event()
+    requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, requested.set)
     loop.add_signal_handler(signal.SIGHUP, _on_reload)
-    return told
+    return requested
 
 
 def _on_reload() -> None:
     logger.info("reload", extra={"changed": "nothing that is read while running"})
 
 
-def exposition(
+def metrics_handler(
     metrics: OpenTelemetryMetrics,
 ) -> cabc.Callable[[web.BaseRequest], cabc.Awaitable[web.Response]]:
-    """Return the handler that answers with all series."""
+    """Return an HTTP handler that responds with all metrics in Prometheus format."""
 
-    async def answer(request: web.BaseRequest) -> web.Response:
+    async def handle(request: web.BaseRequest) -> web.Response:
         return web.Response(body=metrics.exposition(), content_type="text/plain")
 
-    return answer
+    return handle
 
 
 @contextlib.contextmanager
 def address_errors(address: str, flag: str = "--listen-address") -> cabc.Iterator[None]:
-    """Show an address that can't be listened on as the setting's error."""
+    """Convert an ``OSError`` of a bind into an error of the address setting.
+
+    :param flag: flag that sets the address.
+    """
     try:
         yield
     except OSError as error:
@@ -64,44 +68,45 @@
 
 
 class Ending:
-    """Whether a process is to end: told to, or for the failure of a task.
+    """Request to shut down a process, made by a signal or by the failure of a task.
 
-    :param told: set once it is to end.
-    :param failure: of the first task that failed.
+    :param requested: event that is set when the process must shut down.
+    :param failure: exception of the first failed task; ``None`` if none has failed.
     """
 
-    def __init__(self, told: asyncio.Event) -> None:
-        self.told = told
+    def __init__(self, requested: asyncio.Event) -> None:
+        self.requested = requested
         self.failure: BaseException | None = None
 
     def on_failure(self, failure: BaseException) -> None:
-        """Learn that a task has failed, without which the process can't go on long."""
+        """Log a task's failure and request the shutdown: the process needs the task."""
         logger.error("a task has failed", exc_info=failure)
         self.failure = self.failure or failure
-        self.told.set()
+        self.requested.set()
 
     def raise_failure(self) -> None:
-        """Raise the failure, if one led to the end."""
+        """Raise the exception of the failed task, if there is one."""
         if self.failure is not None:
             raise self.failure
 
 
 @contextlib.asynccontextmanager
-async def running(
-    works: cabc.Iterable[cabc.Coroutine[t.Any, t.Any, None]], ending: Ending
+async def run_background_tasks(
+    coroutines: cabc.Iterable[cabc.Coroutine[t.Any, t.Any, None]], shutdown: Ending
 ) -> cabc.AsyncIterator[list[asyncio.Task[None]]]:
-    """Run a process's tasks beside the body; the failure of one leaves the others.
+    """Run background tasks during an ``async with`` block.
 
-    The body is given the tasks in order, and may cancel one before its own end. At its
-    end they are cancelled and waited for together, at most :data:`CANCEL_SECONDS`: one
-    after the other, each that tells its end to a silent service would take as long, and
-    the process would be killed before its last answers are out.
+    The failure of a task requests the shutdown and leaves the other tasks running. The
+    block receives the tasks in order and may cancel single ones. At its end all tasks
+    are cancelled and awaited together, for :data:`CANCEL_SECONDS` at most. If they were
+    awaited one after the other, each cleanup that calls an unresponsive service would
+    add its timeout, and the process would be killed before its last responses are sent.
     """
-    tasks = [asyncio.create_task(work) for work in works]
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     def on_done(task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (failure := task.exception()) is not None:
-            ending.on_failure(failure)
+            shutdown.on_failure(failure)
 
     for task in tasks:
         task.add_done_callback(on_done)
--- a/src/bergamotmast/serving.py
+++ b/src/bergamotmast/serving.py
@@ -1,14 +1,15 @@
-"""Listens for callers and probes, and stops in steps that cut nothing off.
+"""HTTP server for callers and probes, with a graceful shutdown.
 
-A process that is to end goes through these, in order:
+The steps of a shutdown, in which no request is cut off:
 
-1. Its readiness fails, and each answer says that its connection closes, so that nobody
-   sends a second request on it. Callers still come until the balancer has noticed.
-2. :meth:`Listening.stop_accepting`: the address is closed, and who had connected is
+1. The readiness probe fails, and each response has ``Connection: close``, so that no
+   further request is sent on its connection. New callers connect until the load
+   balancer has noticed.
+2. :meth:`Listening.stop_accepting`: the address is closed, and existing connections are
    served. An entry may close connections that have been idle for long before that.
-3. :meth:`Listening.stop_taking`: idle connections are closed. What has been sent on
-   them by then is read and answered first.
-4. :meth:`Listening.wait_until_closed`: the last answers go out.
+3. :meth:`Listening.stop_taking`: idle connections are closed. Requests that were sent
+   on them before are read and answered first.
+4. :meth:`Listening.wait_until_closed`: the last responses are sent.
 """
 
 from __future__ import annotations
@@ -28,38 +29,39 @@
 from .connections import ConnectionServerRunner
 
 BACKLOG = 1024
-"""Connections waiting to be taken; an overflow costs a caller seconds."""
+"""Length of the queue of unaccepted connections. If it overflows, a caller retries its
+connect after seconds."""
 
 ITERATIONS_TO_HANDLER = 5
-"""Iterations of the event loop within which a request that was read is with its
-handler; the HTTP library takes three, on Python 3.11."""
+"""Iterations of the event loop after which a request that was read has reached its
+handler; the HTTP library needs three on Python 3.11."""
 
 MOST_PASSES = 20
-"""Passes over the idle connections; one that still brings bytes after so many brings
-whole requests, which are answered."""
+"""Maximum number of passes that close idle connections. A connection that still
+receives data after so many passes receives complete requests, which are answered."""
 
 FIRST_REQUEST_SECONDS = 0.2
-"""Within which a caller that has connected sends its first request, also over a long
-way."""
+"""Time in which a caller sends its first request after connecting, including network
+latency over long distances."""
 
 HANDSHAKE_SECONDS = 1.0
-"""Given to a TLS handshake that begins as the address is closed."""
+"""Timeout of a TLS handshake that begins while the address is being closed."""
 
 CONSENT_SECONDS = 0.3
-"""Given to the caller of an idle connection to answer "close notify" over TLS."""
+"""Time for the caller of an idle TLS connection to answer ``close_notify``."""
 
 CLOSE_SECONDS = 0.3
-"""Given to handlers that are still at work when all is closed."""
+"""Time for handlers that still run when everything is closed."""
 
 EMPTY_CHECK_SECONDS = 0.05
-"""Between two checks whether the last connection is closed."""
+"""Interval between checks whether the last connection is closed."""
 
 
 class Listening:
-    """One server, or one application, at one address.
+    """HTTP server or application that listens at one address.
 
-    :param busy: connections whose request is being answered.
-    :param tls: certificate and key; plain HTTP if ``None``.
+    :param busy: connections whose request is being handled.
+    :param tls: TLS context with certificate and key; plain HTTP if ``None``.
     """
 
     def __init__(
@@ -78,18 +80,18 @@
 
     @property
     def server(self) -> ConnectionServer:
-        """The server that has the connections, once it is started."""
+        """The server that owns the connections; available after :meth:`start`."""
         assert isinstance(self.runner.server, ConnectionServer)
         return self.runner.server
 
     async def start(self) -> None:
-        """Listen.
+        """Bind the address and start to accept connections.
 
         :raises OSError: if the address can't be bound.
         """
         await self.runner.setup()
-        self.sockets = await _bound(self.address)
-        # Duplicated now: as the address closes, no descriptor may be free.
+        self.sockets = await _create_sockets(self.address)
+        # Duplicated now: when the address closes, no file descriptor may be free.
         self.duplicates = [listening.dup() for listening in self.sockets]
         for listening in self.sockets:
             site = web.SockSite(
@@ -98,11 +100,11 @@
             await site.start()
 
     async def stop_taking(self) -> None:
-        """Take no connection and no request any more; requests at work go on.
+        """Stop accepting connections and requests; running requests continue.
 
-        An idle connection that stayed open could bring a request just before the
-        process ends, which would then be cut off after it was read. Closed now, while
-        it is idle, its caller knows that a request under way was never read.
+        On an idle connection that stays open, a request could arrive just before the
+        process ends, and be cut off after it was read. If the connection is closed
+        while it is idle, its caller knows that a request in transit was never read.
         """
         await self.stop_accepting()
         await self._close_idle_repeatedly()
@@ -113,9 +115,10 @@
                 loop.call_at(until, self._close_within_head, connection, transport)
 
     async def close_long_idle(self) -> None:
-        """Close the connections on which no request is at work, but for new ones.
+        """Close all idle connections except those that were opened a moment ago.
 
-        Who has just connected sends next, and is answered as long as this listens.
+        A caller that has just connected is about to send a request, which is answered
+        as long as the server listens.
         """
         known = frozenset(self.server.connections)
         await asyncio.sleep(FIRST_REQUEST_SECONDS)
@@ -124,32 +127,33 @@
     async def _close_idle_repeatedly(
         self, among: cabc.Container[asyncio.BaseProtocol] | None = None
     ) -> None:
-        """Close idle connections until no bytes come on those that are left."""
+        """Close idle connections until the remaining ones receive no data."""
         for _ in range(MOST_PASSES):
             if not await self._close_idle_once(among):
                 return
 
     async def stop_accepting(self) -> None:
-        """Close the address; who connected before is served.
+        """Close the address; existing connections are served.
 
         Closing a listening socket resets the connections in its backlog, on which a
-        request may have been sent. So the last of them are accepted here, through a
-        second descriptor, which leaves microseconds between the last and the close.
+        request may have been sent. The backlog is therefore accepted here, through a
+        second file descriptor, which leaves only microseconds between the last accept
+        and the close.
         """
         loop = asyncio.get_running_loop()
         duplicates, self.duplicates = self.duplicates, []
         for listening in self.sockets:
             loop.remove_reader(listening)
         self.sockets = []
-        # A connection that was accepted a moment ago would be lost with its server.
-        await _iterations(ITERATIONS_TO_HANDLER)
+        # A connection that asyncio has just accepted would be lost with its server.
+        await _run_iterations(ITERATIONS_TO_HANDLER)
         for site in self.runner.sites:
             await site.stop()
         accepted = [c for listening in duplicates for c in _accept_and_close(listening)]
         await asyncio.gather(*map(self._serve, accepted))
 
     async def _serve(self, connection: socket.socket) -> None:
-        """Serve a connection that was accepted here."""
+        """Serve a connection that was accepted from the backlog."""
         loop = asyncio.get_running_loop()
         limit = HANDSHAKE_SECONDS if self.tls else None
         with contextlib.suppress(OSError):
@@ -160,51 +164,53 @@
     async def _close_idle_once(
         self, among: cabc.Container[asyncio.BaseProtocol] | None = None
     ) -> bool:
-        """Close the idle connections; return whether one of the rest brings bytes.
+        """Close idle connections; return whether one of the rest receives data.
 
-        A connection without a handler is not yet idle: its request may have been read
-        a moment ago. Closed then, the request would be sent to an upstream and cut off
-        there. So it is closed once nothing has come for long enough that what was read
-        before has reached its handler. Reading goes on meanwhile: with TLS the library
-        would take bytes in though it was told to pause, and they would be lost unseen.
+        A connection without a handler isn't necessarily idle: its request may have
+        been read a moment ago. If it were closed, the request would still be sent to
+        an upstream and be cut off there. A connection is therefore closed only after
+        it has received nothing for so long that any earlier request has reached its
+        handler. Reading isn't paused meanwhile: with TLS, the library would read data
+        even so, and the data would be lost unnoticed.
 
-        :param among: the connections that may be closed; all if ``None``.
+        :param among: connections that may be closed; all if ``None``.
         """
-        await _iterations(ITERATIONS_TO_HANDLER)
+        await _run_iterations(ITERATIONS_TO_HANDLER)
         candidates = self._without_handler(among)
-        received = [connection.received for connection in candidates]
-        await _iterations(ITERATIONS_TO_HANDLER)
+        counts = [connection.receive_count for connection in candidates]
+        await _run_iterations(ITERATIONS_TO_HANDLER)
         now = asyncio.get_running_loop().time()
-        bytes_come = False
-        for connection, before in zip(candidates, received, strict=True):
+        receives_data = False
+        for connection, before in zip(candidates, counts, strict=True):
             transport = connection.transport
             if transport is None or transport.is_closing():
-                # With TLS, its socket may be closed already.
+                # With TLS, the socket may already be closed.
                 continue
             if not self.is_idle(connection, now):
                 continue
-            if connection.received == before and not _has_unread(transport):
+            if connection.receive_count == before and not _has_unread(transport):
                 self._close(transport)
             else:
-                bytes_come = True
-        return bytes_come
+                receives_data = True
+        return receives_data
 
     def is_idle(self, connection: Connection, now: float) -> bool:
-        """Return whether neither a request nor a part of a head is at work."""
+        """Return whether no request is running and no headers are partly received."""
         return connection not in self.busy and not connection.is_within_head(now)
 
     def _close_within_head(
         self, connection: Connection, transport: asyncio.Transport
     ) -> None:
-        """Close a connection unless its head has become whole."""
+        """Close a connection unless its headers have been completed."""
         if connection.head_until is not None and not transport.is_closing():
             self._close(transport)
 
     def _close(self, transport: asyncio.Transport) -> None:
         """Close an idle connection.
 
-        With TLS the library waits half a minute for the caller's consent, and a caller
-        that does not look at its idle connections gives none: the end would wait, too.
+        With TLS, the library waits half a minute for the caller's ``close_notify``. A
+        caller that doesn't read from its idle connections never sends it and would
+        delay the shutdown, so the connection is aborted earlier.
         """
         transport.close()
         if self.tls is not None:
@@ -214,7 +220,7 @@
     def _without_handler(
         self, among: cabc.Container[asyncio.BaseProtocol] | None = None
     ) -> dict[Connection, asyncio.Transport]:
-        """Return the open connections whose request, if any, has no handler yet."""
+        """Return the open connections on which no handler is running."""
         return {
             connection: connection.transport
             for connection in self.server.connections
@@ -226,30 +232,30 @@
         }
 
     async def drain(self, routed_until: float, end_by: float) -> bool:
-        """Serve on until callers are sent elsewhere and the last answer is out.
+        """Serve until callers are routed elsewhere and the last response is sent.
 
-        Readiness fails already, and answers say that their connection closes.
+        The readiness probe already fails, and responses have ``Connection: close``.
 
-        :param routed_until: how long new requests are taken.
-        :param end_by: when the wait for the last answer ends; both are points on the
+        :param routed_until: time until which new requests are accepted, seconds on the
             event loop's clock.
-        :returns: whether every answer is out.
+        :param end_by: deadline of the last response, seconds on the same clock.
+        :returns: whether all responses were sent.
         """
         loop = asyncio.get_running_loop()
         await asyncio.sleep(min(routed_until, end_by) - loop.time())
         await self.stop_accepting()
-        # Who connected a moment ago sends next: closed now, it would not know whether
-        # its request was read.
+        # A caller that has just connected is about to send a request. If its
+        # connection were closed now, it wouldn't know whether the request was read.
         await asyncio.sleep(FIRST_REQUEST_SECONDS)
         await self.stop_taking()
         return await self.wait_until_closed(end_by)
 
     async def wait_until_closed(self, end_by: float) -> bool:
-        """Wait until the last answer is out, also at a caller who reads slowly.
+        """Wait until the last response is sent, even to a caller that reads slowly.
 
-        A connection whose answer left it open is closed as it becomes idle.
+        Connections that stay open after their response are closed once they are idle.
 
-        :param end_by: when the wait ends on the event loop's clock.
+        :param end_by: deadline of the wait, seconds on the event loop's clock.
         :returns: whether all connections are closed.
         """
         loop = asyncio.get_running_loop()
@@ -259,7 +265,7 @@
         return not self.server.connections
 
     async def close(self) -> None:
-        """Close everything."""
+        """Close all sockets and connections."""
         for listening in self.duplicates:
             listening.close()
         await self.runner.cleanup()
@@ -273,14 +279,14 @@
     return ConnectionServerRunner(server, shutdown_timeout=CLOSE_SECONDS)
 
 
-async def _iterations(count: int) -> None:
-    """Let the event loop run so many iterations."""
+async def _run_iterations(count: int) -> None:
+    """Let the event loop run ``count`` iterations."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def _bound(address: str) -> list[socket.socket]:
-    """Return listening sockets, one for each address of the host."""
+async def _create_sockets(address: str) -> list[socket.socket]:
+    """Return listening sockets, one for each address that the host resolves to."""
     host, _, port = address.rpartition(":")
     infos = await asyncio.get_running_loop().getaddrinfo(
         host.strip("[]"), int(port), type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE
@@ -299,7 +305,7 @@
 
 
 def _accept_and_close(listening: socket.socket) -> list[socket.socket]:
-    """Accept the connections that wait and close the listening socket."""
+    """Accept all connections in the backlog, then close the listening socket."""
     accepted: list[socket.socket] = []
     with listening, contextlib.suppress(OSError):
         while True:
@@ -310,7 +316,7 @@
 
 
 def _has_unread(transport: asyncio.Transport) -> bool:
-    """Return whether bytes, or the end, wait in a connection's receive buffer."""
+    """Return whether a connection's receive buffer holds unread data or its end."""
     connection = transport.get_extra_info("socket")
     poll = select.poll()
     poll.register(connection.fileno(), select.POLLIN)
