--- a/src/bergamotmast/backoff.py
+++ b/src/bergamotmast/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between retries that neither hammer a failing service nor come in step."""
+"""Exponential backoff with full jitter for retries."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     """Exponentially growing delays with full jitter.
 
     After an outage of the key-value service every process of the fleet retries. With
-    equal delays the retries arrive together and bring the service down again; drawing
-    each delay evenly from zero to the bound spreads them over the whole bound.
+    equal delays the retries would arrive together and overload the service again.
+    Drawing each delay uniformly between zero and the current bound spreads them.
 
     :param rng: source of the jitter.
-    :param first: bound of the first delay, in seconds.
-    :param longest: bound that later delays grow to, in seconds.
+    :param first: bound of the first delay, seconds.
+    :param longest: maximum that the bound grows to, seconds.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         self.bound = first
 
     def next_delay(self) -> float:
-        """Return the next delay in seconds and double the bound."""
+        """Return the next delay, in seconds, and double the bound."""
         delay = self.rng.uniform(0.0, self.bound)
         self.bound = min(self.bound * 2, self.longest)
         return delay
 
     def reset(self) -> None:
-        """Start from the first bound again, after a success."""
+        """Reset the bound to its first value after a success."""
         self.bound = self.first
--- a/src/bergamotmast/clocks.py
+++ b/src/bergamotmast/clocks.py
@@ -1,32 +1,32 @@
-"""An event loop whose clock counts the time that the machine was suspended."""
+"""An event loop whose clock includes the time that the machine was suspended."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-_COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def boot_time() -> float:
-    """Return seconds since the machine started, suspended ones included.
+    """Return the seconds since the machine booted, including suspended time.
 
-    The clock never goes back, whatever happens to the time of day. Systems other than
-    Linux have no such clock; there the monotonic one stands in.
+    The clock never goes back, even if the system time is changed. Systems without
+    ``CLOCK_BOOTTIME``, which is Linux only, fall back to the monotonic clock.
     """
-    return time.clock_gettime(_COUNTS_SUSPENSION)
+    return time.clock_gettime(_CLOCK_ID)
 
 
 class BootTimeEventLoop(asyncio.SelectorEventLoop):
-    """Measures all deadlines on :func:`boot_time`.
+    """Event loop that uses :func:`boot_time` for all timers.
 
-    The monotonic clock stands still while a machine is suspended. A process that woke
-    up would take its lease for current and its callers for waiting, though both are
-    long gone. With this clock every deadline that passed meanwhile is over at the first
-    look after the thaw, before any task goes on: the loop queues due timers ahead of
-    the tasks that new input wakes.
+    The monotonic clock stops while the machine is suspended. A resumed process would
+    consider its expired lease valid and wait for callers that have timed out. With
+    this clock, all deadlines that passed meanwhile expire in the first iteration after
+    the resume, before any task runs: the loop queues due timers ahead of the tasks that
+    new input wakes.
     """
 
     def time(self) -> float:
-        """Return the current time in seconds."""
+        """Return the current time of :func:`boot_time`, in seconds."""
         return boot_time()
--- a/src/bergamotmast/errors.py
+++ b/src/bergamotmast/errors.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the exception tree."""
+"""Numbered result codes and the exception hierarchy."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller may conclude about the execution of its request."""
+    """What a caller may conclude about whether its request was executed."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -15,7 +15,10 @@
 
 
 class ResultCode(enum.IntEnum):
-    """Every way a request or an edit can end; the table is in docs/result-codes.md."""
+    """Result of a request or of an edit of the configuration.
+
+    ``docs/result-codes.md`` describes the codes for operators and callers.
+    """
 
     OK = 0
 
@@ -65,12 +68,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CodeInfo:
-    """What a result code tells its caller.
+    """Properties of a result code.
 
-    :param outcome: whether the request ran.
-    :param status: HTTP status of the answer.
-    :param retryable: whether another upstream, or the caller later, may succeed.
-    :param sentence: one sentence for a person.
+    :param outcome: whether the request was executed.
+    :param status: HTTP status of the response.
+    :param retryable: whether a retry at another upstream, or later by the caller, may
+        succeed.
+    :param sentence: description of the result, one sentence.
     """
 
     outcome: Outcome
@@ -195,13 +199,13 @@
 
 
 DEFAULT_RETRY_AFTER = 1.0
-"""Seconds after which a caller may come back, where nothing better is known."""
+"""Default of the Retry-After header of retryable errors."""
 
 
 class BergamotmastError(Exception):
-    """Root of every error the package raises.
+    """Base class of all errors of the package.
 
-    :param message: one sentence for a person.
+    :param message: error message, one sentence.
     """
 
     exit_code = 1
@@ -212,16 +216,16 @@
         self.message = message
 
     def show(self) -> str:
-        """Return the error as a person should see it."""
+        """Return the text that the command line shows for the error."""
         return f"Error {int(self.code)}: {self.message}"
 
 
 class SettingError(BergamotmastError):
-    """A flag or environment variable has a value that is not allowed.
+    """A flag or environment variable is missing or has an invalid value.
 
-    :param name: the flag, as written on the command line.
-    :param value: the value given.
-    :param allowed: what would have been allowed, for a person.
+    :param name: flag as written on the command line, or environment variable.
+    :param value: the invalid value; empty if missing.
+    :param allowed: description of the allowed values.
     """
 
     exit_code = 2
@@ -242,10 +246,10 @@
 
 
 class ContradictionError(ConfigError):
-    """Two selectors ask for different things of one engine.
+    """Two selectors make conflicting demands on the same engine.
 
     :param selectors: names of both selectors.
-    :param upstream: the engine.
+    :param upstream: name of the engine.
     """
 
     code = ResultCode.CONTRADICTION
@@ -259,11 +263,11 @@
 
 
 class EditConflictError(BergamotmastError):
-    """Somebody else changed the configuration first.
+    """The configuration was changed by a concurrent edit.
 
-    :param generation: the generation that is in the way.
-    :param author: who wrote it.
-    :param differences: what differs between it and the proposal, a line each.
+    :param generation: generation of the conflicting configuration.
+    :param author: author of that configuration.
+    :param differences: differences between it and the proposal, one per line.
     """
 
     exit_code = 4
@@ -282,62 +286,62 @@
         self.differences = differences
 
     def show(self) -> str:
-        """Return the error with the differences below it."""
+        """Return the error followed by the differences."""
         return "\n".join((super().show(), *self.differences))
 
 
 class AuthorityLostError(BergamotmastError):
-    """Another process holds the authority that a write was made under."""
+    """The planner may have lost its lease, or another planner has written the plan."""
 
     exit_code = 4
     code = ResultCode.EDIT_CONFLICT
 
 
 class PortError(BergamotmastError):
-    """Something outside the package failed."""
+    """An external system failed or could not be reached."""
 
 
 class KeyValueUnavailableError(PortError):
-    """The key-value service refused or could not be reached: nothing was written."""
+    """The key-value service refused a call or was unreachable; nothing was written."""
 
     exit_code = 5
     code = ResultCode.KEY_VALUE_UNAVAILABLE
 
 
 class LeaseLapsedError(KeyValueUnavailableError):
-    """A write named a lease that has lapsed: nothing was written."""
+    """A write referred to an expired lease; nothing was written."""
 
 
 class KeyValueOutcomeUnknownError(PortError):
-    """The reply to a write was lost: it may or may not have taken effect."""
+    """The reply to a write was lost; the write may or may not have taken effect."""
 
     exit_code = 5
     code = ResultCode.OUTCOME_UNKNOWN
 
 
 class NotReachedError(PortError):
-    """The upstream was never reached: the call was truly not run."""
+    """The upstream did not receive the call, which was certainly not executed."""
 
     code = ResultCode.NOT_HANDED_OVER
 
 
 class ReplyLostError(PortError):
-    """The upstream was reached and its reply was lost: the call may have run."""
+    """The upstream's reply was lost; the call may have been executed."""
 
     code = ResultCode.OUTCOME_UNKNOWN
 
 
 class OrderRefusedError(PortError):
-    """The engine refused an order, for its fencing token or its state."""
+    """The engine refused an order because of its fencing token or its own state."""
 
 
 class RequestError(BergamotmastError):
-    """A request ended with something other than its whole answer.
+    """A request ended without its complete response.
 
-    :param code: the numbered result.
-    :param detail: a sentence about this occurrence; the code's own if empty.
-    :param retry_after: seconds after which the caller may come back, or ``None`` for
-        the default of codes that may succeed later.
+    :param code: result code.
+    :param detail: error message for this occurrence; the code's description if empty.
+    :param retry_after: seconds after which the caller may retry; ``None`` for the
+        default of retryable codes.
     """
 
     def __init__(
@@ -351,5 +355,5 @@
 
     @property
     def info(self) -> CodeInfo:
-        """The table row of this error's code."""
+        """Properties of this error's result code."""
         return CODE_INFO[self.code]
--- a/src/bergamotmast/key_watch.py
+++ b/src/bergamotmast/key_watch.py
@@ -1,4 +1,4 @@
-"""Follows the keys below a prefix through lost, silent and compacted watches."""
+"""Watches all keys with a prefix; recovers from lost, stalled or compacted watches."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from .ports import WatchEvent
 
 SILENCE_SECONDS = 6.0
-"""Without an event or a sign of life for so long, a watch is taken for lost."""
+"""A watch without an event or a keep-alive for so long is considered lost."""
 
 CALL_SECONDS = 3.0
-"""Longest wait for the read that precedes a watch."""
+"""Timeout of the range read that precedes a watch."""
 
 logger = logging.getLogger(__name__)
 
@@ -26,15 +26,16 @@
 async def follow(
     kv: KeyValueService, prefix: str, rng: random.Random
 ) -> cabc.AsyncGenerator[KeyValue | WatchEvent, None]:
-    """Yield every key below a prefix, then its changes, for ever.
+    """Yield every key with a prefix, then its changes, indefinitely.
 
-    After each loss of the watch all keys are read and yielded again, so a consumer
-    sees some of them twice and must take each by its own number. Nothing is yielded
-    while the service is down.
+    After each loss of the watch all keys are read and yielded again. The consumer
+    therefore sees some of them twice and must compare their revisions. Nothing is
+    yielded while the service is down.
 
-    A watch may stop without an error, behind a connection that died half-way: the
-    consumer would act on an old value for ever. The service sends signs of life, so
-    their absence tells, and reading again makes good whatever was missed.
+    A watch may stall without an error, for instance on a half-open connection, and the
+    consumer would use a stale value indefinitely. The service sends keep-alives, so a
+    stalled watch is detected by a timeout, and the range read that follows yields all
+    missed changes.
 
     :param rng: source of the jitter between attempts.
     """
--- a/src/bergamotmast/model.py
+++ b/src/bergamotmast/model.py
@@ -1,4 +1,4 @@
-"""The frozen data that every part of the package speaks of."""
+"""Immutable data types that all parts of the package share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Role(enum.Enum):
-    """What an engine does with its time."""
+    """Role of an engine: prefill, decode, or both."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -18,14 +18,14 @@
 
 
 class UpstreamKind(enum.Enum):
-    """What stands behind a side process."""
+    """Kind of upstream beside a side process."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Priority(enum.IntEnum):
-    """Order in which waiting work is taken; lower goes first."""
+    """Priority of queued work; a lower value is scheduled first."""
 
     INTERACTIVE = 0
     STANDARD = 1
@@ -33,7 +33,7 @@
 
 
 class Readiness(enum.Enum):
-    """Whether an upstream may be given new work."""
+    """Whether an upstream accepts new work."""
 
     READY = "ready"
     CHANGING = "changing"
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceInfo:
-    """One upstream as the instance list names it.
+    """Entry of the instance list for one upstream.
 
     :param name: unique name of the upstream.
     :param kind: engine or plain service.
     :param zone: availability zone.
-    :param side_address: where its side process listens, ``host:port``.
-    :param upstream_url: where the upstream itself listens.
-    :param leaving: whether the platform is about to take it away.
+    :param side_address: listening address of its side process, ``host:port``.
+    :param upstream_url: base URL of the upstream itself.
+    :param leaving: whether the platform is about to remove it.
     """
 
     name: str
@@ -63,20 +63,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """A request for a model, as the entry admitted it.
+    """A model request that the entry has admitted.
 
-    :param request_id: unique over the life of the system.
-    :param tenant: who pays.
+    :param request_id: id that is unique over the life of the system.
+    :param tenant: tenant that the request is accounted to.
     :param request_class: name of the class in the configuration.
-    :param priority: order among waiting work.
+    :param priority: priority among queued work.
     :param model: name of the model, ``model`` or ``model:adapter``.
     :param prompt: the whole prompt.
     :param prompt_tokens: estimated length of the prompt in tokens.
-    :param max_tokens: the most tokens the caller takes.
-    :param prefix_key: hash of the shareable head of the prompt; empty for none.
-    :param first_token_by: point on the local monotonic clock, seconds.
-    :param deadline: point on the local monotonic clock, seconds.
-    :param arrived_at: point on the local monotonic clock, seconds.
+    :param max_tokens: maximum number of output tokens that the caller accepts.
+    :param prefix_key: hash of the prompt's shareable prefix; empty for none.
+    :param first_token_by: deadline of the first token, seconds on the local monotonic
+        clock.
+    :param deadline: deadline of the whole response, seconds on the local monotonic
+        clock.
+    :param arrived_at: arrival time, seconds on the local monotonic clock.
     """
 
     request_id: str
@@ -95,21 +97,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A request for a plain service, as the entry admitted it.
+    """A request for a plain service that the entry has admitted.
 
-    :param request_id: unique over the life of the system.
-    :param tenant: who pays.
+    :param request_id: id that is unique over the life of the system.
+    :param tenant: tenant that the request is accounted to.
     :param request_class: name of the class in the configuration.
-    :param priority: order among waiting work.
+    :param priority: priority among queued work.
     :param route: name of the route in the configuration.
     :param method: HTTP method.
-    :param path: path at the service, with its query.
-    :param body: body as received.
+    :param path: path at the service, including the query string.
+    :param body: request body as received.
     :param content_type: media type of the body.
-    :param repeatable: whether the call may run more than once.
-    :param idempotency_key: the caller's key; empty for none.
-    :param deadline: point on the local monotonic clock, seconds.
-    :param arrived_at: point on the local monotonic clock, seconds.
+    :param repeatable: whether the call is idempotent and may run more than once.
+    :param idempotency_key: idempotency key sent by the caller; empty for none.
+    :param deadline: deadline of the response, seconds on the local monotonic clock.
+    :param arrived_at: arrival time, seconds on the local monotonic clock.
     """
 
     request_id: str
@@ -129,7 +131,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """The whole answer of a plain service."""
+    """Complete response of a plain service."""
 
     status: int
     body: bytes
@@ -138,11 +140,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TokenChunk:
-    """A run of generated tokens.
+    """One or more consecutive output tokens.
 
-    :param index: position of the first token in the whole answer, from 0.
-    :param tokens: how many tokens the text stands for.
-    :param text: the text itself.
+    :param index: position of the first token in the whole output, from 0.
+    :param tokens: number of tokens in this chunk.
+    :param text: text of these tokens.
     :param finish: ``stop`` or ``length`` on the last chunk, ``handoff`` where a
         prefill stage ends with its KV cache exported, else empty.
     :param cached_tokens: prompt tokens found in the engine's prefix cache.
@@ -159,12 +161,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GenerateRequest:
-    """What a side asks of its engine.
+    """Generation request that a side sends to its engine.
 
-    :param stream_id: unique name by which the stream can be cancelled: the request's
-        id, a slash, and the attempt's name.
-    :param resume_text: text already given to the caller; empty at the start.
-    :param resume_tokens: how many tokens that text stands for.
+    :param stream_id: unique id by which the stream can be cancelled: the request's id,
+        a slash, and the attempt's name.
+    :param resume_text: output already sent to the caller, from which an interrupted
+        stream continues; empty at the start.
+    :param resume_tokens: number of tokens in ``resume_text``.
     :param kv_handle: exported KV cache to import; empty for none.
     :param prefill_only: stop after the first token and export the KV cache.
     """
@@ -184,10 +187,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class FencingToken:
-    """Authority of a plan: a higher one makes every lower one void.
+    """Fencing token of a plan: a higher one invalidates every lower one.
 
-    :param epoch: raised by each new holder of the planner's lease.
-    :param revision: raised by each write of the plan.
+    :param epoch: incremented by each new holder of the planner's lease.
+    :param revision: incremented by each write of the plan.
     """
 
     epoch: int
@@ -199,11 +202,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """What one engine should be and carry.
+    """Role, models and adapters assigned to one engine.
 
-    :param role: the role it should have.
-    :param models: models it should carry, ``name@version``, sorted.
-    :param adapters: adapters it should carry, ``name@version``, sorted.
+    :param role: assigned role.
+    :param models: models to load, ``name@version``, sorted.
+    :param adapters: adapters to load, ``name@version``, sorted.
     """
 
     role: Role
@@ -213,7 +216,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One instruction to an engine: be this, under this authority."""
+    """Command to an engine to apply an assignment, with the plan's fencing token."""
 
     token: FencingToken
     assignment: Assignment
@@ -221,17 +224,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says it is.
-
-    :param boot_id: changes when the engine restarts.
-    :param assignment: what it is and carries now; ``None`` while that is not settled.
-    :param changing: whether an order is being carried out.
-    :param token: authority of the last order taken; ``NO_TOKEN`` after a restart or
-        where the engine does not keep it.
-    :param max_streams: the most streams it batches in this role.
-    :param kv_capacity: tokens its KV memory holds.
-    :param prefill_rate: prompt tokens a second in this role, with an empty batch.
-    :param decode_rate: output tokens a second in this role, with a full batch.
+    """State that an engine reports.
+
+    :param boot_id: id that changes when the engine restarts.
+    :param assignment: current role, models and adapters; ``None`` while they change.
+    :param changing: whether the engine is applying an order.
+    :param token: fencing token of the last accepted order; ``NO_TOKEN`` after a restart
+        or if the engine doesn't store it.
+    :param max_streams: maximum batch size in this role, streams.
+    :param kv_capacity: capacity of the KV cache, tokens.
+    :param prefill_rate: prompt tokens per second in this role, with an empty batch.
+    :param decode_rate: output tokens per second in this role, with a full batch.
     """
 
     boot_id: str
@@ -246,12 +249,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """A load report, as old as the engine's reporting lag.
+    """Load report of an engine, which lags behind by its reporting interval.
 
-    :param measured_at: point on the local monotonic clock, seconds.
-    :param running: streams being decoded.
-    :param waiting: streams not yet prefilled.
-    :param kv_used: tokens held in KV memory.
+    :param measured_at: time of the measurement, seconds on the local monotonic clock.
+    :param running: number of streams being decoded.
+    :param waiting: number of streams not yet prefilled.
+    :param kv_used: tokens in the KV cache.
     """
 
     measured_at: float
@@ -262,9 +265,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One prefix entering or leaving an engine's cache.
+    """Insertion of a prefix into an engine's cache, or its eviction.
 
-    :param sequence: counted by the engine from 1; a gap means lost events.
+    :param sequence: sequence number, counted by the engine from 1; a gap means that
+        events were lost.
+    :param present: whether the prefix is now cached.
     """
 
     sequence: int
@@ -276,33 +281,34 @@
 
 
 class SideReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a side says of itself on each heartbeat; exact when sent.
+    """Status of a side and its upstream, sent with each heartbeat.
 
-    Token counters are cumulative since the side started, so that a lost report
-    loses nothing.
+    Token counters are cumulative since the start of the side, so that a lost report
+    loses no data.
 
-    :param readiness: whether it takes new work.
+    :param readiness: whether the side accepts new work.
     :param role: the engine's role; ``None`` for a plain service.
-    :param models: models and adapters the upstream carries now.
-    :param running: requests handed to the upstream and not ended.
-    :param queued: requests waiting at the side.
+    :param models: models and adapters that the upstream has loaded.
+    :param running: number of requests running at the upstream.
+    :param queued: number of requests queued at the side.
     :param queued_prefill: prompt tokens of the queued work.
     :param queued_decode: predicted output tokens of the queued work.
-    :param running_decode: predicted output tokens still to come of running work.
-    :param max_streams: most requests the upstream takes at once.
-    :param prefill_rate: prompt tokens a second, as engine states or side measured.
-    :param decode_rate: output tokens a second with a full batch.
+    :param running_decode: predicted remaining output tokens of the running work.
+    :param max_streams: maximum number of concurrent requests at the upstream.
+    :param prefill_rate: prompt tokens per second, as the engine states or the side has
+        measured.
+    :param decode_rate: output tokens per second with a full batch.
     :param offered_prefill: prompt tokens offered, cumulative.
     :param offered_decode: predicted output tokens offered, cumulative.
     :param done_prefill: prompt tokens prefilled, cumulative.
     :param done_decode: output tokens produced, cumulative.
-    :param shed: requests refused, cumulative.
-    :param kv_free: free share of KV memory, 0 to 1.
-    :param waits_ms: predicted milliseconds until new work of each priority would begin;
-        empty where the side does not predict.
-    :param token_us: microseconds between the tokens of one answer; 0 if not measured.
-    :param plan_epoch: of the plan that the side obeys; 0 before the first.
-    :param plan_revision: of the same plan.
+    :param shed: refused requests, cumulative.
+    :param kv_free: free share of the KV cache, 0 to 1.
+    :param waits_ms: predicted queueing delay of new work by priority, milliseconds;
+        empty if the side makes no prediction.
+    :param token_us: inter-token latency of a stream, microseconds; 0 if not measured.
+    :param plan_epoch: epoch of the plan that the side follows; 0 before the first.
+    :param plan_revision: revision of the same plan.
     """
 
     readiness: Readiness
@@ -330,7 +336,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """Predicted work of one request, in tokens."""
+    """Predicted cost of a request: prompt and output tokens."""
 
     prefill: int
     decode: int
--- a/src/bergamotmast/ports.py
+++ b/src/bergamotmast/ports.py
@@ -1,4 +1,4 @@
-"""Every interface to what lies outside the package's own decisions."""
+"""Protocols of the external systems that the package uses, and of its transport."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyValue:
-    """One key of the key-value service.
+    """A key of the key-value service with its value.
 
     :param mod_revision: store revision of the last write to this key.
-    :param lease: the lease it is attached to; 0 for none.
+    :param lease: id of the lease that the key is attached to; 0 for none.
     """
 
     key: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Compare:
-    """A transaction's condition: the key's last write; 0 means it is absent."""
+    """Condition of a transaction: a key's ``mod_revision``; 0 if it must not exist."""
 
     key: str
     mod_revision: int
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Put:
-    """A transaction's write of one key."""
+    """Write of one key in a transaction."""
 
     key: str
     value: bytes
@@ -50,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delete:
-    """A transaction's removal of one key."""
+    """Removal of one key in a transaction."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RangeResult:
-    """Keys found and the store revision they were read at."""
+    """Result of a range read: the keys and the store revision of the read."""
 
     items: tuple[KeyValue, ...]
     revision: int
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TxnResult:
-    """Whether every condition held, and the store revision after."""
+    """Result of a transaction: whether all conditions held, and the new revision."""
 
     succeeded: bool
     revision: int
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """One change of a watched key; ``value`` is ``None`` where it was deleted."""
+    """Change of a watched key; ``value`` is ``None`` if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -81,11 +81,11 @@
 
 
 class KeyValueService(t.Protocol):
-    """The platform's key-value service.
+    """Client of the platform's key-value service.
 
-    Every call may raise
-    :exc:`~bergamotmast.errors.KeyValueUnavailableError` (nothing happened); writes may
-    also raise :exc:`~bergamotmast.errors.KeyValueOutcomeUnknownError`.
+    Every call may raise :exc:`~bergamotmast.errors.KeyValueUnavailableError`, which
+    means that nothing was written. Writes may also raise
+    :exc:`~bergamotmast.errors.KeyValueOutcomeUnknownError`.
     """
 
     async def get(self, key: str) -> KeyValue | None:
@@ -93,13 +93,13 @@
         ...
 
     async def range(self, prefix: str) -> RangeResult:
-        """Read every key below a prefix."""
+        """Read all keys with a prefix."""
         ...
 
     async def txn(
         self, compares: cabc.Sequence[Compare], writes: cabc.Sequence[Put | Delete]
     ) -> TxnResult:
-        """Apply all writes if all conditions hold, else none."""
+        """Apply all writes atomically if all conditions hold."""
         ...
 
     async def grant_lease(self, ttl_seconds: int) -> int:
@@ -107,36 +107,37 @@
         ...
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; ``False`` if it has lapsed."""
+        """Renew a lease; return ``False`` if it has expired."""
         ...
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         ...
 
     def watch(
         self, prefix: str, from_revision: int
     ) -> cabc.AsyncGenerator[WatchEvent | None, None]:
-        """Yield changes below a prefix in order; ``None`` is a sign of life.
+        """Yield changes of keys with a prefix in order, and ``None`` for a keep-alive.
 
-        :param from_revision: the first revision wanted, so that after a range read it
-            is that one's revision plus 1; 0 for what comes from now on.
+        Raises an error if the stream ends or its start revision was compacted. The
+        consumer must then read the range again.
 
-        Raises when the stream ends or its start was compacted; the caller then
-        reads the range again.
+        :param from_revision: first revision to yield, such as a range read's revision
+            plus 1; 0 for future changes only.
         """
         ...
 
 
 class Engine(t.Protocol):
-    """One model engine.
+    """Client of a model engine.
 
-    Calls raise :exc:`~bergamotmast.errors.NotReachedError` where the engine was
-    truly not reached and :exc:`~bergamotmast.errors.ReplyLostError` otherwise.
+    Calls raise :exc:`~bergamotmast.errors.NotReachedError` if the engine certainly did
+    not receive the call, and :exc:`~bergamotmast.errors.ReplyLostError` if it may have
+    received it.
     """
 
     async def state(self) -> EngineState:
-        """Read what the engine is."""
+        """Read the engine's state."""
         ...
 
     async def load(self) -> EngineLoad:
@@ -144,100 +145,101 @@
         ...
 
     async def order(self, order: Order) -> None:
-        """Give an order and return when the engine has taken it, not finished it.
+        """Send an order; return once the engine has accepted it, before it is applied.
 
-        :raises OrderRefusedError: for an old fencing token or an order under way.
+        :raises OrderRefusedError: if the fencing token is too low or the engine still
+            applies another order.
         """
         ...
 
     def generate(
         self, request: GenerateRequest
     ) -> cabc.AsyncGenerator[TokenChunk, None]:
-        """Yield the answer's chunks; closing the generator cancels the stream."""
+        """Yield the output in chunks; closing the generator cancels the stream."""
         ...
 
     async def cancel(self, stream_id: str) -> None:
-        """End a stream that may still run, for instance after a broken connection."""
+        """Cancel a stream that may still run, for instance after a lost connection."""
         ...
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Read the cache events after a sequence number, as far as still kept."""
+        """Read the retained cache events after a sequence number."""
         ...
 
 
 class PlainService(t.Protocol):
-    """One plain service, with the same errors as an engine."""
+    """Client of a plain service; raises the same errors as :class:`Engine`."""
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
-        """Run one call and return its whole answer."""
+        """Run a call and return its complete response."""
         ...
 
 
 class InstanceList(t.Protocol):
-    """The platform's lagging list of live and leaving instances."""
+    """Client of the platform's list of instances, which may lag behind."""
 
     async def instances(self) -> tuple[InstanceInfo, ...]:
-        """Read the list."""
+        """Read all instances, including those that are leaving."""
         ...
 
 
 class WeightStore(t.Protocol):
-    """The platform's rate-limited store of model weights."""
+    """Client of the platform's rate-limited store of model weights."""
 
     async def sizes(self) -> dict[str, float]:
         """Read the size of each model or adapter version, in gigabytes."""
         ...
 
     async def rate(self) -> float:
-        """Read the rate that all loads share, in gigabytes a second."""
+        """Read the transfer rate that all loads share, in gigabytes per second."""
         ...
 
 
 class Link(t.Protocol):
-    """The entry's end of a connection to one side."""
+    """The entry's end of a connection to a side."""
 
     async def send(self, frame: bytes) -> None:
-        """Hand a frame over.
+        """Queue a frame for sending.
 
-        :raises NotReachedError: if the frame was certainly not handed over.
+        :raises NotReachedError: if the frame was certainly not queued.
         """
         ...
 
     async def receive(self) -> bytes:
-        """Return the next frame."""
+        """Wait for the next frame and return it."""
         ...
 
     async def receive_many(self) -> list[bytes]:
-        """Return the frames that have come, in order, at least one."""
+        """Wait for at least one frame; return all received frames in order."""
         ...
 
     def close(self) -> None:
-        """Drop the connection with all frames still queued."""
+        """Close the connection and discard all queued frames."""
         ...
 
 
 class Dialer(t.Protocol):
-    """Opens connections to sides."""
+    """Factory of connections to sides."""
 
     def dial(self, address: str) -> Link:
-        """Open a connection; it may come up later or never."""
+        """Return a link that connects in the background, and may never succeed."""
         ...
 
 
 class Listener(t.Protocol):
-    """The side's end of all connections, one address bound exclusively."""
+    """The side's end of all its connections, at an exclusively bound address."""
 
     async def receive(self) -> tuple[bytes, bytes]:
-        """Return the next frame with the identity of its peer."""
+        """Wait for the next frame; return the identity of its peer and the frame."""
         ...
 
     async def send(self, peer: bytes, *frames: bytes) -> None:
-        """Hand frames over to a peer, all or none.
+        """Queue frames for a peer, all or none.
 
-        :raises NotReachedError: if the peer is gone or takes no more.
+        :raises NotReachedError: if the peer has disconnected or its queue is full.
         """
         ...
 
     def close(self) -> None:
-        """Release the address."""
+        """Close all connections and release the address."""
         ...
--- a/src/bergamotmast/telemetry.py
+++ b/src/bergamotmast/telemetry.py
@@ -1,4 +1,4 @@
-"""What entries and sides measure, whoever collects it."""
+"""Interface by which entries and sides report measurements to a metrics backend."""
 
 from __future__ import annotations
 
@@ -10,83 +10,86 @@
 
 
 class Telemetry(t.Protocol):
-    """Takes measurements; every duration is in seconds."""
+    """Receiver of measurements; all durations are in seconds."""
 
     def on_first_token(self, tenant: str, request_class: str, seconds: float) -> None:
-        """Take the time from a request's arrival to its first token."""
+        """Record the time to first token, from the request's arrival."""
         ...
 
     def on_between_tokens(
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
-        """Take the time to each of so many tokens that came as one chunk."""
+        """Record the inter-token latency of each of the ``tokens`` of one chunk."""
         ...
 
     def on_ended(
         self, tenant: str, request_class: str, code: ResultCode, seconds: float
     ) -> None:
-        """Take a request's end and its whole time."""
+        """Record a request's result code and total latency."""
         ...
 
     def on_sized_end(
         self, request_class: str, band: SizeBand, code: ResultCode
     ) -> None:
-        """Take the end of a request with a prompt of some size."""
+        """Record a request's result code by the size class of its prompt."""
         ...
 
     def on_queue_wait(self, tenant: str, request_class: str, seconds: float) -> None:
-        """Take the time that a request waited at a side."""
+        """Record a request's queueing delay at a side."""
         ...
 
     def on_generation(self, generation: int) -> None:
-        """Take the configuration generation in force."""
+        """Record the configuration generation in force."""
         ...
 
     def on_report(self, report: SideReport) -> None:
-        """Take a side's state."""
+        """Record a side's status report."""
         ...
 
     def on_unknown_message(self) -> None:
-        """Take a message that only a later protocol version knows."""
+        """Count a message of a type that this protocol version doesn't know."""
         ...
 
     def on_second_send(self, group: str, *, allowed: bool) -> None:
-        """Take a second send to a group, or one that the retry budget refused."""
+        """Count a retry in a group, or one that the retry budget refused.
+
+        :param allowed: whether the retry budget allowed it.
+        """
         ...
 
 
 class NullTelemetry:
-    """Measures nothing."""
+    """Telemetry that discards all measurements."""
 
     def on_first_token(self, tenant: str, request_class: str, seconds: float) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_between_tokens(
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_ended(
         self, tenant: str, request_class: str, code: ResultCode, seconds: float
     ) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_sized_end(
         self, request_class: str, band: SizeBand, code: ResultCode
     ) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_queue_wait(self, tenant: str, request_class: str, seconds: float) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_generation(self, generation: int) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_report(self, report: SideReport) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_unknown_message(self) -> None:
-        """Drop it."""
+        """Discard the measurement."""
 
     def on_second_send(self, group: str, *, allowed: bool) -> None:
-        """Drop it."""
+        """Discard the measurement."""
