--- a/src/bergamotmast/app.py
+++ b/src/bergamotmast/app.py
@@ -1,6 +1,7 @@
-"""The composition root: which parts make an entry and a side, and how they are wired.
+"""Composition root: creates an entry or a side from its components.
 
-Both are usable as a library: hand in the ports, and run them in any event loop.
+Both can be used as a library: pass in implementations of the ports, and run them in any
+event loop.
 """
 
 from __future__ import annotations
@@ -50,31 +51,33 @@
     from .ports import PlainService
     from .ports import WeightStore
 
-Work: t.TypeAlias = cabc.Coroutine[t.Any, t.Any, None]
+BackgroundTask: t.TypeAlias = cabc.Coroutine[t.Any, t.Any, None]
 
 ADMIN_PATH = "/admin/v1"
 
 SERVICE_RATE = 1e6
-"""Tokens a second of a plain service, whose calls count as one token each."""
+"""Nominal token rate of a plain service, whose calls count as one token each."""
 
 
 def wall_clock_seconds() -> int:
-    """Return the seconds since 1970."""
+    """Return the Unix time in whole seconds."""
     return int(time.time())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessParts:
-    """What every process is given.
+    """Dependencies that every process needs.
 
-    :param name: unique name; a side has that of its upstream.
+    :param name: unique name; a side has the name of its upstream.
     :param zone: availability zone.
-    :param kv: the key-value service.
-    :param policies: decisions under load.
-    :param rng: seeded source of jitter and of names.
-    :param epoch_hint: least epoch of a planner that takes over, a number that only
-        rises: after a restore of the key-value service nobody may be left who knows
-        the lost epochs, and orders under them would be given out a second time.
+    :param kv: client of the key-value service.
+    :param policies: policies for load-dependent decisions.
+    :param history: receiver of the records that the checker reads.
+    :param telemetry: receiver of measurements.
+    :param rng: random source of jitter and of names.
+    :param epoch_hint: returns the lowest epoch that a new planner may use, which never
+        decreases. After a restore of the key-value service no process may know the
+        epochs that were lost, and orders with these epochs would be issued again.
     """
 
     name: str
@@ -87,36 +90,37 @@
     epoch_hint: cabc.Callable[[], int] = wall_clock_seconds
 
     def incarnation(self) -> str:
-        """Return a name for this start of the process."""
+        """Return a unique name for this run of the process."""
         return f"{self.name}-{self.rng.getrandbits(48):012x}"
 
 
 class UnpacedWeights:
-    """A weight store that nothing is known of: loads are not paced."""
+    """Weight store without known limits, so that model loads are not paced."""
 
     async def sizes(self) -> dict[str, float]:
         """Return no sizes."""
         return {}
 
     async def rate(self) -> float:
-        """Return a rate that no load reaches."""
+        """Return an infinite transfer rate."""
         return math.inf
 
 
-async def _together(works: cabc.Iterable[Work]) -> None:
-    """Run works until cancelled; the first failure ends all."""
+async def _run_all(coroutines: cabc.Iterable[BackgroundTask]) -> None:
+    """Run coroutines concurrently; the first failure cancels all."""
     async with asyncio.TaskGroup() as group:
-        for work in works:
-            group.create_task(work)
+        for coroutine in coroutines:
+            group.create_task(coroutine)
 
 
 class EntryProcess:
-    """One entry: connections to sides, configuration, callers, maybe the planner.
+    """Entry with its configuration, its sessions with sides, and optionally a planner.
 
-    :param holder: the configuration in force.
-    :param core: the entry itself.
-    :param planner: plans while it holds the lease; ``None`` if it may not.
-    :param busy: connections whose request is being answered.
+    :param holder: holder of the configuration in force.
+    :param core: request handling of the entry.
+    :param planner: planner that is active while it holds the lease; ``None`` if this
+        entry must not plan.
+    :param busy: connections whose request is being handled.
     """
 
     def __init__(
@@ -167,7 +171,7 @@
         return planner
 
     def application(self, limits: CallerLimits | None = None) -> web.Application:
-        """Return the HTTP application that serves callers and operators."""
+        """Return the HTTP application for callers and operators."""
         http = EntryHttp(self.core, limits)
         self.busy = http.busy
         application = http.application()
@@ -175,29 +179,29 @@
         application.add_subapp(ADMIN_PATH, admin.application())
         return application
 
-    def background_tasks(self) -> list[Work]:
-        """Return what runs until cancelled, each independent of the others' failure."""
-        works = [self.watcher.run(), self.core.run(), self.claims.run()]
+    def background_tasks(self) -> list[BackgroundTask]:
+        """Return the coroutines to run until cancelled; each can fail independently."""
+        tasks = [self.watcher.run(), self.core.run(), self.claims.run()]
         if self.planner is not None:
-            works.append(self.planner.run())
-        return works
+            tasks.append(self.planner.run())
+        return tasks
 
     async def run(self) -> None:
-        """Run until cancelled."""
-        await _together(self.background_tasks())
+        """Run all background tasks until cancelled."""
+        await _run_all(self.background_tasks())
 
     async def close(self) -> None:
-        """Refuse new requests and wait until the last answer is out."""
+        """Refuse new requests and wait until the last response is sent."""
         await self.core.close()
         await self.claims.flush()
 
 
 class SideProcess:
-    """One side: an upstream, its queue, its orders, connections to entries.
+    """Side of one upstream, with its queue and its sessions with entries.
 
-    :param holder: the configuration in force.
-    :param core: the side itself.
-    :param reconciler: gives the engine its orders; ``None`` for a plain service.
+    :param holder: holder of the configuration in force.
+    :param core: request handling of the side.
+    :param reconciler: sends the engine its orders; ``None`` for a plain service.
     """
 
     def __init__(
@@ -221,25 +225,25 @@
         )
         self.reconciler: OrderReconciler | None = None
 
-    def background_tasks(self) -> list[Work]:
-        """Return what runs until cancelled, each independent of the others' failure."""
-        works = [self.watcher.run(), self.core.run()]
+    def background_tasks(self) -> list[BackgroundTask]:
+        """Return the coroutines to run until cancelled; each can fail independently."""
+        tasks = [self.watcher.run(), self.core.run()]
         if self.reconciler is not None:
-            works.append(self.reconciler.run())
-        return works
+            tasks.append(self.reconciler.run())
+        return tasks
 
     async def run(self) -> None:
-        """Run until cancelled."""
-        await _together(self.background_tasks())
+        """Run all background tasks until cancelled."""
+        await _run_all(self.background_tasks())
 
     async def close(self) -> None:
-        """Refuse new work and wait until the work in flight is done."""
+        """Refuse new work and wait until all running work is done."""
         await self.core.leave()
         self.listener.close()
 
 
 def engine_side(parts: ProcessParts, listener: Listener, engine: Engine) -> SideProcess:
-    """Return the side of a model engine."""
+    """Create the side of a model engine."""
     side = SideProcess(parts, listener, EngineRunner(engine))
     reconciler = OrderReconciler(
         name=parts.name,
@@ -258,9 +262,9 @@
 def service_side(
     parts: ProcessParts, listener: Listener, service: PlainService, concurrency: int
 ) -> SideProcess:
-    """Return the side of a plain service.
+    """Create the side of a plain service.
 
-    :param concurrency: most calls the service takes at once.
+    :param concurrency: maximum number of concurrent calls to the service.
     """
     side = SideProcess(parts, listener, ServiceRunner(service))
     state = EngineState(
--- a/src/bergamotmast/bounded_log.py
+++ b/src/bergamotmast/bounded_log.py
@@ -1,4 +1,4 @@
-"""JSON lines to a descriptor that may be slow or full: bounded, and never waiting."""
+"""Logging handler that writes JSON lines without blocking, with a bounded buffer."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 import msgspec
 
 MOST_WAITING_BYTES = 256 * 1024
-"""Lines held while the reader of the logs is slow; more are counted and dropped."""
+"""Buffer size for a slow reader; lines that don't fit are dropped and counted."""
 
 LINES_A_SECOND = 400
-"""Most lines below a warning in a second: about four times the usual load of an
-entry. Warnings and errors are never left out for their number."""
+"""Rate limit of lines below the warning level, about four times the usual rate of an
+entry. Warnings and errors are not limited."""
 
 _OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {
     "message",
@@ -28,14 +28,15 @@
 
 
 class BoundedJsonHandler(logging.Handler):
-    """Writes each record as one line of JSON, if it can be done at once.
+    """Logging handler that writes each record as one line of JSON and never blocks.
 
-    A pipe whose reader has stopped would block a plain write, and with it every
-    request of the process. The descriptor is therefore set not to block; what does
-    not fit is held up to :data:`MOST_WAITING_BYTES` and then dropped, and the next
-    line that is written says how many lines are missing.
+    If the reader of a pipe stops, a blocking write would stall all requests of the
+    process. The descriptor is therefore set to non-blocking mode. Lines that it doesn't
+    accept are buffered up to :data:`MOST_WAITING_BYTES` and then dropped, and the next
+    written line gives the number of dropped lines.
 
-    :param descriptor: where to, usually that of standard output.
+    :param descriptor: file descriptor to write to, usually standard output.
+    :param process_name: name of this process, written to each line.
     """
 
     def __init__(self, descriptor: int, process_name: str) -> None:
@@ -50,15 +51,15 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or hold or drop it."""
-        if not self._may_write(record):
+        """Write, buffer or drop a record."""
+        if not self._is_within_rate_limit(record):
             self.dropped += 1
             return
         try:
             line = self._encode(record)
         except Exception:
-            # Whatever can't be written must not end the request that wrote it: its
-            # caller would have a closed connection in place of its answer.
+            # A record that can't be encoded must not fail the request that logs it:
+            # its caller would get a closed connection instead of a response.
             self.dropped += 1
             return
         if self.waiting_bytes + len(line) > MOST_WAITING_BYTES:
@@ -66,12 +67,12 @@
         else:
             self.waiting.append(line)
             self.waiting_bytes += len(line)
-            # Only a line that is kept has told of those before it.
+            # Reset only now, as the line that reports the count could be dropped too.
             self.dropped = 0
         self.flush()
 
     def flush(self) -> None:
-        """Write as much of what is held as the descriptor takes."""
+        """Write as much of the buffer as the descriptor accepts."""
         while self.waiting:
             line = self.waiting[0]
             try:
@@ -79,7 +80,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; the process must serve on all the same.
+                # The reader has closed the pipe; the process must continue to serve.
                 self.waiting.clear()
                 self.waiting_bytes = 0
                 return
@@ -89,7 +90,7 @@
                 return
             self.waiting.popleft()
 
-    def _may_write(self, record: logging.LogRecord) -> bool:
+    def _is_within_rate_limit(self, record: logging.LogRecord) -> bool:
         second = int(record.created)
         if second != self.second:
             self.second = second
@@ -122,5 +123,5 @@
     try:
         return msgspec.json.encode(fields, enc_hook=str)
     except UnicodeEncodeError:
-        # A caller's bytes that are no UTF-8, which this one writes as escapes.
+        # A value with bytes that are not UTF-8, which ``json`` writes as escapes.
         return json.dumps(fields, default=str).encode()
--- a/src/bergamotmast/explain.py
+++ b/src/bergamotmast/explain.py
@@ -1,7 +1,7 @@
-"""The story of one request, from the log lines of several processes.
+"""Timeline of one request, from the log lines of several processes.
 
-Lines are JSON objects as :mod:`.bounded_log` writes them. What stands before an object
-on its line, such as a collector's time stamp, is passed over.
+Lines are JSON objects as :mod:`.bounded_log` writes them. Text before the object on a
+line, such as a log collector's time stamp, is ignored.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from .errors import ResultCode
 
 BEFORE_SECONDS = 3.0
-"""What a process learnt so long before a request arrived may have decided it."""
+"""Time before a request's arrival from which events of its process are shown too, as
+they may have affected its handling."""
 
 _COMMON = frozenset({"at", "steady", "level", "process", "event", "request_id"})
 
-_ABOUT_STATE = frozenset(
+_PROCESS_EVENTS = frozenset(
     {
         "starts",
         "stops soon",
@@ -32,16 +33,19 @@
         "entry is not registered",
     }
 )
-"""Events that bear on every request of their process."""
+"""Events that may affect all requests of their process."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a process's log.
-
-    :param at: time of day, seconds; only for lines of different processes.
-    :param steady: the process's own clock, seconds; never goes back.
-    :param fields: what else the line says, in its order.
+    """Line of a process's log.
+
+    :param at: Unix time, seconds; used only to order different processes.
+    :param steady: monotonic clock of the process, seconds.
+    :param process: name of the process.
+    :param event: log message.
+    :param request_id: id of the request; empty for none.
+    :param fields: other fields of the line, in their order.
     """
 
     at: float
@@ -53,7 +57,7 @@
 
 
 def read_line(text: str) -> LogLine | None:
-    """Read one line; ``None`` for one that is no log line."""
+    """Parse a line; return ``None`` if it isn't a log line."""
     start = text.find("{")
     if start < 0:
         return None
@@ -74,62 +78,73 @@
 
 
 def explain(request_id: str, lines: cabc.Iterable[LogLine]) -> str:
-    """Return the story of a request at each process that met it; empty for none."""
+    """Return a request's timeline at each process that handled it; empty for none."""
     by_process: dict[str, list[LogLine]] = {}
     for line in lines:
         by_process.setdefault(line.process, []).append(line)
-    stories = []
+    timelines = []
     for process, own in by_process.items():
-        met = [line for line in own if line.request_id == request_id]
-        if met:
-            stories.append((met[0].at, _story(request_id, process, own, met)))
-    return "\n".join(story for _, story in sorted(stories))
+        of_request = [line for line in own if line.request_id == request_id]
+        if of_request:
+            timelines.append(
+                (of_request[0].at, _timeline(request_id, process, own, of_request))
+            )
+    return "\n".join(timeline for _, timeline in sorted(timelines))
 
 
-def _story(
-    request_id: str, process: str, own: list[LogLine], met: list[LogLine]
+def _timeline(
+    request_id: str, process: str, own: list[LogLine], of_request: list[LogLine]
 ) -> str:
-    arrived = _arrival(met)
-    last = max(line.steady for line in met)
-    named = {line.fields.get("upstream") for line in met} | {
-        line.fields.get("reader") for line in met
+    """Return the timeline of a request at one process.
+
+    :param own: all lines of the process.
+    :param of_request: those with the request's id.
+    """
+    arrived = _arrival(of_request)
+    last = max(line.steady for line in of_request)
+    upstreams = {line.fields.get("upstream") for line in of_request} | {
+        line.fields.get("reader") for line in of_request
     }
-    told = [f"{request_id} at {process or 'a process without a name'}"]
+    shown = [f"{request_id} at {process or 'a process without a name'}"]
     for line in sorted(own, key=lambda line: line.steady):
         if line.request_id not in ("", request_id):
             continue
-        if arrived - BEFORE_SECONDS <= line.steady <= last and _bears_on(line, named):
-            told.append(_shown(line, arrived))
-    return "\n".join([*told, _verdict(met)]) + "\n"
+        if arrived - BEFORE_SECONDS <= line.steady <= last and _is_relevant(
+            line, upstreams
+        ):
+            shown.append(_format_line(line, arrived))
+    return "\n".join([*shown, _format_result(of_request)]) + "\n"
 
 
-def _bears_on(line: LogLine, named: set[t.Any]) -> bool:
-    """Return whether a line is of the request, its upstreams or its process."""
-    if line.request_id or line.event in _ABOUT_STATE:
+def _is_relevant(line: LogLine, upstreams: set[t.Any]) -> bool:
+    """Return whether a line concerns the request, its upstreams or its process."""
+    if line.request_id or line.event in _PROCESS_EVENTS:
         return True
     if line.fields.get("dropped_before"):
         return True
     return (
-        line.fields.get("upstream") is not None and line.fields.get("upstream") in named
+        line.fields.get("upstream") is not None
+        and line.fields.get("upstream") in upstreams
     )
 
 
-def _arrival(met: list[LogLine]) -> float:
-    """Return when a request arrived, on its process's clock."""
-    for line in met:
+def _arrival(of_request: list[LogLine]) -> float:
+    """Return the arrival time of a request, on its process's monotonic clock."""
+    for line in of_request:
         took = line.fields.get("ms")
         if line.event == "request ended" and isinstance(took, int | float):
             return line.steady - took / 1e3
-    return min(line.steady for line in met)
+    return min(line.steady for line in of_request)
 
 
-def _shown(line: LogLine, arrived: float) -> str:
+def _format_line(line: LogLine, arrived: float) -> str:
     fields = " ".join(f"{name}={_text(value)}" for name, value in line.fields.items())
     return f"  {line.steady - arrived:+8.3f} s  {line.event}  {fields}".rstrip()
 
 
-def _verdict(met: list[LogLine]) -> str:
-    ended = [line for line in met if line.event == "request ended"]
+def _format_result(of_request: list[LogLine]) -> str:
+    """Return a sentence on the request's result code, or on its missing end."""
+    ended = [line for line in of_request if line.event == "request ended"]
     if not ended:
         return (
             "  No end is logged here: it is still under way, or its line was dropped."
--- a/src/bergamotmast/history.py
+++ b/src/bergamotmast/history.py
@@ -1,4 +1,4 @@
-"""Typed records of a run, written as JSON lines and read by the checker."""
+"""Typed records of a run, stored as JSON lines and read by the checker."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Record(msgspec.Struct, frozen=True, tag_field="kind", kw_only=True):
-    """What every record carries.
+    """Base class of all records.
 
-    :param at: seconds on the clock of the run.
+    :param at: time of the event, seconds on the clock of the run.
     """
 
     at: float
@@ -21,8 +21,8 @@
 class RequestSent(Record, frozen=True, tag="request_sent"):
     """A caller sent a request.
 
-    :param expected_text: the whole answer that the stand-in will give; empty if the
-        caller can't know it.
+    :param expected_text: complete response that the stand-in will give; empty if
+        unknown.
     """
 
     request: str
@@ -33,11 +33,11 @@
 
 
 class RequestAnswered(Record, frozen=True, tag="request_answered"):
-    """A caller has its final answer.
+    """A caller has received its final response.
 
-    :param code: numbered result code; 0 for the whole answer.
-    :param outcome: ``ran``, ``not_run`` or ``unknown``, as the caller was told.
-    :param cut_off: whether the answer broke off without a code.
+    :param code: result code; 0 for a complete response.
+    :param outcome: ``ran``, ``not_run`` or ``unknown``, as reported to the caller.
+    :param cut_off: whether the response broke off without a result code.
     """
 
     request: str
@@ -48,9 +48,9 @@
 
 
 class Execution(Record, frozen=True, tag="execution"):
-    """An upstream began to run a request, as its stand-in saw it.
+    """An upstream began to run a request; recorded by its stand-in.
 
-    :param key: the idempotency key that reached the upstream; empty for none.
+    :param key: idempotency key that the upstream received; empty for none.
     """
 
     upstream: str
@@ -59,7 +59,7 @@
 
 
 class AttemptRecord(Record, frozen=True, tag="attempt"):
-    """A side's word on one attempt.
+    """A side's record of an event of an attempt.
 
     :param event: ``started``, ``refused``, ``never_started`` or ``done``.
     """
@@ -71,7 +71,7 @@
 
 
 class OrderTaken(Record, frozen=True, tag="order_taken"):
-    """An engine took an order, as its stand-in saw it."""
+    """An engine accepted an order; recorded by its stand-in."""
 
     engine: str
     epoch: int
@@ -80,7 +80,7 @@
 
 
 class OrderEnded(Record, frozen=True, tag="order_ended"):
-    """An engine finished an order or lost it in a crash."""
+    """An engine completed an order, or lost it in a crash."""
 
     engine: str
     epoch: int
@@ -103,44 +103,44 @@
 
 
 class ConfigInForce(Record, frozen=True, tag="config_in_force"):
-    """A process began to act on a configuration."""
+    """A process began to use a configuration."""
 
     process: str
     generation: int
 
 
 class LeavingAnnounced(Record, frozen=True, tag="leaving_announced"):
-    """Somebody first said that an upstream is leaving."""
+    """An upstream was first announced as leaving, by any signal."""
 
     upstream: str
 
 
 class StayingAnnounced(Record, frozen=True, tag="staying_announced"):
-    """Every signal says again that an upstream stays."""
+    """All signals announce again that an upstream stays."""
 
     upstream: str
 
 
 class ProcessStarted(Record, frozen=True, tag="process_started"):
-    """A process began to serve, with nothing in its memory."""
+    """A process began to serve, with no state from an earlier run."""
 
     process: str
 
 
 class ProcessStopped(Record, frozen=True, tag="process_stopped"):
-    """A process ended, in whatever way."""
+    """A process ended, for whatever reason."""
 
     process: str
 
 
 class ProcessUnreachable(Record, frozen=True, tag="process_unreachable"):
-    """A process was paused or cut off from every other one."""
+    """A process was paused or partitioned from all others."""
 
     process: str
 
 
 class ProcessReachable(Record, frozen=True, tag="process_reachable"):
-    """A paused or cut-off process is back."""
+    """A paused or partitioned process is reachable again."""
 
     process: str
 
@@ -173,36 +173,36 @@
 
 
 class HistorySink(t.Protocol):
-    """Takes records in the order they happened."""
+    """Receiver of records, in the order of the events."""
 
     def record(self, record: AnyRecord) -> None:
-        """Take one record."""
+        """Store or discard one record."""
         ...
 
 
 class NullHistory:
-    """Keeps nothing."""
+    """History that discards all records."""
 
     def record(self, record: AnyRecord) -> None:
-        """Drop the record."""
+        """Discard the record."""
 
 
 class MemoryHistory:
-    """Keeps the records in a list.
+    """History that stores all records in a list.
 
-    :param records: records so far, oldest first.
+    :param records: stored records, oldest first.
     """
 
     def __init__(self) -> None:
         self.records: list[AnyRecord] = []
 
     def record(self, record: AnyRecord) -> None:
-        """Append the record."""
+        """Append the record to the list."""
         self.records.append(record)
 
 
 def write_history(path: pathlib.Path, records: cabc.Iterable[AnyRecord]) -> None:
-    """Write records as JSON lines."""
+    """Write records to a file as JSON lines."""
     encoder = msgspec.json.Encoder()
     with path.open("wb") as file:
         for record in records:
@@ -210,9 +210,9 @@
 
 
 def read_history(path: pathlib.Path) -> list[AnyRecord]:
-    """Read records written by :func:`write_history`.
+    """Read records that were written by :func:`write_history`.
 
-    :raises msgspec.ValidationError: for a line that is no record.
+    :raises msgspec.ValidationError: if a line isn't a record.
     """
     decoder = msgspec.json.Decoder(AnyRecord)
     with path.open("rb") as file:
--- a/src/bergamotmast/logs.py
+++ b/src/bergamotmast/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line each, as text or JSON, with the request they belong to."""
+"""Configuration of structured logs, as text or JSON, with the id of the request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @contextlib.contextmanager
 def request_context(request_id: str) -> cabc.Iterator[None]:
-    """Mark every log line written inside as belonging to a request."""
+    """Add the request's id to all log lines that are written in the block."""
     token = _request_id.set(request_id)
     try:
         yield
@@ -30,7 +30,7 @@
 
 
 class ContextFilter(logging.Filter):
-    """Adds the process's name and the request's id to each record.
+    """Logging filter that adds the process's name and the request's id to each record.
 
     :param process_name: name of this process.
     """
@@ -51,10 +51,10 @@
 def new_handler(
     log_format: str, process_name: str, stream: t.TextIO | None = None
 ) -> logging.Handler:
-    """Return a handler that writes one form of log line.
+    """Return a logging handler for a log format.
 
     :param log_format: ``text`` or ``json``.
-    :param stream: where to; the standard error stream by default.
+    :param stream: stream to write to; standard error by default.
     """
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.addFilter(ContextFilter(process_name))
@@ -63,9 +63,13 @@
 
 
 def configure_logs(log_format: str, log_level: str, process_name: str) -> None:
-    """Send the logs of the whole process to the standard error stream."""
-    _send_all_to(new_handler(log_format, process_name), log_level)
-    # The library tells of each transition, twice a second for each engine at rest.
+    """Write all logs of the process to standard error.
+
+    :param log_format: ``text`` or ``json``.
+    :param log_level: lowest level to write.
+    """
+    _set_root_handler(new_handler(log_format, process_name), log_level)
+    # The library logs each transition, twice a second for each idle engine.
     logging.getLogger("transitions").setLevel(logging.WARNING)
 
 
@@ -79,13 +83,13 @@
 
 
 def configure_decision_logs(log_level: str, process_name: str) -> None:
-    """Send the logs of the whole process to standard output, bounded, as JSON."""
+    """Write all logs of the process to standard output as JSON, without blocking."""
     handler = BoundedJsonHandler(sys.stdout.fileno(), process_name)
     handler.addFilter(ContextFilter(process_name))
-    _send_all_to(handler, log_level)
+    _set_root_handler(handler, log_level)
 
 
-def _send_all_to(handler: logging.Handler, log_level: str) -> None:
+def _set_root_handler(handler: logging.Handler, log_level: str) -> None:
     root = logging.getLogger()
     for earlier in root.handlers[:]:
         root.removeHandler(earlier)
--- a/src/bergamotmast/selection.py
+++ b/src/bergamotmast/selection.py
@@ -1,4 +1,4 @@
-"""Which upstreams a configuration allows for a request, and which are leaving."""
+"""Selection of the upstreams that may serve a request by the configuration."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 
 def bare_name(versioned: str) -> str:
-    """Return ``name`` of ``name@version``."""
+    """Return the name in ``name@version``."""
     return versioned.partition("@")[0]
 
 
 def carried_names(selector: Selector) -> frozenset[str]:
-    """Return the model and adapter names that a selector's group carries."""
+    """Return the names of the models and adapters that a selector's group carries."""
     return frozenset(map(bare_name, selector.models + selector.adapters))
 
 
 def wanted_names(model: str) -> tuple[str, ...]:
-    """Return what an engine must carry for ``model`` or ``model:adapter``."""
+    """Return the names that an engine must carry for ``model`` or ``model:adapter``."""
     return tuple(model.split(":", 1))
 
 
 class Selection:
-    """One configuration's rules, prepared for many requests.
+    """Selectors of a configuration, prepared for fast lookups.
 
-    :param configuration: the document they come from.
+    :param configuration: configuration that contains the selectors.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -57,7 +57,7 @@
         self.known = frozenset().union(*map(carried_names, self.serving))
 
     def knows_model(self, model: str) -> bool:
-        """Return whether any serving selector carries a model."""
+        """Return whether serving selectors carry a model and its adapter."""
         return all(name in self.known for name in wanted_names(model))
 
     def upstreams(self, call: ModelCall | ServiceCall) -> frozenset[str]:
--- a/src/bergamotmast/served_shares.py
+++ b/src/bergamotmast/served_shares.py
@@ -1,4 +1,4 @@
-"""What was served of large prompts, compared with all prompts of their class."""
+"""Served share of large prompts, compared with all prompts of their request class."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 import dataclasses
 
 LEAST_RATIO = 0.5
-"""Least served share of large prompts against all that operators expect."""
+"""Lower bound of the served share of large prompts, relative to all prompts."""
 
 FEWEST_PROMPTS = 10
-"""Prompts below which a class has no largest tenth."""
+"""Minimum number of prompts of a class, as fewer have no largest tenth."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServedShares:
-    """Shares of a class's prompts that were served, by size.
+    """Served shares of the prompts of a request class, by prompt size.
 
-    :param largest: of the largest tenth.
-    :param large: of the fifth below it.
+    :param all: served share of all prompts.
+    :param largest: served share of the largest tenth.
+    :param large: served share of the fifth below it.
     """
 
     all: float
@@ -26,16 +27,16 @@
 
     @property
     def least_ratio(self) -> float:
-        """The lesser of the two against all; 1 where nothing was served at all."""
+        """The lower of ``largest`` and ``large`` over ``all``; 1 if none was served."""
         return min(self.largest, self.large) / self.all if self.all else 1.0
 
 
 def served_shares(
     prompts: cabc.Iterable[tuple[int, bool]],
 ) -> ServedShares | None:
-    """Return what was served of a class; ``None`` for too few prompts.
+    """Return the served shares of a class; ``None`` for too few prompts.
 
-    :param prompts: size in tokens, and whether it was served.
+    :param prompts: pairs of size in tokens and whether the prompt was served.
     """
     ordered = [served for _, served in sorted(prompts, key=lambda prompt: prompt[0])]
     tenth = len(ordered) // FEWEST_PROMPTS
