--- a/src/bergamotmast/commands/demo.py
+++ b/src/bergamotmast/commands/demo.py
@@ -1,4 +1,4 @@
-"""The ``demo`` command: the whole system in one process, under real traffic."""
+"""The ``demo`` command: runs the whole system in one process under load."""
 
 from __future__ import annotations
 
@@ -13,21 +13,25 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser its arguments."""
+    """Add the command's arguments to a parser."""
     parser.add_argument("--json", action="store_true", help="print one JSON object")
     parser.add_argument(
-        "--seed", type=int, default=1, metavar="N", help="seed of the traffic [1]"
+        "--seed",
+        type=int,
+        default=1,
+        metavar="N",
+        help="seed of the generated traffic [1]",
     )
     parser.add_argument(
         "--history",
         type=pathlib.Path,
         metavar="FILE",
-        help="write the history of the run to a file of JSON lines",
+        help="write the history of the run to a file, as JSON lines",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run the demonstration; the exit code is 1 if a promise was broken."""
+    """Run the demonstration; the exit code is 1 if a promise was violated."""
     result = asyncio.run(run_demo(arguments.seed, arguments.history))
     print(json.dumps(as_json(result)) if arguments.json else as_text(result))
-    return 0 if result.holds else 1
+    return 0 if result.passed else 1
--- a/src/bergamotmast/commands/load.py
+++ b/src/bergamotmast/commands/load.py
@@ -1,4 +1,4 @@
-"""The ``load`` command: replays a trace against an entry over real HTTP."""
+"""The ``load`` command: replays a trace against an entry over HTTP."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser its arguments."""
-    parser.add_argument("--url", required=True, help="address of an entry")
+    """Add the command's arguments to a parser."""
+    parser.add_argument("--url", required=True, help="base URL of an entry")
     parser.add_argument(
         "--trace",
         required=True,
         type=pathlib.Path,
         metavar="FILE",
-        help="requests with their times, one JSON object a line",
+        help="requests with their times, as JSON lines",
     )
     parser.add_argument("--json", action="store_true", help="print one JSON object")
     parser.add_argument(
         "--history",
         type=pathlib.Path,
         metavar="FILE",
-        help="write what was sent and answered to a file of JSON lines",
+        help="write requests and responses to a file, as JSON lines",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Replay the trace; the exit code is 1 if an answer was cut off."""
+    """Replay the trace; the exit code is 1 if a response was cut off."""
     results = asyncio.run(_replay(arguments))
-    print(_as_text(results) if not arguments.json else json.dumps(_figures(results)))
+    print(_as_text(results) if not arguments.json else json.dumps(_summary(results)))
     return int(any(result.cut_off for result in results))
 
 
@@ -71,7 +71,7 @@
         print(f"\rsent {sent} of {total}", end="", file=sys.stderr, flush=True)
 
 
-def _figures(results: list[CallResult]) -> dict[str, object]:
+def _summary(results: list[CallResult]) -> dict[str, object]:
     codes = collections.Counter(result.code for result in results)
     first = [r.first_token for r in results if r.first_token is not None]
     between = [r.between for r in results if r.between is not None]
@@ -89,7 +89,7 @@
 
 
 def _served_by_size(results: list[CallResult]) -> dict[str, dict[str, float]]:
-    """Return shares that were served of each class's prompts, by size."""
+    """Return the served shares of each request class, by prompt size."""
     by_class: dict[str, list[tuple[int, bool]]] = {}
     for result in results:
         prompts = by_class.setdefault(result.request_class, [])
@@ -97,7 +97,7 @@
     found = {name: served_shares(prompts) for name, prompts in by_class.items()}
     return {
         name: {
-            band: round(share, 3) for band, share in dataclasses.asdict(shares).items()
+            size: round(share, 3) for size, share in dataclasses.asdict(shares).items()
         }
         for name, shares in found.items()
         if shares is not None
@@ -105,4 +105,4 @@
 
 
 def _as_text(results: list[CallResult]) -> str:
-    return "\n".join(f"{name}: {value}" for name, value in _figures(results).items())
+    return "\n".join(f"{name}: {value}" for name, value in _summary(results).items())
--- a/src/bergamotmast/demo.py
+++ b/src/bergamotmast/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a deployment under real traffic while operators change it."""
+"""Demonstration: a local deployment under load while operators change it."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from .standins.engine_text import expected_text
 
 SECONDS = 10.0
-"""Time over which calls are sent."""
+"""Duration of the generated traffic."""
 
 CHANGE_SELECTOR_AT = 2.0
 DRAIN_AT = 4.0
@@ -45,7 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassFigures:
-    """Latencies of one class, seconds, of calls answered whole."""
+    """Latency percentiles of a request class, in seconds.
+
+    :param sent: number of calls sent.
+    """
 
     sent: int
     first_token_p50: float | None
@@ -56,11 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemoResult:
-    """What happened.
+    """Result of a demonstration.
 
-    :param orders: orders that engines took, for a role or for what they carry.
-    :param role_changes: those that changed a role.
-    :param violations: promises that the history breaks.
+    :param orders: number of orders that engines accepted.
+    :param role_changes: number of orders that changed an engine's role; the others
+        changed its models or adapters.
+    :param violations: violations of the system's promises, found in the history.
+    :param drained_without_a_cut: whether the drained engine completed its work in time.
     """
 
     summary: Summary
@@ -71,28 +76,28 @@
     drained_without_a_cut: bool
 
     @property
-    def holds(self) -> bool:
-        """Whether every promise held."""
+    def passed(self) -> bool:
+        """Whether no promise was violated."""
         return not self.violations and self.drained_without_a_cut
 
 
-def role_changes(orders: cabc.Iterable[OrderTaken], first: Role) -> int:
-    """Return how many orders changed an engine's role.
+def role_changes(orders: cabc.Iterable[OrderTaken], initial_role: Role) -> int:
+    """Return the number of orders that changed an engine's role.
 
-    :param orders: in the order they were taken.
-    :param first: role of every engine before its first order.
+    :param orders: accepted orders, oldest first.
+    :param initial_role: role of every engine before its first order.
     """
     roles: dict[str, str] = {}
     changes = 0
     for order in orders:
         role = order.assignment.partition(" ")[0]
-        changes += role != roles.get(order.engine, first.value)
+        changes += role != roles.get(order.engine, initial_role.value)
         roles[order.engine] = role
     return changes
 
 
 def planned_calls(rng: random.Random) -> list[PlannedCall]:
-    """Return calls of every kind, in order of their arrival."""
+    """Return calls of all request classes, sorted by the time they are sent at."""
     numbers = itertools.count(1)
     calls = [
         *_model_calls(rng, numbers, "appraisal", 12, 1500, 400),
@@ -145,7 +150,10 @@
 
 
 async def run_demo(seed: int, history_file: pathlib.Path | None = None) -> DemoResult:
-    """Run the deployment, its traffic and its operators, and check the history."""
+    """Run the deployment under load and operator changes, and check its history.
+
+    :param history_file: file to write the history to.
+    """
     async with local_fleet(demo_plan(), seed) as fleet:
         async with aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0)
@@ -153,7 +161,7 @@
             drivers = [
                 LoadDriver(session, url, fleet.history) for url in fleet.urls.values()
             ]
-            results, drained = await _traffic_and_operators(fleet, drivers, seed)
+            results, drained = await _run_traffic_and_operators(fleet, drivers, seed)
     records = fleet.history.records
     orders = [record for record in records if isinstance(record, OrderTaken)]
     if history_file is not None:
@@ -162,25 +170,25 @@
         summary=summary(records),
         orders=len(orders),
         role_changes=role_changes(orders, fleet.plan.assignment.role),
-        classes=_figures(results),
+        classes=_latencies(results),
         violations=tuple(check(records)),
         drained_without_a_cut=drained,
     )
 
 
-async def _traffic_and_operators(
+async def _run_traffic_and_operators(
     fleet: LocalFleet, drivers: list[LoadDriver], seed: int
 ) -> tuple[list[CallResult], bool]:
     calls = planned_calls(random.Random(seed))
-    operators = asyncio.create_task(_operators(fleet))
+    operators = asyncio.create_task(_run_operators(fleet))
     shares = [calls[i :: len(drivers)] for i in range(len(drivers))]
     replays = (d.replay(share) for d, share in zip(drivers, shares, strict=True))
     results = await asyncio.gather(*replays)
     return list(itertools.chain.from_iterable(results)), await operators
 
 
-async def _operators(fleet: LocalFleet) -> bool:
-    """Change a selector, then drain an engine; whether it drained in time."""
+async def _run_operators(fleet: LocalFleet) -> bool:
+    """Change a selector, then drain an engine; return whether it drained in time."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(CHANGE_SELECTOR_AT)
     changed = with_selector_changed(fleet.plan.configuration)
@@ -198,12 +206,12 @@
     return False
 
 
-def _figures(results: cabc.Sequence[CallResult]) -> dict[str, ClassFigures]:
+def _latencies(results: cabc.Sequence[CallResult]) -> dict[str, ClassFigures]:
     classes = sorted({result.request_class for result in results})
-    return {name: _class_figures(name, results) for name in classes}
+    return {name: _class_latencies(name, results) for name in classes}
 
 
-def _class_figures(name: str, results: cabc.Sequence[CallResult]) -> ClassFigures:
+def _class_latencies(name: str, results: cabc.Sequence[CallResult]) -> ClassFigures:
     own = [r for r in results if r.request_class == name]
     first = [r.first_token for r in own if r.first_token is not None]
     between = [r.between for r in own if r.between is not None]
@@ -217,7 +225,7 @@
 
 
 def as_json(result: DemoResult) -> dict[str, t.Any]:
-    """Return the result as one JSON object."""
+    """Return the result as a JSON-serializable object."""
     counts = dataclasses.asdict(result.summary)
     classes = {name: dataclasses.asdict(c) for name, c in result.classes.items()}
     return counts | {
@@ -229,7 +237,7 @@
 
 
 def as_text(result: DemoResult) -> str:
-    """Return the result as a readable summary."""
+    """Return the result as text."""
     s = result.summary
     lines = [
         f"sent {s.sent}, answered whole {s.answered_whole}, unknown {s.unknown}",
@@ -246,7 +254,7 @@
     lines += [
         f"BROKEN: {v.rule.value} {v.subject}: {v.detail}" for v in result.violations
     ]
-    lines.append("every promise held" if result.holds else "promises were broken")
+    lines.append("every promise held" if result.passed else "promises were broken")
     return "\n".join(lines)
 
 
--- a/src/bergamotmast/demo_fleet.py
+++ b/src/bergamotmast/demo_fleet.py
@@ -1,4 +1,4 @@
-"""The demonstration's deployment: a records house with ten upstreams in four zones."""
+"""Deployment of the demonstration: an archive with ten upstreams in four zones."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 ENTRIES = 2
 
 DRAINED_ENGINE = "engine-6"
-"""The engine that the operators drain while the demonstration runs."""
+"""Engine that the operators drain during the demonstration."""
 
 
 def first_configuration() -> Configuration:
-    """Return the configuration that the deployment starts with."""
+    """Return the initial configuration of the deployment."""
     labels = {f"engine-{i}": {"pool": "models"} for i in range(1, ENGINES + 1)}
     labels |= {f"counter-{i}": {"pool": "counter"} for i in range(1, SERVICES + 1)}
     return Configuration(
@@ -74,20 +74,20 @@
 
 
 def with_engine_drained(configuration: Configuration) -> Configuration:
-    """Return the configuration with one engine's label changed to the drained pool."""
+    """Return the configuration with one engine relabelled to the drained pool."""
     labels = configuration.labels | {DRAINED_ENGINE: {"pool": "drained"}}
     return msgspec.structs.replace(configuration, labels=labels)
 
 
 def with_selector_changed(configuration: Configuration) -> Configuration:
-    """Return the configuration with an adapter added to the model selector."""
+    """Return the configuration with an adapter added to the selector of models."""
     models, *others = configuration.selectors
     changed = msgspec.structs.replace(models, adapters=(ADAPTER,))
     return msgspec.structs.replace(configuration, selectors=(changed, *others))
 
 
 def demo_plan() -> FleetPlan:
-    """Return what the demonstration starts."""
+    """Return the plan of the demonstration's deployment."""
     return FleetPlan(
         configuration=first_configuration(),
         engines={f"engine-{i + 1}": ZONES[i % 4] for i in range(ENGINES)},
--- a/src/bergamotmast/load.py
+++ b/src/bergamotmast/load.py
@@ -1,4 +1,4 @@
-"""A load driver: replays a trace against an entry over real HTTP."""
+"""Load driver that replays a trace against an entry over HTTP."""
 
 from __future__ import annotations
 
@@ -18,21 +18,26 @@
 from .history import RequestSent
 
 PREFIX_WORDS = 128
-"""Words of a shared head, so that it fills the part that entries tell prompts by."""
+"""Length of a shared prefix; long enough to fill the part of a prompt that entries hash
+to recognize a prefix."""
 
 ExpectedText = cabc.Callable[[str, str, int], str]
-"""Returns the whole answer a stand-in gives to (model, prompt, max_tokens)."""
+"""Returns a stand-in's complete response to (model, prompt, max_tokens)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallResult:
-    """How one call ended, as its caller saw it.
-
-    :param prompt_tokens: length of its prompt.
-    :param code: numbered result code; 0 for a whole answer.
-    :param first_token: seconds to the first token, or ``None``.
-    :param between: mean seconds between tokens, or ``None``.
-    :param whole_by_deadline: whether it was whole in time.
+    """Result of a call, as its caller saw it.
+
+    :param prompt_tokens: length of the prompt, tokens.
+    :param code: result code; 0 for a complete response.
+    :param outcome: ``ran``, ``not_run`` or ``unknown``.
+    :param text: received text.
+    :param cut_off: whether the response broke off without a result code.
+    :param total: total latency, seconds.
+    :param first_token: time to first token, seconds; ``None`` if there was none.
+    :param between: mean inter-token latency, seconds; ``None`` if not measured.
+    :param whole_by_deadline: whether the response was complete by its deadline.
     """
 
     request_class: str
@@ -49,11 +54,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """One call, ready to be sent.
+    """Call that is ready to be sent.
 
+    :param request: request of the trace; gives the time of the call and its deadline.
     :param path: path at the entry.
-    :param body: body of the call.
-    :param expected_text: whole answer where it is known, else empty.
+    :param body: request body.
+    :param idempotency_key: idempotency key; empty for none.
+    :param expected_text: complete response; empty if unknown.
     """
 
     request_id: str
@@ -65,9 +72,9 @@
 
 
 def prompt_of(request: TraceRequest, request_id: str) -> str:
-    """Return a prompt of the length that the trace asks for.
+    """Return a prompt of the length that the trace specifies.
 
-    ``[out=N]`` is read by engine stand-ins alone; a real engine ignores it.
+    ``[out=N]`` sets the output length of stand-ins; real engines ignore it.
     """
     prefix = f"{request.prefix} " * PREFIX_WORDS if request.prefix else ""
     head = f"{prefix}[out={request.output_tokens}] {request_id} "
@@ -78,7 +85,10 @@
 def plan_model_call(
     request: TraceRequest, request_id: str, expected: ExpectedText | None = None
 ) -> PlannedCall:
-    """Return a streamed completion for one request of a trace."""
+    """Return the call of a streamed completion for a request of a trace.
+
+    :param expected: returns the response to expect; unknown if ``None``.
+    """
     prompt = prompt_of(request, request_id)
     max_tokens = max(request.output_tokens, 1)
     body = {
@@ -98,11 +108,11 @@
 
 
 class LoadDriver:
-    """Sends calls and notes how they end.
+    """Sends calls and records their results.
 
     :param session: HTTP session of the caller.
-    :param base_url: address of an entry or of the balancer before several.
-    :param history: takes what was sent and answered.
+    :param base_url: base URL of an entry or of a load balancer.
+    :param history: receiver of the records of requests and responses.
     """
 
     def __init__(
@@ -114,7 +124,7 @@
         self.results: list[CallResult] = []
 
     async def send(self, planned: PlannedCall) -> CallResult:
-        """Send one call and wait for its end."""
+        """Send a call, wait for its response and record both."""
         loop = asyncio.get_running_loop()
         request = planned.request
         self.history.record(
@@ -127,7 +137,7 @@
                 expected_text=planned.expected_text,
             )
         )
-        answer = _Answer(loop.time(), request)
+        reader = _ResponseReader(loop.time(), request)
         try:
             async with self.session.post(
                 self.base_url + planned.path,
@@ -135,10 +145,10 @@
                 headers=_headers(planned),
                 timeout=aiohttp.ClientTimeout(total=request.deadline + 10.0),
             ) as response:
-                await answer.read(response)
+                await reader.read(response)
         except (aiohttp.ClientError, TimeoutError):
-            answer.cut_off = True
-        result = answer.result(loop.time())
+            reader.cut_off = True
+        result = reader.result(loop.time())
         self.results.append(result)
         self.history.record(
             RequestAnswered(
@@ -157,7 +167,11 @@
         calls: cabc.Sequence[PlannedCall],
         on_progress: cabc.Callable[[int, int], None] | None = None,
     ) -> list[CallResult]:
-        """Send every call at its time and wait for all."""
+        """Send all calls at their times and wait for their results.
+
+        :param calls: calls, sorted by time.
+        :param on_progress: called with the number of sent calls and of all calls.
+        """
         start = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as group:
             for number, planned in enumerate(calls, start=1):
@@ -181,10 +195,11 @@
     return headers
 
 
-class _Answer:
-    """What has been read of one answer.
+class _ResponseReader:
+    """Reads a response and measures its latencies.
 
-    :param sent_at: when the call was sent.
+    :param sent_at: time at which the call was sent, seconds on the event loop's clock.
+    :param request: request of the trace.
     """
 
     def __init__(self, sent_at: float, request: TraceRequest) -> None:
@@ -199,7 +214,7 @@
         self.chunks = 0
 
     async def read(self, response: aiohttp.ClientResponse) -> None:
-        """Read an answer, streamed or not."""
+        """Read a response, streamed or not."""
         if response.status != 200:
             self._on_error(await response.read())
         elif response.content_type == "text/event-stream":
@@ -241,7 +256,7 @@
         self.outcome = str(detail["outcome"])
 
     def result(self, now: float) -> CallResult:
-        """Return how the call ended."""
+        """Return the result of the call."""
         first = None if self.first_at is None else self.first_at - self.sent_at
         tokens = self.request.output_tokens
         between = None
@@ -264,7 +279,10 @@
 
 
 def percentile(values: cabc.Sequence[float], share: float) -> float | None:
-    """Return the value below which a share of the values lies; ``None`` for none."""
+    """Return a percentile of the values; ``None`` if there are none.
+
+    :param share: percentile as a fraction, 0 to 1.
+    """
     if not values:
         return None
     ordered = sorted(values)
--- a/src/bergamotmast/local_fleet.py
+++ b/src/bergamotmast/local_fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process, on loopback, with stand-ins for the outside."""
+"""A whole deployment in one process, with stand-ins for the external systems."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 LOOPBACK = "127.0.0.1"
 
 SERVICE_CONCURRENCY = 8
-"""Calls that a plain service of this fleet takes at once."""
+"""Maximum number of concurrent calls to a plain service."""
 
 READY_TIMEOUT = 30.0
-"""Seconds until every entry must have heard every side."""
+"""Maximum time until every entry has a ready session with every side."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What the deployment consists of.
+    """Components of a deployment.
 
-    :param configuration: the first configuration.
+    :param configuration: initial configuration.
     :param engines: availability zone of each engine, by name.
     :param services: availability zone of each plain service, by name.
     :param entries: availability zone of each entry, by name.
-    :param assignment: what every engine is and carries at its start.
-    :param versions: gigabytes of each version in the weight store.
+    :param assignment: initial role, models and adapters of every engine.
+    :param versions: size of each version in the weight store, gigabytes.
     """
 
     configuration: Configuration
@@ -64,11 +64,12 @@
 
 
 class LocalFleet:
-    """The running deployment.
+    """A running deployment.
 
-    :param plan: what it consists of.
-    :param history: everything that happened.
-    :param urls: address of each entry, by name.
+    :param plan: components of the deployment.
+    :param seed: seed of all random numbers.
+    :param history: records of all events.
+    :param urls: base URL of each entry, by name.
     """
 
     def __init__(self, plan: FleetPlan, seed: int) -> None:
@@ -90,7 +91,7 @@
         self._runners: list[web.AppRunner] = []
 
     async def start(self) -> None:
-        """Start everything and wait until every entry can serve."""
+        """Start all components and wait until every entry is ready."""
         await self.edit(self.plan.configuration, 0)
         for name, zone in self.plan.engines.items():
             self._start_engine(name, zone)
@@ -99,10 +100,13 @@
         for name, zone in self.plan.entries.items():
             await self._start_entry(name, zone)
         async with asyncio.timeout(READY_TIMEOUT):
-            await self._ready()
+            await self._wait_until_ready()
 
     async def edit(self, configuration: Configuration, against: int) -> None:
-        """Change the configuration as an operator does."""
+        """Change the configuration as an operator would.
+
+        :param against: generation that the edit is based on.
+        """
         nonce = f"edit-{against}"
         await self.store.propose(configuration, against, "operator", nonce)
 
@@ -184,7 +188,7 @@
     def _run(self, coroutine: cabc.Coroutine[None, None, None]) -> None:
         self._tasks.append(asyncio.create_task(coroutine))
 
-    async def _ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         count = len(self.sides)
         while True:
             peers = [e.core.membership.peers for e in self.entries.values()]
@@ -195,7 +199,7 @@
 
 @contextlib.asynccontextmanager
 async def local_fleet(plan: FleetPlan, seed: int) -> cabc.AsyncIterator[LocalFleet]:
-    """Run a deployment until the body ends."""
+    """Run a deployment during an ``async with`` block."""
     fleet = LocalFleet(plan, seed)
     await fleet.start()
     try:
