--- a/serve.py
+++ b/serve.py
@@ -1,4 +1,4 @@
-"""Starts the command from a checkout, where the package is not installed."""
+"""Run the command from a checkout without installing the package."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent
 
-# Nothing here speaks TLS, but the HTTP library reads all certificates of the machine as
-# it is imported: a tenth of a second, a sixth of the start.
+# The HTTP library loads all system certificates when it is imported, which takes a
+# tenth of a second, a sixth of the start. Nothing here uses TLS.
 os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
 if sys.argv[1:2] == ["direct"]:
-    # A reload would end the process until it has a handler, and imports take a while.
+    # Until a handler is installed, SIGHUP would terminate the process. The imports that
+    # come before it take a while.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 sys.path.insert(0, str(ROOT / "src"))
--- a/src/bergamotmast/cli.py
+++ b/src/bergamotmast/cli.py
@@ -1,8 +1,8 @@
-"""The ``bergamotmast`` command.
+"""Command line interface of ``bergamotmast``.
 
 Each subcommand is a module of :mod:`bergamotmast.commands` with two functions:
 ``add_arguments(parser)`` and ``run(arguments)``, which returns the exit code. Only the
-module of the subcommand that is asked for is imported.
+module of the chosen subcommand is imported.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from .errors import BergamotmastError
 
 EXIT_INTERRUPTED = 130
-"""128 and the number of SIGINT, as shells have it."""
+"""128 plus the number of SIGINT, as is usual in shells."""
 
 
 class CommandModule(t.Protocol):
-    """What a subcommand's module offers."""
+    """Interface of the module of a subcommand."""
 
     def add_arguments(self, parser: argparse.ArgumentParser) -> None:
-        """Give the subcommand's parser its arguments."""
+        """Add the subcommand's arguments to its parser."""
         ...
 
     def run(self, arguments: argparse.Namespace) -> int:
@@ -36,9 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Command:
-    """One subcommand; its module has the same name.
+    """Subcommand; its module has the same name.
 
-    :param help: what it does, for the list of subcommands.
+    :param name: name on the command line.
+    :param help: description in the list of subcommands.
     """
 
     name: str
@@ -51,21 +52,24 @@
 
 
 COMMANDS = (
-    Command("entry", "take callers in and send their requests to sides"),
-    Command("direct", "take callers in and reach upstreams without sides"),
-    Command("side", "stand before one upstream"),
+    Command("entry", "run an entry that sends callers' requests to sides"),
+    Command("direct", "run an entry that connects to upstreams without sides"),
+    Command("side", "run the side process of one upstream"),
     Command("config", "check, show, compare, edit the configuration"),
-    Command("status", "show the fleet as an entry knows it"),
-    Command("explain", "tell what happened to a request, from logs"),
+    Command("status", "show the fleet as an entry sees it"),
+    Command("explain", "show what happened to a request, from logs"),
     Command("load", "replay a trace against an entry"),
     Command("bench", "compare policies on a trace or scenario, in virtual time"),
-    Command("standin", "run a stand-in of something outside as a daemon"),
-    Command("demo", "run the whole system in one process, under real traffic"),
+    Command("standin", "run a stand-in for an external system as a daemon"),
+    Command("demo", "run the whole system in one process under load"),
 )
 
 
 def main(argv: cabc.Sequence[str] | None = None) -> int:
-    """Run a command line and return its exit code."""
+    """Run a command line and return the exit code.
+
+    :param argv: command line without the program name; ``sys.argv`` by default.
+    """
     given = list(sys.argv[1:] if argv is None else argv)
     try:
         arguments = build_parser(given).parse_args(given)
@@ -77,17 +81,18 @@
     except KeyboardInterrupt:
         return EXIT_INTERRUPTED
     except BrokenPipeError:
-        # The reader of our output, for instance ``head``, has gone. Python would
-        # complain again when it flushes at exit, so the stream is pointed elsewhere.
+        # The reader of the output, for instance ``head``, has exited. Python would
+        # raise the error again when it flushes the stream at exit, so the stream is
+        # redirected to the null device.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return BergamotmastError.exit_code
     return code
 
 
 def build_parser(argv: cabc.Sequence[str]) -> argparse.ArgumentParser:
-    """Return the parser for a command line, with one subcommand's arguments.
+    """Return the parser for a command line, with the arguments of its subcommand.
 
-    :param argv: the command line; its first word that is no flag is the subcommand.
+    :param argv: command line; the first word that isn't a flag names the subcommand.
     """
     parser = argparse.ArgumentParser(prog="bergamotmast", description=_description())
     parser.add_argument(
--- a/src/bergamotmast/commands/__init__.py
+++ b/src/bergamotmast/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The subcommands of the ``bergamotmast`` command, a module each."""
+"""Subcommands of the ``bergamotmast`` command, one per module."""
--- a/src/bergamotmast/commands/bench.py
+++ b/src/bergamotmast/commands/bench.py
@@ -1,4 +1,4 @@
-"""The ``bench`` command: policies on traces, or runs under faults, in virtual time."""
+"""The ``bench`` command: compares policies, or injects faults, in virtual time."""
 
 from __future__ import annotations
 
@@ -8,31 +8,33 @@
 from ..errors import BergamotmastError
 
 EXTRA_MODULES = ("looptime", "matplotlib", "numpy")
-"""What the package's ``bench`` extra installs."""
+"""Modules that the package's ``bench`` extra installs."""
 
 
 class MissingExtraError(BergamotmastError):
-    """The command needs what only an extra of the package installs."""
+    """The command needs modules of an extra that isn't installed."""
 
     exit_code = 2
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser the arguments of both kinds of run."""
+    """Add the arguments of benchmarks and of runs with faults to a parser."""
     _require_extra()
     from ..bench import cli as bench
     from ..faults import cli as faults
 
     bench.add_arguments(parser)
-    group = parser.add_argument_group("runs under faults instead")
+    group = parser.add_argument_group("runs with injected faults instead")
     group.add_argument(
-        "--faults", action="store_true", help="check the promises under seeded faults"
+        "--faults",
+        action="store_true",
+        help="check the system's promises under seeded faults",
     )
     faults.add_seed_arguments(group)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Make the runs of the kind that is asked for."""
+    """Run the benchmarks, or the runs with faults."""
     from ..bench import cli as bench
     from ..faults import cli as faults
 
@@ -40,7 +42,7 @@
 
 
 def _require_extra() -> None:
-    """Say what to install, before an import fails with a traceback."""
+    """Raise an error that names the missing modules, instead of an import error."""
     missing = [m for m in EXTRA_MODULES if importlib.util.find_spec(m) is None]
     if missing:
         raise MissingExtraError(
--- a/src/bergamotmast/commands/config.py
+++ b/src/bergamotmast/commands/config.py
@@ -1,4 +1,4 @@
-"""The ``config`` command: check, show, compare and edit the configuration."""
+"""The ``config`` command: checks, shows, compares and edits the configuration."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 from .connect import open_key_value
 
 LABEL_ATTEMPTS = 5
-"""Times a change of labels is put on top of somebody else's edit that came first."""
+"""Maximum number of attempts to change labels when other edits conflict."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser the actions on the configuration."""
+    """Add the command's actions to a parser."""
     actions = parser.add_subparsers(title="Actions", metavar="ACTION", required=True)
     _add_check(actions)
     _add_show(actions)
@@ -49,18 +49,18 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run one action."""
+    """Run the chosen action."""
     code: int = asyncio.run(arguments.action(arguments))
     return code
 
 
 _Actions = t.Any
-"""What ``add_subparsers`` returns; its type has no public name."""
+"""Return type of ``add_subparsers``, which has no public name."""
 
 _Action = cabc.Callable[[argparse.Namespace], cabc.Coroutine[t.Any, t.Any, int]]
 
 
-def _add(
+def _add_action(
     actions: _Actions, name: str, action: _Action, help_text: str, service: bool = True
 ) -> argparse.ArgumentParser:
     parser: argparse.ArgumentParser = actions.add_parser(
@@ -73,12 +73,12 @@
 
 
 def _add_check(actions: _Actions) -> None:
-    parser = _add(actions, "check", check, "check files", service=False)
+    parser = _add_action(actions, "check", check, "check files", service=False)
     parser.add_argument("files", nargs="+", type=pathlib.Path, metavar="FILE")
 
 
 def _add_show(actions: _Actions) -> None:
-    parser = _add(actions, "show", show, "print the current configuration")
+    parser = _add_action(actions, "show", show, "print the current configuration")
     _add_json(parser)
     parser.add_argument(
         "--generation", type=int, help="print an earlier generation from the history"
@@ -86,40 +86,46 @@
 
 
 def _add_diff(actions: _Actions) -> None:
-    parser = _add(actions, "diff", show_differences, "compare two configurations")
-    parser.add_argument("file", type=pathlib.Path, metavar="FILE", help="the newer one")
+    parser = _add_action(
+        actions, "diff", show_differences, "compare two configurations"
+    )
+    parser.add_argument(
+        "file", type=pathlib.Path, metavar="FILE", help="the newer file"
+    )
     parser.add_argument(
         "older",
         type=pathlib.Path,
         nargs="?",
         metavar="OLDER",
-        help="the older one; the current one in the key-value service if left out",
+        help="the older file; the current configuration by default",
     )
     _add_json(parser)
 
 
 def _add_apply(actions: _Actions) -> None:
-    parser = _add(actions, "apply", apply, "make a file the current configuration")
+    parser = _add_action(
+        actions, "apply", apply, "make a file the current configuration"
+    )
     parser.add_argument("file", type=pathlib.Path, metavar="FILE")
     parser.add_argument(
         "--against",
         type=int,
         metavar="GENERATION",
-        help="the generation that was edited; the file's own if left out",
+        help="generation that the edit is based on; the file's own by default",
     )
     parser.add_argument(
         "--latest",
         action="store_true",
-        help="replace whatever is current, whoever wrote it",
+        help="replace the current configuration, whoever wrote it",
     )
     parser.add_argument(
-        "--dry-run", action="store_true", help="print what would change, change nothing"
+        "--dry-run", action="store_true", help="print the changes without applying them"
     )
     _add_author(parser)
 
 
 def _add_label(actions: _Actions) -> None:
-    parser = _add(actions, "label", label, "change the labels of one upstream")
+    parser = _add_action(actions, "label", label, "change the labels of one upstream")
     parser.add_argument("upstream", metavar="UPSTREAM")
     parser.add_argument(
         "labels",
@@ -131,8 +137,10 @@
 
 
 def _add_history(actions: _Actions) -> None:
-    parser = _add(actions, "history", history, "list the newest edits")
-    parser.add_argument("--limit", type=int, default=20, help="how many [20]")
+    parser = _add_action(actions, "history", history, "list the newest edits")
+    parser.add_argument(
+        "--limit", type=int, default=20, help="maximum number of edits [20]"
+    )
     _add_json(parser)
 
 
@@ -142,12 +150,12 @@
 
 def _add_author(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "--author", default=None, help="name in the history [the user's own]"
+        "--author", default=None, help="author in the history [name of the user]"
     )
 
 
 async def check(arguments: argparse.Namespace) -> int:
-    """Check files and print what each holds."""
+    """Check files and print a summary of each."""
     for path in arguments.files:
         configuration = load_configuration(path)
         _print_warnings(configuration)
@@ -159,7 +167,7 @@
 
 
 async def show(arguments: argparse.Namespace) -> int:
-    """Print a generation from the service."""
+    """Print the current configuration or an earlier generation."""
     async with _open_store(arguments) as store:
         if arguments.generation is None:
             configuration = (await store.read()).configuration
@@ -173,7 +181,7 @@
 
 
 async def show_differences(arguments: argparse.Namespace) -> int:
-    """Print what differs between a file and another file or the service."""
+    """Print the differences between a file and another file or the service."""
     after = load_configuration(arguments.file)
     if arguments.older is not None:
         before = load_configuration(arguments.older)
@@ -185,7 +193,7 @@
 
 
 async def apply(arguments: argparse.Namespace) -> int:
-    """Propose a file."""
+    """Make a file the current configuration."""
     proposed = load_configuration(arguments.file)
     async with _open_store(arguments) as store:
         current = (await store.read()).configuration
@@ -199,7 +207,7 @@
 
 
 async def label(arguments: argparse.Namespace) -> int:
-    """Change one upstream's labels on top of whatever is current."""
+    """Change the labels of an upstream in the current configuration."""
     changes = parse_label_changes(arguments.labels)
     async with _open_store(arguments) as store:
         for attempt in range(1, LABEL_ATTEMPTS + 1):
@@ -219,7 +227,7 @@
 
 
 async def history(arguments: argparse.Namespace) -> int:
-    """Print the newest edits, newest first."""
+    """Print the latest edits, newest first."""
     async with _open_store(arguments) as store:
         records = await store.history(arguments.limit)
     for record in records:
--- a/src/bergamotmast/commands/connect.py
+++ b/src/bergamotmast/commands/connect.py
@@ -1,4 +1,4 @@
-"""Connections to the platform for commands that run once."""
+"""Connections to the platform for commands that don't run as daemons."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
 async def open_key_value(
     settings: KeyValueSettings,
 ) -> cabc.AsyncIterator[KeyValueService]:
-    """Give the key-value service to the body of an ``async with``."""
+    """Provide a client of the key-value service to an ``async with`` block."""
     async with client_session() as session:
         yield HttpKeyValueService(session, settings.key_value_url, "command")
--- a/src/bergamotmast/commands/direct.py
+++ b/src/bergamotmast/commands/direct.py
@@ -1,4 +1,4 @@
-"""The ``direct`` command: an entry that reaches upstreams without sides."""
+"""The ``direct`` command: runs an entry that connects to upstreams without sides."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser a flag for each setting."""
+    """Add a flag for each setting to a parser."""
     add_settings(parser, DirectEntrySettings)
 
 
@@ -23,12 +23,12 @@
     """Run an entry until SIGTERM."""
     settings = load_settings(DirectEntrySettings, arguments)
     configure_decision_logs(settings.log_level, settings.name)
-    # Collections of the oldest generation would look through all modules each time and
-    # stop the event loop for as long as a short request takes.
+    # Otherwise each garbage collection of the oldest generation would traverse all
+    # modules and block the event loop for as long as a short request takes.
     gc.freeze()
     with asyncio.Runner(loop_factory=BootTimeEventLoop) as runner:
         runner.run(serve_direct(settings))
-    # The interpreter would look through all objects once more at its end, which is the
-    # longest part of the time between the last answer and the process's end.
+    # Otherwise the interpreter would traverse all objects once more at exit, which
+    # takes most of the time between the last response and the end of the process.
     gc.freeze()
     return 0
--- a/src/bergamotmast/commands/entry.py
+++ b/src/bergamotmast/commands/entry.py
@@ -1,4 +1,4 @@
-"""The ``entry`` command: takes callers in and sends their requests to sides."""
+"""The ``entry`` command: runs an entry that sends callers' requests to sides."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser a flag for each setting."""
+    """Add a flag for each setting to a parser."""
     add_settings(parser, EntrySettings)
 
 
--- a/src/bergamotmast/commands/explain.py
+++ b/src/bergamotmast/commands/explain.py
@@ -1,4 +1,4 @@
-"""The ``explain`` command: what happened to one request."""
+"""The ``explain`` command: shows what happened to a request."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser its arguments."""
-    parser.add_argument("request_id", metavar="ID", help="the request's id")
+    """Add the command's arguments to a parser."""
+    parser.add_argument("request_id", metavar="ID", help="id of the request")
     parser.add_argument(
         "--logs",
         nargs="+",
         default=[STANDARD_INPUT],
         metavar="FILE",
-        help="logs of the processes that may have met it; - for standard input",
+        help="logs of the processes that may have handled it; - for standard input",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the story of a request."""
+    """Print the timeline of a request."""
     lines = [line for name in arguments.logs for line in _read(name)]
-    story = explain(arguments.request_id, lines)
-    if not story:
+    timeline = explain(arguments.request_id, lines)
+    if not timeline:
         print(f"No line of {arguments.request_id} is in these logs.", file=sys.stderr)
         return EXIT_NOT_FOUND
-    print(story, end="")
+    print(timeline, end="")
     return 0
 
 
--- a/src/bergamotmast/commands/side.py
+++ b/src/bergamotmast/commands/side.py
@@ -1,4 +1,4 @@
-"""The ``side`` command: stands before one upstream."""
+"""The ``side`` command: runs the side process of one upstream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser a flag for each setting."""
+    """Add a flag for each setting to a parser."""
     add_settings(parser, SideSettings)
 
 
--- a/src/bergamotmast/commands/standin.py
+++ b/src/bergamotmast/commands/standin.py
@@ -1,4 +1,4 @@
-"""The ``standin`` command: a stand-in of something outside as a daemon."""
+"""The ``standin`` command: runs a stand-in for an external system as a daemon."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser its arguments."""
-    parser.add_argument("kind", choices=KINDS, help="what it stands in for")
+    """Add the command's arguments to a parser."""
+    parser.add_argument("kind", choices=KINDS, help="external system to stand in for")
     parser.add_argument(
         "--listen-address",
         default="127.0.0.1:0",
         metavar="HOST:PORT",
-        help="where it listens; port 0 takes a free one [127.0.0.1:0]",
+        help="address to listen at; port 0 chooses a free port [127.0.0.1:0]",
     )
     parser.add_argument(
         "--options",
         default="{}",
         metavar="JSON",
-        help="what it needs besides, as one JSON object",
+        help="further options, as a JSON object",
     )
     parser.add_argument(
         "--history",
         type=pathlib.Path,
         metavar="FILE",
-        help="append what it saw to a file of JSON lines",
+        help="append its records to a file, as JSON lines",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Serve until SIGTERM; the first line printed is its address."""
+    """Serve until SIGTERM; the first line of the output is the stand-in's URL."""
     host, port = _address(arguments.listen_address)
     serving = _serve(arguments, host, port, _options(arguments.options))
     with contextlib.suppress(asyncio.CancelledError):
--- a/src/bergamotmast/commands/status.py
+++ b/src/bergamotmast/commands/status.py
@@ -1,4 +1,4 @@
-"""The ``status`` command: the fleet as one entry knows it."""
+"""The ``status`` command: shows the fleet as entries see it."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 
 class StatusError(BergamotmastError):
-    """The entry did not give its status."""
+    """The status of an entry could not be read."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Give the parser its arguments."""
+    """Add the command's arguments to a parser."""
     parser.add_argument(
         "--url",
         required=True,
         action="append",
-        help="address of an entry; given again for each further one",
+        help="base URL of an entry; may be repeated",
     )
     parser.add_argument(
         "--admin-key", required=True, metavar="KEY", help="key with the read scope"
@@ -53,12 +53,12 @@
         "--watch",
         type=float,
         metavar="SECONDS",
-        help="print again each so many seconds until interrupted",
+        help="refresh the output at this interval until interrupted",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the fleet as each entry knows it, once or until interrupted."""
+    """Print the fleet as each entry sees it, once or until interrupted."""
     if arguments.watch is not None and arguments.watch <= 0:
         raise SettingError("--watch", str(arguments.watch), "seconds above 0")
     while True:
@@ -95,7 +95,7 @@
 
 
 def table(status: FleetStatus) -> str:
-    """Return the fleet as a table with a head line."""
+    """Return the fleet as a text table with a heading."""
     rows = [COLUMNS, *(_row(upstream) for upstream in status.upstreams)]
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = ["  ".join(map(str.ljust, row, widths)).rstrip() for row in rows]
--- a/src/bergamotmast/reference.py
+++ b/src/bergamotmast/reference.py
@@ -1,7 +1,7 @@
-"""Writes the reference pages that follow from the code: settings and result codes.
+"""Generator of the reference pages of settings and result codes.
 
-``python -m bergamotmast.reference docs`` writes them; a test fails where a committed
-page differs.
+``python -m bergamotmast.reference docs`` writes them. A test fails if a committed page
+is out of date.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 def settings_page() -> str:
-    """Return the page of all settings."""
+    """Return the reference page of all settings, in Markdown."""
     sections: tuple[tuple[str, type[AnySettings]], ...] = (
         ("`bergamotmast entry`", EntrySettings),
         ("`bergamotmast side`", SideSettings),
@@ -73,7 +73,7 @@
 
 
 def result_codes_page() -> str:
-    """Return the page of all result codes."""
+    """Return the reference page of all result codes, in Markdown."""
     parts = [_CODES_INTRO]
     for first, title in _RANGES:
         codes = [code for code in ResultCode if first <= code < first + 100]
@@ -85,11 +85,11 @@
 
 
 PAGES = {"settings.md": settings_page, "result-codes.md": result_codes_page}
-"""What writes each page, by its path below ``docs``."""
+"""Function that returns each page, by its path below ``docs``."""
 
 
 def main(directory: pathlib.Path) -> None:
-    """Write every page below a directory."""
+    """Write all pages to a directory."""
     for name, page in PAGES.items():
         (directory / name).write_text(page())
 
--- a/src/bergamotmast/setting_kinds.py
+++ b/src/bergamotmast/setting_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of value a setting may have: how text becomes a value, or is refused."""
+"""Kinds of setting values: parsing and validation of their text."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of value.
+    """Kind of value of a setting.
 
-    :param parse: turns text into the value; raises ``ValueError`` for what is not
-        allowed.
-    :param allowed: what is allowed, for a person.
+    :param parse: converts text to the value; raises ``ValueError`` if it is invalid.
+    :param allowed: description of the allowed values, for error messages and help.
     """
 
     parse: cabc.Callable[[str], t.Any]
     allowed: str
 
 
-def integer(least: int, most: int) -> Kind:
-    """Return the kind of whole numbers between two bounds."""
+def integer(minimum: int, maximum: int) -> Kind:
+    """Return the kind of whole numbers between two bounds, inclusive."""
 
     def parse(text: str) -> t.Any:
-        return _between(int(text), least, most)
+        return _check_range(int(text), minimum, maximum)
 
-    return Kind(parse, f"a whole number from {least} to {most}")
+    return Kind(parse, f"a whole number from {minimum} to {maximum}")
 
 
-def number(least: float, most: float, unit: str) -> Kind:
-    """Return the kind of numbers between two bounds."""
+def number(minimum: float, maximum: float, unit: str) -> Kind:
+    """Return the kind of numbers between two bounds, inclusive.
+
+    :param unit: unit of the number, plural.
+    """
 
     def parse(text: str) -> t.Any:
-        return _between(float(text), least, most)
+        return _check_range(float(text), minimum, maximum)
 
-    return Kind(parse, f"a number of {unit} from {least:g} to {most:g}")
+    return Kind(parse, f"a number of {unit} from {minimum:g} to {maximum:g}")
 
 
 def choice(*values: str) -> Kind:
-    """Return the kind that allows just some words."""
+    """Return the kind that allows one of the given words."""
 
     def parse(text: str) -> str:
         if text not in values:
@@ -59,18 +61,18 @@
 
 
 def several(*values: str) -> Kind:
-    """Return the kind that allows some words, with commas between."""
+    """Return the kind that allows any of the given words, separated by commas."""
 
     def parse(text: str) -> str:
         if not set(text.split(",")) <= set(values):
             raise ValueError(text)
         return text
 
-    return Kind(parse, f"some of {', '.join(values)}, with commas between")
+    return Kind(parse, f"some of {', '.join(values)}, separated by commas")
 
 
 def optional(kind: Kind) -> Kind:
-    """Return a kind that also allows nothing, which is the empty text."""
+    """Return a kind that also allows an empty text."""
 
     def parse(text: str) -> t.Any:
         return kind.parse(text) if text else ""
@@ -78,8 +80,8 @@
     return Kind(parse, f"{kind.allowed}, or nothing")
 
 
-def _between(value: t.Any, least: float, most: float) -> t.Any:
-    if not math.isfinite(value) or not least <= value <= most:
+def _check_range(value: t.Any, minimum: float, maximum: float) -> t.Any:
+    if not math.isfinite(value) or not minimum <= value <= maximum:
         raise ValueError(value)
     return value
 
@@ -112,7 +114,7 @@
     ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     if not separator or not port.isascii() or not port.isdigit():
         raise ValueError(text)
-    _between(int(port), 0, 65535)
+    _check_range(int(port), 0, 65535)
     return text
 
 
--- a/src/bergamotmast/settings.py
+++ b/src/bergamotmast/settings.py
@@ -1,7 +1,7 @@
-"""The settings of every process: flags, then environment variables, then defaults.
+"""Settings of all processes, from flags, environment variables and defaults.
 
-Each setting is declared once, as a field of a frozen data class; its flag and its
-environment variable follow from the field's name.
+Each setting is declared once, as a field of a frozen data class. Its flag and its
+environment variable are derived from the field's name.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declaration:
-    """What is known of a setting before it has a value.
+    """Declaration of a setting.
 
-    :param field: name of its field.
-    :param kind: which values are allowed.
-    :param default: value where none is given; ``None`` where one must be given.
-    :param group: heading it stands under.
-    :param help: what it does, for a person.
+    :param field: name of the field.
+    :param kind: kind of value.
+    :param default: default value; ``None`` for a required setting.
+    :param group: heading in the help and the reference page.
+    :param help: description for operators.
     """
 
     field: str
@@ -53,7 +53,7 @@
 
     @property
     def flag(self) -> str:
-        """The setting as written on the command line."""
+        """The setting's flag on the command line."""
         return "--" + self.field.replace("_", "-")
 
     @property
@@ -63,7 +63,7 @@
 
     @property
     def default_text(self) -> str:
-        """The default as it would be given; ``required`` where there is none."""
+        """The default as text; ``required`` for a required setting."""
         if self.default is None:
             return "required"
         if isinstance(self.default, bool):
@@ -90,52 +90,57 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class KeyValueSettings:
-    """Where the key-value service is; all that the ``config`` commands need."""
+    """Settings of the ``config`` commands: the URL of the key-value service."""
 
-    key_value_url: str = _setting(URL, _PLATFORM, "the key-value service")
+    key_value_url: str = _setting(URL, _PLATFORM, "base URL of the key-value service")
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SharedSettings(KeyValueSettings):
-    """What entries and sides have in common."""
+    """Settings that entries and sides share."""
 
-    name: str = _setting(NAME, _PROCESS, "unique name; a side takes its upstream's")
+    name: str = _setting(
+        NAME, _PROCESS, "unique name; a side has the name of its upstream"
+    )
     zone: str = _setting(NAME, _PROCESS, "availability zone of this instance")
     shutdown_seconds: float = _setting(
         number(0, 3600, "seconds"),
         _PROCESS,
-        "most time that work in flight is given to end after SIGTERM",
+        "maximum time for running requests to complete after SIGTERM",
         600.0,
     )
-    instance_list_url: str = _setting(URL, _PLATFORM, "the instance list")
+    instance_list_url: str = _setting(URL, _PLATFORM, "URL of the instance list")
     weight_store_url: str = _setting(
-        optional(URL), _PLATFORM, "the weight store; not asked if empty", ""
+        optional(URL), _PLATFORM, "base URL of the weight store; not used if empty", ""
     )
     curve_secret_file: str = _setting(
         optional(FILE),
         _KEYS,
-        "file with this process's CURVE key pair; no keys are used if empty",
+        "file with this process's CURVE key pair; CURVE is off if empty",
         "",
     )
     curve_peers_file: str = _setting(
         optional(FILE),
         _KEYS,
-        "file with the public CURVE keys of the peers that are let in",
+        "file with the public CURVE keys of the accepted peers",
         "",
     )
     log_format: str = _setting(
-        choice("text", "json"), _LOGS, "form of the logs", "text"
+        choice("text", "json"), _LOGS, "format of the logs", "text"
     )
-    log_level: str = _setting(_LOG_LEVEL, _LOGS, "least level", "info")
-    policy: str = _setting(NAME, _WORK, "name of the policy under load", "default")
+    log_level: str = _setting(_LOG_LEVEL, _LOGS, "lowest level that is logged", "info")
+    policy: str = _setting(NAME, _WORK, "name of the policy set", "default")
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EntrySettings(SharedSettings):
-    """An entry's settings."""
+    """Settings of an entry."""
 
     listen_address: str = _setting(
-        ADDRESS, _CALLERS, "where callers and operators come in", "127.0.0.1:8080"
+        ADDRESS,
+        _CALLERS,
+        "address that callers and operators connect to",
+        "127.0.0.1:8080",
     )
     tls_certificate_file: str = _setting(
         optional(FILE), _CALLERS, "certificate chain in PEM; plain HTTP if empty", ""
@@ -144,96 +149,105 @@
         optional(FILE), _CALLERS, "private key of the certificate, in PEM", ""
     )
     max_body_bytes: int = _setting(
-        integer(1_024, 1 << 30), _CALLERS, "largest body taken", DEFAULT_BODY_BYTES
+        integer(1_024, 1 << 30),
+        _CALLERS,
+        "maximum size of a request body",
+        DEFAULT_BODY_BYTES,
     )
     max_context_tokens: int = _setting(
         integer(1, 10_000_000),
         _CALLERS,
-        "longest prompt and answer together, in tokens",
+        "maximum length of prompt and output together, in tokens",
         DEFAULT_CONTEXT_TOKENS,
     )
     planner: bool = _setting(
         BOOLEAN, _WORK, "whether this entry may hold the planner's lease", True
     )
     planner_lease_seconds: int = _setting(
-        integer(2, 600), _WORK, "time to live of the planner's lease, seconds", 10
+        integer(2, 600), _WORK, "time to live of the planner's lease, in seconds", 10
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class DirectEntrySettings:
-    """An entry's settings where it reaches upstreams without sides."""
+    """Settings of an entry that connects to upstreams without sides."""
 
     name: str = _setting(NAME, _PROCESS, "unique name of this instance")
     zone: str = _setting(NAME, _PROCESS, "availability zone of this instance")
     shutdown_seconds: float = _setting(
         number(0, 3600, "seconds"),
         _PROCESS,
-        "most time from SIGTERM to the end of the process",
+        "maximum time from SIGTERM to the end of the process",
         8.0,
     )
     order_pause_ms: int = _setting(
         integer(0, 600_000),
         _PLATFORM,
-        "milliseconds between the orders of two planners",
+        "minimum time between the orders of two planners, in milliseconds",
         3_000,
     )
     retry_share: float = _setting(
-        number(0, 10, "second sends"),
+        number(0, 10, "retries"),
         _WORK,
-        "second sends that all entries may make for each request in ten seconds",
+        "retries that all entries together may make per request in ten seconds",
         0.2,
     )
     retry_free: float = _setting(
-        number(0, 1e6, "second sends"),
+        number(0, 1e6, "retries"),
         _WORK,
-        "second sends that they may make beside those",
+        "retries in ten seconds that they may make in addition",
         20.0,
     )
     switched_off: str = _setting(
         optional(several(*sorted(DECISION_NAMES))),
         _WORK,
-        "decisions that are not taken, to see what they are worth",
+        "decisions that are switched off, to measure their effect",
         "",
     )
-    store_address: str = _setting(ADDRESS, _PLATFORM, "the platform's store")
+    store_address: str = _setting(ADDRESS, _PLATFORM, "address of the platform's store")
     store_recovery_ms: int = _setting(
         integer(1_500, 31_000),
         _PLATFORM,
-        "milliseconds in which a connection to the store that went silent is replaced",
+        "milliseconds until an unresponsive connection to the store is replaced",
         3_000,
     )
-    listen_address: str = _setting(ADDRESS, _CALLERS, "where callers come in")
-    ready_address: str = _setting(
-        ADDRESS, _CALLERS, "where the platform asks whether this entry is ready"
-    )
+    listen_address: str = _setting(ADDRESS, _CALLERS, "address that callers connect to")
+    ready_address: str = _setting(ADDRESS, _CALLERS, "address of the readiness probe")
     peer_address: str = _setting(
-        ADDRESS, _PROCESS, "where other entries send datagrams to this one"
+        ADDRESS, _PROCESS, "address for datagrams from other entries"
     )
-    log_level: str = _setting(_LOG_LEVEL, _LOGS, "least level", "info")
+    log_level: str = _setting(_LOG_LEVEL, _LOGS, "lowest level that is logged", "info")
     metrics_address: str = _setting(
-        optional(ADDRESS), _LOGS, "where Prometheus reads metrics; off if empty", ""
+        optional(ADDRESS),
+        _LOGS,
+        "address that Prometheus scrapes; no metrics if empty",
+        "",
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SideSettings(SharedSettings):
-    """A side's settings."""
+    """Settings of a side."""
 
     listen_address: str = _setting(
         ADDRESS,
         _PROCESS,
-        "fixed address that entries reach this side at; bound exclusively",
+        "fixed address that entries connect to; bound exclusively",
     )
     metrics_address: str = _setting(
-        optional(ADDRESS), _LOGS, "where Prometheus reads metrics; off if empty", ""
+        optional(ADDRESS),
+        _LOGS,
+        "address that Prometheus scrapes; no metrics if empty",
+        "",
+    )
+    upstream_url: str = _setting(
+        URL, _UPSTREAM, "base URL of the upstream beside this process"
     )
-    upstream_url: str = _setting(URL, _UPSTREAM, "the upstream beside this process")
     upstream_kind: str = _setting(
-        choice("engine", "service"), _UPSTREAM, "what the upstream is", "engine"
+        choice("engine", "service"), _UPSTREAM, "kind of upstream", "engine"
     )
     service_concurrency: int = _setting(
-        integer(1, 10_000), _UPSTREAM, "most calls a plain service takes at once", 16
+        integer(1, 10_000), _UPSTREAM, "maximum concurrent calls to a plain service", 16
     )
 
 
@@ -243,7 +257,7 @@
 
 
 def declarations(settings: type[AnySettings]) -> tuple[Declaration, ...]:
-    """Return the declarations of a settings class, by group."""
+    """Return the declarations of a settings class, sorted by group."""
     found = [
         Declaration(field.name, *field.metadata[_DECLARATION])
         for field in dataclasses.fields(settings)
@@ -253,7 +267,7 @@
 
 
 def add_settings(parser: argparse.ArgumentParser, settings: type[AnySettings]) -> None:
-    """Give a parser a flag for each setting, under the group's heading."""
+    """Add a flag for each setting to a parser, in argument groups."""
     groups: dict[str, argparse._ArgumentGroup] = {}
     for declaration in declarations(settings):
         group = declaration.group
@@ -271,11 +285,11 @@
     given: argparse.Namespace,
     environment: cabc.Mapping[str, str] | None = None,
 ) -> _S:
-    """Return checked settings.
+    """Load and validate settings from flags, environment variables and defaults.
 
-    :param given: parsed flags; one that was not given is ``None`` or absent.
-    :param environment: environment variables; the process's own by default.
-    :raises SettingError: for the first value that is not allowed.
+    :param given: parsed flags; a flag that was not given is ``None`` or absent.
+    :param environment: environment variables; those of the process by default.
+    :raises SettingError: for the first missing or invalid value.
     """
     environment = os.environ if environment is None else environment
     values = {
@@ -283,7 +297,7 @@
         for declaration in declarations(t.cast("type[AnySettings]", settings))
     }
     loaded = settings(**values)
-    _check_together(loaded)
+    _check_combinations(loaded)
     return loaded
 
 
@@ -316,7 +330,7 @@
         raise SettingError(source, text, declaration.kind.allowed) from error
 
 
-def _check_together(settings: AnySettings) -> None:
+def _check_combinations(settings: AnySettings) -> None:
     if isinstance(settings, EntrySettings):
         _both_or_none(settings, "tls_certificate_file", "tls_key_file")
     if isinstance(settings, SharedSettings):
