--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -1,4 +1,4 @@
-"""The whole system as separate processes on loopback, for tests that kill them."""
+"""Runs the whole system as separate processes on loopback, for tests that kill them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,10 @@
 
 
 class ProcessFleet:
-    """Processes by name, started with the command line that operators use."""
+    """Processes by name, started with the command line that operators use.
+
+    :param directory: directory of the logs and histories.
+    """
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.directory = directory
@@ -150,9 +153,9 @@
         command: tuple[str, ...],
         program: tuple[str, ...] = ("-m", "bergamotmast"),
     ) -> str:
-        """Start a process and return the first line it prints, when it is ready.
+        """Start a process; wait for its first line of output and return it.
 
-        :param program: what Python runs; the command line by default.
+        :param program: arguments of Python; run the package by default.
         """
         self.commands[name] = command
         log = (self.directory / f"{name}.log").open("ab")
@@ -174,7 +177,7 @@
         await self.launch(name, self.commands[name])
 
     async def until_serving(self, entry: str, upstreams: int) -> None:
-        """Wait until an entry has a session with so many sides."""
+        """Wait until an entry has sessions with at least ``upstreams`` sides."""
         url = self.urls[entry] + "/health/sides"
         async with aiohttp.ClientSession() as session:
             async with asyncio.timeout(START_TIMEOUT):
@@ -203,7 +206,7 @@
                 await self.kill(name)
 
     def records(self):
-        """Everything that callers and stand-ins saw, in order of time."""
+        """Return the records of callers and stand-ins, sorted by time."""
         found = list(self.history.records)
         for path in self.directory.glob("*.jsonl"):
             found += read_history(path)
@@ -220,7 +223,7 @@
     entry_flags=(),
     service_seconds=0.2,
 ):
-    """Run the system until the body ends; every process started is ended."""
+    """Run the system during an ``async with`` block, then kill its processes."""
     built = ProcessFleet(directory)
     built.side_flags = side_flags
     built.entry_flags = entry_flags
--- a/tests/test_bounded_log.py
+++ b/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Decision logs: one JSON line each, bounded, never waiting."""
+"""The logging handler that writes JSON lines without blocking."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def pipe():
-    """Return a logger whose handler writes to a pipe, and the end to read from."""
+    """Return a logger that writes to a pipe, its handler, and the pipe's read end."""
     readable, writable = os.pipe()
     handler = BoundedJsonHandler(writable, "entry-1")
     logger = logging.Logger("test")
@@ -37,7 +37,7 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_line_holds_what_decided(pipe):
+def test_line_contains_the_event_and_extra_fields(pipe):
     logger, _, readable = pipe
     logger.info("send failed", extra={"upstream": "i-1", "sends": 2})
     (line,) = lines(readable)
@@ -47,7 +47,7 @@
     assert {"at", "steady", "level"} <= set(line)
 
 
-def test_exception_stays_on_one_line(pipe):
+def test_exception_is_written_on_one_line(pipe):
     logger, _, readable = pipe
     try:
         raise ValueError("no")
@@ -57,11 +57,11 @@
     assert "ValueError: no" in line["exception"]
 
 
-def test_reader_that_stops_holds_nobody(pipe):
-    """Whatever reads the logs hangs: the pipe fills, and no request may wait for it.
+def test_stopped_reader_does_not_block_logging(pipe):
+    """The reader of the logs hangs and the pipe fills up; no request may block on it.
 
-    What does not fit is dropped and counted, memory stays bounded, and once the
-    reader is back the next line says how many are missing.
+    Lines that don't fit are dropped and counted, memory stays bounded, and once the
+    reader resumes, the next line gives the number of dropped lines.
     """
     logger, handler, readable = pipe
     began = time.monotonic()
@@ -76,13 +76,13 @@
         handler.flush()
     logger.warning("after")
     (line,) = lines(readable)
-    told = [found.get("dropped_before", 0) for found in (*lines_before, line)]
+    dropped = [found.get("dropped_before", 0) for found in (*lines_before, line)]
     assert line["dropped_before"] > 0
-    assert len(lines_before) + sum(told) == 3_000
+    assert len(lines_before) + sum(dropped) == 3_000
 
 
-def test_flood_is_cut_but_warnings_pass(pipe):
-    """Four times the usual load: lines below a warning are bounded in a second."""
+def test_lines_below_warning_are_rate_limited(pipe):
+    """The rate is four times the limit; warnings are written even so."""
     logger, _, readable = pipe
     record = logger.makeRecord("test", logging.INFO, "", 0, "decision", (), None)
     written = []
@@ -98,8 +98,8 @@
     assert last["dropped_before"] == LINES_A_SECOND * 3
 
 
-def test_closed_output_ends_nothing():
-    """The reader is gone for good: the process serves on without its logs."""
+def test_closed_output_raises_no_error():
+    """The reader has closed the pipe; the process continues without logs."""
     readable, writable = os.pipe()
     os.close(readable)
     handler = BoundedJsonHandler(writable, "entry-1")
@@ -110,14 +110,14 @@
     os.close(writable)
 
 
-class Unwritable:
-    """Something that has no text."""
+class Unprintable:
+    """Object whose conversion to text fails."""
 
     def __str__(self) -> str:
         raise ValueError("no text")
 
 
-def test_line_with_bytes_that_are_no_utf8_is_written(pipe):
+def test_line_with_bytes_that_are_not_utf8_is_written(pipe):
     logger, _, readable = pipe
     logger.info("request ended", extra={"target": "/a\udcff", "more": ["\ud800"]})
     (line,) = lines(readable)
@@ -125,9 +125,9 @@
     assert line["target"] == "/a\udcff"
 
 
-def test_line_that_can_not_be_written_is_counted_and_ends_nothing(pipe):
+def test_record_that_can_not_be_encoded_is_dropped_and_counted(pipe):
     logger, _, readable = pipe
-    logger.info("request ended", extra={"upstream": Unwritable()})
+    logger.info("request ended", extra={"upstream": Unprintable()})
     logger.info("%d requests", "many")
     logger.info("request ended")
     (line,) = lines(readable)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 
 
-def test_the_module_runs_as_a_program():
+def test_the_package_can_be_run_as_a_module():
     command = [sys.executable, "-m", "bergamotmast", "--version"]
     result = subprocess.run(command, capture_output=True, text=True, check=True)
     assert result.stdout == f"bergamotmast {__version__}\n"
@@ -36,13 +36,13 @@
     assert all(command.help in shown for command in COMMANDS)
 
 
-def test_a_command_line_that_is_wrong_exits_with_2(capsys):
+def test_an_invalid_command_exits_with_2(capsys):
     with pytest.raises(SystemExit, match="2"):
         main(["confg"])
     assert "invalid choice: 'confg'" in capsys.readouterr().err
 
 
-def test_checking_files(capsys):
+def test_valid_files_pass_the_check(capsys):
     names = [str(path) for path in sorted(EXAMPLES.glob("*/config.yaml"))]
     assert main(["config", "check", *names]) == 0
     assert capsys.readouterr().out.count(": valid, ") == 2
@@ -56,7 +56,7 @@
     assert shown.startswith(f"Error 602: {path}:1: label: there is no field 'label'")
 
 
-def test_an_interrupt_exits_as_shells_expect(monkeypatch):
+def test_an_interrupt_exits_with_the_code_of_sigint(monkeypatch):
     def interrupt(arguments: object) -> int:
         raise KeyboardInterrupt
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Deadlines pass while a machine is suspended, though its monotonic clock stands."""
+"""Deadlines expire while the machine is suspended and its monotonic clock stops."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Suspension:
-    """Time that only the clock which counts suspensions knows of."""
+    """Simulates suspended time, which only ``CLOCK_BOOTTIME`` includes."""
 
     def __init__(self, monkeypatch) -> None:
         self.seconds = 0.0
@@ -25,11 +25,11 @@
         )
 
 
-def test_deadline_that_passed_while_suspended_is_over_at_the_first_look(monkeypatch):
-    """A task waits for input with a deadline; the machine sleeps past it and wakes.
+def test_deadline_that_passed_while_suspended_expires_before_input_is_read(monkeypatch):
+    """A task reads with a timeout; the machine is suspended beyond the timeout.
 
-    The input comes at the same moment. The task must see the timeout, not the input:
-    what it would do with it is based on what was true before.
+    Input arrives at the moment of the resume. The task must get the timeout and not
+    the input, as it would act on state from before the suspension.
     """
     suspension = Suspension(monkeypatch)
     seen = []
@@ -67,10 +67,10 @@
     return reader, writer
 
 
-def test_call_suspended_past_its_deadline_is_sent_nowhere_else(monkeypatch):
+def test_call_suspended_past_its_deadline_is_not_retried(monkeypatch):
     """A replica fails a call while the entry is suspended beyond the call's deadline.
 
-    The caller has long given up; a second send would be work for nobody.
+    The caller has given up long ago; a retry would be wasted work.
     """
     suspension = Suspension(monkeypatch)
 
@@ -89,8 +89,8 @@
     assert len(one.received) + len(two.received) == 1
 
 
-def test_direct_entry_runs_on_that_clock(monkeypatch):
-    """Its leases and deadlines are only right on the loop that counts suspensions."""
+def test_direct_entry_uses_the_boot_time_loop(monkeypatch):
+    """Leases and deadlines of the direct entry must include suspended time."""
     kinds = []
 
     async def serve(settings) -> None:
--- a/tests/test_daemon_stopping.py
+++ b/tests/test_daemon_stopping.py
@@ -1,4 +1,4 @@
-"""Entries and sides as processes that are told to end, or to reload, under load."""
+"""Entry and side processes that receive SIGTERM or SIGHUP under load."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 END_SECONDS = 30.0
 
 
-async def ended(f, name):
-    """Return a process's exit status after it ended by itself."""
+async def exit_status(f, name):
+    """Wait until a process ends by itself; return its exit status."""
     async with asyncio.timeout(END_SECONDS):
         return await f.processes[name].wait()
 
@@ -45,7 +45,7 @@
 
 @contextlib.asynccontextmanager
 async def streaming(f, entry, seconds, tokens=60, every=0.1):
-    """Send streams through an entry for so long; their ends are in the history."""
+    """Send streams to an entry for some seconds; the history records their results."""
     count = int(seconds / every)
     calls = [stream(every * i, f"{entry}-{i}", tokens) for i in range(count)]
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as own:
@@ -55,32 +55,34 @@
         await replay
 
 
-async def test_no_call_on_a_kept_connection_is_cut_as_its_entry_ends(tmp_path):
-    # Callers send without rest, each on the connection that it kept, while the entry
-    # is told to end. It may answer a call or refuse it; a connection that is closed
-    # without a word leaves the caller to guess whether its order was placed.
+async def test_shutdown_of_an_entry_cuts_off_no_call_on_a_keep_alive_connection(
+    tmp_path,
+):
+    # Callers send continuously on keep-alive connections while the entry receives
+    # SIGTERM. It may answer a call or refuse it. If it closed a connection without a
+    # response, the caller couldn't know whether its order was placed.
     async with process_fleet(tmp_path, engines=0, entries=1) as f:
         callers = KeptCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal("entry-1", signal.SIGTERM)
-            assert await ended(f, "entry-1") == 0
+            assert await exit_status(f, "entry-1") == 0
     assert callers.statuses[200] > CALLERS
     assert callers.cut == []
 
 
 async def replace_side(f, name):
-    """End a side, and start it again once it has ended."""
+    """Shut down a side and start it again."""
     f.signal(f"side-{name}", signal.SIGTERM)
-    assert await ended(f, f"side-{name}") == 0
+    assert await exit_status(f, f"side-{name}") == 0
     await f.relaunch(f"side-{name}")
     await f.until_serving("entry-1", len(f.sides))
 
 
-async def test_sides_replaced_one_after_the_other_lose_nothing(tmp_path):
-    # Orders without a key and streams run without rest while each side in turn is
-    # ended and started again. There is always another one, so everything is answered
-    # whole: an order that never reached its service must not end as "unknown".
+async def test_sides_replaced_in_turn_lose_no_request(tmp_path):
+    # Orders without a key and streams run continuously while each side in turn is shut
+    # down and started again. Another side is always available, so every response is
+    # complete: an order that never reached its service must not end as "unknown".
     async with process_fleet(tmp_path, entries=1) as f:
         callers = KeptCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS), streaming(f, "entry-1", 12.0):
@@ -92,9 +94,9 @@
     assert counts.answered_whole == counts.sent
 
 
-async def test_sides_and_an_entry_that_end_together_lose_nothing(tmp_path):
-    # A side of each kind and one of two entries are told to end within 0.2 s. What
-    # the other entry was sent is answered whole, the ending one answers or refuses.
+async def test_simultaneous_shutdown_of_sides_and_an_entry_loses_no_request(tmp_path):
+    # A side of each kind and one of two entries receive SIGTERM within 0.2 s. Requests
+    # to the other entry are answered completely; the first entry answers or refuses.
     async with process_fleet(tmp_path) as f:
         leaving, staying = (KeptCallers(f.urls[f"entry-{n}"]) for n in (1, 2))
         async with (
@@ -108,7 +110,7 @@
                 f.signal(name, signal.SIGTERM)
                 await asyncio.sleep(0.1)
             for name in ("side-service-1", "entry-1", "side-engine-1"):
-                assert await ended(f, name) == 0
+                assert await exit_status(f, name) == 0
         records = f.records()
     counts = summary(records)
     assert (staying.unanswered, len(staying.ran(records))) == ({}, 0)
@@ -118,9 +120,10 @@
 
 
 @pytest.mark.parametrize("name", ["entry-1", "side-service-1", "side-engine-1"])
-async def test_a_reload_disturbs_nothing(name, tmp_path):
-    # SIGHUP asks a process to read its files again. Nothing is read while running, so
-    # nobody may notice: every call is answered, every stream whole, the process stays.
+async def test_a_reload_interrupts_no_request(name, tmp_path):
+    # SIGHUP asks a process to reload its files. No file is read at run time, so the
+    # signal must have no effect: every call is answered, every stream is complete, and
+    # the process continues.
     flags = ("--log-level", "info")
     async with process_fleet(
         tmp_path, 1, 1, 1, side_flags=flags, entry_flags=flags
@@ -141,8 +144,8 @@
 @pytest.mark.parametrize("again", [signal.SIGTERM, signal.SIGINT])
 @pytest.mark.parametrize("name", ["entry-1", "side-service-1"])
 async def test_a_second_signal_cuts_nothing_off(name, again, tmp_path):
-    # The platform says SIGTERM twice, or a person adds Ctrl-C. The process is ending
-    # already, and goes on ending as if told once.
+    # The platform sends SIGTERM twice, or a person adds Ctrl-C. The shutdown has
+    # already begun and continues unchanged.
     async with process_fleet(tmp_path, engines=0, entries=1) as f:
         callers = KeptCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
@@ -152,7 +155,7 @@
                 await asyncio.sleep(0.05)
                 with contextlib.suppress(ProcessLookupError):
                     f.signal(name, again)
-            assert await ended(f, name) == 0
+            assert await exit_status(f, name) == 0
     assert (callers.cut, callers.outcomes - {"", "not_run"}) == ([], set())
 
 
@@ -164,10 +167,11 @@
         return (await response.json()).get("error", {}).get("outcome")
 
 
-async def test_who_is_left_at_the_end_of_the_time_is_told_what_is_known(tmp_path):
-    # One order runs at a service that takes one at a time, another waits behind it, a
-    # stream is half way. The entry's time is over: the caller of the first hears
-    # "unknown", that of the second "not run", the stream ends with a code.
+async def test_requests_left_at_an_entrys_shutdown_deadline_get_their_outcome(tmp_path):
+    # One order runs at a service with a concurrency of one, another is queued, and a
+    # stream is half complete when the entry reaches its shutdown deadline. The caller
+    # of the first order gets "unknown", that of the second "not run", and the stream
+    # ends with a result code.
     flags = ("--service-concurrency", "1")
     async with (
         process_fleet(
@@ -188,10 +192,10 @@
         driver = LoadDriver(session, f.urls["entry-1"], f.history)
         long = asyncio.create_task(driver.send(stream(0.0, 1, 4_000)))
         await asyncio.sleep(0.3)
-        told_at = time.monotonic()
+        signalled_at = time.monotonic()
         f.signal("entry-1", signal.SIGTERM)
-        assert await ended(f, "entry-1") == 0
-        seconds = time.monotonic() - told_at
+        assert await exit_status(f, "entry-1") == 0
+        seconds = time.monotonic() - signalled_at
         found = await asyncio.gather(running, waiting, return_exceptions=True)
         result = await long
     assert found == ["unknown", "not_run"]
@@ -199,10 +203,10 @@
     assert seconds < 8.0
 
 
-async def test_calls_that_a_side_leaves_at_the_end_of_its_time_are_known(tmp_path):
-    # An order runs at a side whose time is over. The side says so: its caller hears
-    # "unknown" at once, instead of waiting until the side counts as lost. A stream on
-    # another such side goes on elsewhere.
+async def test_requests_left_at_a_sides_shutdown_deadline_get_their_outcome(tmp_path):
+    # An order runs at a side that reaches its shutdown deadline. The side reports it,
+    # so that the caller gets "unknown" at once instead of after the session timeout. A
+    # stream on another such side continues at another engine.
     flags = ("--shutdown-seconds", "1")
     async with (
         process_fleet(
@@ -215,22 +219,23 @@
         calls = [driver.send(stream(0.0, i, 200)) for i in range(4)]
         streams = asyncio.gather(*calls)
         await asyncio.sleep(1.0)
-        told_at = time.monotonic()
+        signalled_at = time.monotonic()
         for name in ("side-service-1", "side-engine-1"):
             f.signal(name, signal.SIGTERM)
         outcome = await running
-        seconds = time.monotonic() - told_at
+        seconds = time.monotonic() - signalled_at
         for name in ("side-service-1", "side-engine-1"):
-            assert await ended(f, name) == 0
+            assert await exit_status(f, name) == 0
         results = await streams
     assert (outcome, [r.code for r in results]) == ("unknown", [0] * 4)
     assert seconds < 3.0
 
 
-async def test_an_entry_that_stands_still_gets_the_last_answers_of_a_side(tmp_path):
-    # A side is told to end and hands over its last answers while its entry stands
-    # still. ZeroMQ drops what the entry has not read when the connection closes, and
-    # orders that ran would end as "unknown": the side waits until it hears the entry.
+async def test_a_paused_entry_receives_the_last_answers_of_a_side(tmp_path):
+    # A side receives SIGTERM and sends its last answers while its entry is paused.
+    # ZeroMQ drops what the entry hasn't read when the connection closes, and orders
+    # that ran would end as "unknown". The side therefore waits for heartbeats of the
+    # entry.
     async with process_fleet(tmp_path, 0, 2, 1) as f:
         callers = KeptCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
@@ -239,7 +244,7 @@
             await asyncio.sleep(0.05)
             await f.pause("entry-1", 1.0)
             callers.stopping = True
-            assert await ended(f, "side-service-1") == 0
+            assert await exit_status(f, "side-service-1") == 0
         records = f.records()
     assert callers.statuses[200] > CALLERS
     assert (callers.unanswered, len(callers.ran(records))) == ({}, 0)
@@ -260,9 +265,9 @@
 """
 
 
-async def test_a_fault_beside_the_requests_ends_an_entry_gracefully(tmp_path):
-    # A task that has no part in requests, the planner, fails in an entry under load.
-    # The process ends, since it is broken, but as if told to: no call is cut.
+async def test_a_failed_background_task_shuts_an_entry_down_gracefully(tmp_path):
+    # The planner, a background task that isn't involved in requests, fails in an entry
+    # under load. The process shuts down as after SIGTERM, without cutting off a call.
     program = FAILING.format(module="bergamotmast.planner.planner", kind="Planner")
     async with process_fleet(tmp_path, 0, 2, 1) as f:
         await f.kill("entry-1")
@@ -270,25 +275,25 @@
         await f.until_serving("entry-1", 2)
         callers = KeptCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
-            assert await ended(f, "entry-1") != 0
+            assert await exit_status(f, "entry-1") != 0
         log = (tmp_path / "entry-1.log").read_text()
     assert callers.statuses[200] > CALLERS
     assert (callers.cut, callers.outcomes - {"", "not_run"}) == ([], set())
     assert "a fault of ours" in log
 
 
-async def test_a_fault_beside_the_requests_ends_a_side_gracefully(tmp_path):
-    # The task that follows the configuration fails in a side with calls under way.
-    # They are answered where they are, and new ones go to the other side.
+async def test_a_failed_background_task_shuts_a_side_down_gracefully(tmp_path):
+    # The task that watches the configuration fails in a side with running calls. They
+    # are completed there, and new calls go to the other side.
     program = FAILING.format(module="bergamotmast.config.watch", kind="ConfigWatcher")
     async with process_fleet(tmp_path, 0, 2, 1) as f:
-        # Killed, it would leave a session that passes for open, and lost offers.
+        # A kill would leave a session that still seems open, and lose its offers.
         f.signal("side-service-1", signal.SIGTERM)
-        assert await ended(f, "side-service-1") == 0
+        assert await exit_status(f, "side-service-1") == 0
         await f.launch("side-service-1", f.commands["side-service-1"], ("-c", program))
         await f.until_serving("entry-1", 2)
         callers = KeptCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
-            assert await ended(f, "side-service-1") != 0
+            assert await exit_status(f, "side-service-1") != 0
     assert callers.statuses[200] > CALLERS
     assert callers.unanswered == {}
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -8,7 +8,7 @@
 from bergamotmast.model import Role
 
 
-def test_the_demonstration_holds_every_promise(capsys, tmp_path):
+def test_the_demonstration_violates_no_promise(capsys, tmp_path):
     history = tmp_path / "history.jsonl"
     assert main(["demo", "--json", "--history", str(history)]) == 0
     result = json.loads(capsys.readouterr().out)
@@ -19,7 +19,7 @@
     assert history.stat().st_size > 0
 
 
-def test_loads_are_not_counted_as_role_changes():
+def test_model_changes_are_not_counted_as_role_changes():
     orders = [
         OrderTaken(at=1, engine="a", epoch=1, revision=1, assignment="mixed m"),
         OrderTaken(at=2, engine="a", epoch=1, revision=2, assignment="prefill m"),
--- a/tests/test_direct_command.py
+++ b/tests/test_direct_command.py
@@ -7,10 +7,10 @@
 from bergamotmast.commands import direct
 
 
-def test_collections_leave_the_objects_of_the_start_out(monkeypatch):
-    """The event loop of an entry stands still for 25 to 70 ms now and then.
+def test_objects_of_the_start_are_excluded_from_garbage_collection(monkeypatch):
+    """Garbage collections block the event loop of an entry for 25 to 70 ms at times.
 
-    A collection of the oldest generation looks through all objects, most of which are
+    A collection of the oldest generation traverses all objects, most of which are
     modules and their functions and live as long as the process.
     """
     frozen = []
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The hand-written pages follow the code: links, tests and command lines."""
+"""Hand-written pages match the code: links, tests, command lines, logs and metrics."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         assert not fragment or fragment in anchors(target), link
 
 
-def test_every_test_that_the_promises_name_exists():
+def test_every_test_named_in_the_promises_exists():
     defined = {path.stem for path in (ROOT / "tests").glob("test_*.py")}
     for path in (ROOT / "tests").glob("test_*.py"):
         defined.update(TEST_DEFINED.findall(path.read_text()))
@@ -66,7 +66,7 @@
 
 
 def command_lines():
-    """Return the words of each command in README's blocks, as a shell splits them."""
+    """Return the words of each command in the README's blocks, split as by a shell."""
     commands = []
     for block in FENCED.findall(README.read_text()):
         pending = ""
@@ -77,7 +77,7 @@
             try:
                 commands.append(shlex.split(pending, comments=True))
             except ValueError:
-                continue  # A quoted text goes on in the next line.
+                continue  # A quoted text continues in the next line.
             pending = ""
         assert not pending, pending
     return [words for words in commands if words]
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("argv", list(own_commands()), ids=" ".join)
-def test_command_lines_of_the_readme_are_taken(argv):
+def test_command_lines_of_the_readme_are_valid(argv):
     arguments = build_parser(argv).parse_args(argv)
     match argv[0]:
         case "entry":
@@ -123,14 +123,14 @@
 
 
 def strings_of_the_code():
-    """Return every text in the code, with its conversions shown as dots."""
+    """Yield every string in the code, with its format conversions replaced by dots."""
     for path in (ROOT / "src").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Constant) and isinstance(node.value, str):
                 yield CONVERSION.sub("…", node.value)
 
 
-def test_log_lines_that_operators_are_told_of_are_in_the_code():
+def test_log_lines_in_operators_pages_are_in_the_code():
     written = list(strings_of_the_code())
     named = 0
     for page in sorted((ROOT / "docs/operators").glob("*.md")):
@@ -142,7 +142,7 @@
     assert named > 10
 
 
-def test_series_that_operators_are_told_of_are_exposed():
+def test_metrics_in_operators_pages_are_exposed():
     metrics = OpenTelemetryMetrics("p")
     metrics.on_first_token("t", "c", 0.1)
     metrics.on_between_tokens("c", 0.1, 1)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""A request's story from the logs of several processes."""
+"""The timeline of a request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return names
 
 
-def test_story_holds_what_bears_on_the_request(logs, capsys):
+def test_timeline_contains_lines_relevant_to_the_request(logs, capsys):
     assert main(["explain", "a1", "--logs", *logs]) == 0
     assert capsys.readouterr().out == (
         "a1 at entry-1\n"
@@ -61,26 +61,24 @@
     )
 
 
-def test_request_that_is_in_no_log(logs, capsys):
+def test_request_without_log_lines_is_an_error(logs, capsys):
     assert main(["explain", "zz", "--logs", *logs]) == 1
     assert "No line of zz" in capsys.readouterr().err
 
 
-def test_log_that_can_not_be_read(capsys):
+def test_unreadable_log_is_an_error(capsys):
     assert main(["explain", "a1", "--logs", "/nowhere/x"]) == 2
     assert "/nowhere/x" in capsys.readouterr().err
 
 
-def test_lines_come_from_standard_input_with_whatever_stands_before_them(
-    monkeypatch, capsys
-):
+def test_lines_from_standard_input_may_have_a_prefix(monkeypatch, capsys):
     text = "".join(f"  12.3 front-a {text}\n" for text in LOG_TWO)
     monkeypatch.setattr("sys.stdin", io.StringIO(text))
     assert main(["explain", "a1"]) == 0
     assert "a1 at entry-2" in capsys.readouterr().out
 
 
-def test_missing_lines_and_a_missing_end_are_told(tmp_path, capsys):
+def test_dropped_lines_and_a_missing_end_are_reported(tmp_path, capsys):
     path = tmp_path / "x.log"
     text = [
         line("e", 1.0, "upstream is known", upstream="i-1", dropped_before=12),
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,12 +1,12 @@
-"""No module imports another that leads back to it, type hints included."""
+"""Imports between modules have no cycles, including those for type checking."""
 
 from __future__ import annotations
 
 import grimp
 
 
-def test_modules_import_each_other_in_one_direction():
-    """A circle hides which part is the lower one, and breaks at import time one day."""
+def test_imports_have_no_cycles():
+    """A cycle blurs the layers and can fail at import time after a later change."""
     graph = grimp.build_graph("bergamotmast", exclude_type_checking_imports=False)
     left = {
         name: set(graph.find_modules_directly_imported_by(name))
--- a/tests/test_key_watch.py
+++ b/tests/test_key_watch.py
@@ -1,4 +1,4 @@
-"""Following keys through watches that fail."""
+"""Watching keys while watches fail."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from bergamotmast.ports import RangeResult
 
 
-class NeverWatches:
-    """A key-value service that reads and whose watches end at once."""
+class FailingWatches:
+    """Key-value service whose reads succeed and whose watches fail at once."""
 
     def __init__(self) -> None:
-        self.readings = 0
+        self.reads = 0
 
     async def range(self, prefix):
-        self.readings += 1
+        self.reads += 1
         return RangeResult((), 1)
 
     async def watch(self, prefix, from_revision):
@@ -29,13 +29,13 @@
 
 
 @pytest.mark.looptime
-async def test_service_that_does_not_watch_is_not_read_without_a_pause():
-    """Each reading succeeds: the pauses between them must still grow."""
-    kv = NeverWatches()
+async def test_failing_watches_are_retried_with_growing_delays():
+    """Each range read succeeds, but the delays between reads must still grow."""
+    kv = FailingWatches()
     seconds = 60.0
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(seconds):
             async for _ in follow(kv, "p", random.Random(1)):
                 pass
-    # A pause is drawn from zero to its longest, and the first five are shorter.
-    assert kv.readings <= 2 * (5 + 2 * seconds / LONGEST_DELAY_SECONDS)
+    # Delays are drawn from zero to a bound, which is lower for the first five.
+    assert kv.reads <= 2 * (5 + 2 * seconds / LONGEST_DELAY_SECONDS)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -21,9 +21,9 @@
 from support import fleet
 
 
-async def test_a_trace_is_replayed_and_summed_up(tmp_path, capsys):
-    # Six requests in half a second: five of a known model, one of another. The
-    # command tells how many were whole and which code the other got.
+async def test_a_trace_is_replayed_and_summarized(tmp_path, capsys):
+    # Six requests in half a second: five for a known model, one for an unknown one. The
+    # command reports five complete responses and the result code of the sixth.
     requests = [
         TraceRequest(at=n / 10, model=MODEL, output_tokens=3, deadline=20.0)
         for n in range(5)
@@ -46,8 +46,9 @@
     assert len(read_history(history)) == 12
 
 
-async def test_a_tenant_is_known_by_its_key():
-    # A tenant with keys is let in by them, whatever its header says, and not without.
+async def test_a_tenant_with_keys_is_identified_by_its_key():
+    # A tenant with keys is authenticated by its key, whatever the X-Tenant header says,
+    # and rejected without it.
     digest = hashlib.sha256(b"secret").hexdigest()
     document = configuration(2, tenants={"notaries": Tenant(keys=(digest,))})
     async with fleet(engines=1) as f:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -19,7 +19,7 @@
     return stream.getvalue()
 
 
-def test_json_lines_carry_the_request_and_extra_fields():
+def test_json_lines_contain_the_request_and_extra_fields():
     first, second = map(json.loads, logged("json").splitlines())
     assert first["message"] == "answered"
     assert first["request_id"] == "r-1"
@@ -29,13 +29,13 @@
     assert second["request_id"] == ""
 
 
-def test_text_lines_name_the_request():
+def test_text_lines_contain_the_request_id():
     first, second = logged("text").splitlines()
     assert first.endswith("INFO entry-1 bergamotmast.entry [r-1] answered")
     assert second.endswith("INFO entry-1 bergamotmast.entry idle")
 
 
-def test_the_whole_process_logs_one_way(monkeypatch):
+def test_configuring_logs_again_replaces_the_handler(monkeypatch):
     root = logging.RootLogger(logging.WARNING)
     loggers = {None: root, "transitions": logging.Logger("transitions")}
     monkeypatch.setattr(logging, "getLogger", lambda name=None: loggers[name])
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole system as processes: each kind is killed and stopped under load."""
+"""The whole system as processes, each kind of which is killed or paused under load."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
 
 
 def executions(records):
-    """How often each key began to run."""
+    """Return the number of executions by idempotency key."""
     keys = [r.key for r in records if isinstance(r, Execution) and r.key]
     return {key: keys.count(key) for key in keys}
 
 
 async def load_with_fault(f, calls, fault, entry="entry-1"):
-    """Replay calls against one entry and bring the fault about in the middle."""
+    """Replay calls against one entry and inject the fault in the middle."""
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         driver = LoadDriver(session, f.urls[entry], f.history)
@@ -89,9 +89,9 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-async def test_every_model_answer_is_whole(fault, tmp_path):
-    # Callers stream answers through one entry while a process is killed or stopped.
-    # Streams that were on it go on elsewhere; every caller gets its text, once.
+async def test_every_model_response_is_complete(fault, tmp_path):
+    # Callers stream responses from one entry while a process is killed or paused. Its
+    # streams continue at other engines; every caller gets its complete text once.
     async with process_fleet(tmp_path, services=0) as f:
         await load_with_fault(f, model_calls(), lambda: FAULTS[fault](f))
         records = f.records()
@@ -110,10 +110,10 @@
 
 
 @pytest.mark.parametrize("fault", ORDER_FAULTS)
-async def test_orders_run_at_most_once_and_not_run_is_true(fault, tmp_path):
-    # Orders are placed while a process is killed or stopped. Each caller hears that
-    # its order ran, was not run, or is unknown; what was not run never was, and
-    # nothing ran twice.
+async def test_orders_run_at_most_once_and_their_outcomes_are_true(fault, tmp_path):
+    # Orders are placed while a process is killed or paused. Each caller gets one of the
+    # outcomes "ran", "not run" and "unknown". No order reported as "not run" was
+    # executed, and no order was executed twice.
     async with process_fleet(tmp_path, engines=0) as f:
         await load_with_fault(f, orders(), lambda: ORDER_FAULTS[fault](f))
         records = f.records()
@@ -125,8 +125,8 @@
 
 
 async def test_an_order_whose_entry_was_killed_is_not_placed_again(tmp_path):
-    # The entry dies with orders in flight; their callers send the same keys to the
-    # other entry. Whatever they are told, no order runs twice.
+    # The entry is killed with orders in flight, and their callers retry with the same
+    # idempotency keys at the other entry. No order runs twice, whatever the responses.
     async with process_fleet(tmp_path, engines=0) as f:
         calls = list(orders())
         results = await load_with_fault(f, calls, lambda: f.kill("entry-1"))
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("name", ["entry-1", "side-engine-1"])
 async def test_a_graceful_shutdown_cuts_nothing_off(name, tmp_path):
-    # SIGTERM under load: the process ends by itself, after its last answer.
+    # SIGTERM under load: the process ends by itself after its last response.
     async with process_fleet(tmp_path, services=0) as f:
 
         async def terminate():
@@ -158,9 +158,9 @@
     assert counts.answered_whole == counts.sent
 
 
-async def test_a_second_side_for_a_slot_ends_and_says_why(tmp_path):
-    # The first side is stopped and still holds the slot's address. A replacement must
-    # not get to the engine: it ends at once, with an error that names the flag.
+async def test_a_second_side_for_the_same_address_exits_with_an_error(tmp_path):
+    # The first side is paused and still holds the address. A replacement must not reach
+    # the engine: it exits at once with an error that names the flag.
     async with process_fleet(tmp_path, engines=1, services=0, entries=1) as f:
         f.signal("side-engine-1", signal.SIGSTOP)
         f.processes["stopped"] = f.processes["side-engine-1"]
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -14,13 +14,13 @@
 
 
 @pytest.mark.parametrize("name", PAGES)
-def test_committed_pages_follow_the_code(name):
+def test_committed_pages_are_up_to_date(name):
     assert (DOCS / name).read_text() == PAGES[name](), (
         "run python -m bergamotmast.reference docs"
     )
 
 
-def test_every_code_is_explained_and_in_the_table():
+def test_every_code_has_a_description_and_a_table_row():
     assert set(CODE_INFO) == set(ResultCode)
     page = result_codes_page()
     errors = [code for code in ResultCode if code is not ResultCode.OK]
--- a/tests/test_served_shares.py
+++ b/tests/test_served_shares.py
@@ -26,7 +26,7 @@
         (ServedShares(0.0, 0.0, 0.0), 1.0),
     ],
 )
-def test_the_band_that_is_served_least_counts(shares, ratio):
+def test_ratio_is_that_of_the_size_served_least(shares, ratio):
     assert shares.least_ratio == pytest.approx(ratio)
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""A listening address that stops taking: what reached the process is answered."""
+"""Graceful shutdown of an HTTP listener: every request that arrived is answered."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 REQUEST = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Front:
-    """Answers after ``pace`` seconds with so many bytes; counts what it answered."""
+class Frontend:
+    """Handler that responds after ``pace`` seconds with ``size`` bytes."""
 
     def __init__(self, pace: float = 0.0, size: int = 2) -> None:
         self.pace = pace
@@ -45,7 +45,7 @@
 
 
 async def read(raw, seconds=2.0):
-    """Return all that comes until the connection is closed."""
+    """Return all data received until the connection is closed."""
     reader, writer = await asyncio.open_connection(sock=raw)
     try:
         return await asyncio.wait_for(reader.read(), seconds)
@@ -55,29 +55,29 @@
 
 @pytest.mark.parametrize("turns", range(9))
 async def test_a_request_in_the_receive_buffer_is_answered(turns):
-    # A kept connection's next request has reached the machine, but the process has
-    # not read it when it stops taking. Closing the connection would reset it.
-    front = Front()
-    listening = await front.listen()
+    # The next request on a keep-alive connection has arrived, but the process hasn't
+    # read it when the shutdown begins. Closing the connection would reset it.
+    frontend = Frontend()
+    listening = await frontend.listen()
     raw = connect(listening)
     raw.send(REQUEST)
-    while not front.answered:
+    while not frontend.answered:
         await asyncio.sleep(0.01)
     raw.send(REQUEST)
     for _ in range(turns):
         await asyncio.sleep(0)
     await listening.stop_taking()
     assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
-    assert (await read(raw)).count(b"200 OK") == front.answered == 2
+    assert (await read(raw)).count(b"200 OK") == frontend.answered == 2
     await listening.close()
 
 
 @pytest.mark.parametrize("turns", range(9))
 async def test_a_connection_in_the_backlog_is_served(turns):
-    # Callers have connected and sent a request, but the process has not accepted them
-    # when it closes its address. Closing it at once would reset them.
-    front = Front()
-    listening = await front.listen()
+    # Callers have connected and sent a request, but the process hasn't accepted the
+    # connections when it closes its address. An immediate close would reset them.
+    frontend = Frontend()
+    listening = await frontend.listen()
     raws = []
     for number in range(20):
         raws.append(connect(listening))
@@ -94,11 +94,11 @@
 
 
 async def test_a_caller_that_has_just_connected_may_send_its_request():
-    # A caller connects right before the address is closed and sends a moment later.
-    # Its connection is idle in between; closed then, the caller would not know whether
-    # its request was read.
-    front = Front()
-    listening = await front.listen()
+    # A caller connects right before the address is closed and sends a moment later. If
+    # its connection were closed while it is idle in between, the caller wouldn't know
+    # whether its request was read.
+    frontend = Frontend()
+    listening = await frontend.listen()
     raw = connect(listening)
     now = asyncio.get_running_loop().time()
     draining = asyncio.create_task(listening.drain(now, now + 5))
@@ -109,10 +109,11 @@
     await listening.close()
 
 
-async def test_a_request_at_work_is_answered_and_its_connection_closed():
-    # Taking stops while a request runs. It is answered, and nothing is left open.
-    front = Front(pace=0.2)
-    listening = await front.listen()
+async def test_a_running_request_is_answered_and_its_connection_closed():
+    # The shutdown begins while a request runs. The request is answered, and no
+    # connection is left open.
+    frontend = Frontend(pace=0.2)
+    listening = await frontend.listen()
     raw = connect(listening)
     raw.send(REQUEST)
     await asyncio.sleep(0.05)
@@ -123,14 +124,14 @@
 
 
 async def test_a_caller_that_reads_slowly_gets_its_whole_answer():
-    # The handler is done, but most of the answer still waits for its caller to read.
-    # The process must not end before it is out; the wait has its bound.
+    # The handler is done, but most of the response is unread by its caller. The process
+    # must not end before it is sent; the wait is bounded.
     size = 20_000_000
-    front = Front(size=size)
-    listening = await front.listen()
+    frontend = Frontend(size=size)
+    listening = await frontend.listen()
     raw = connect(listening)
     raw.send(REQUEST)
-    while not front.answered:
+    while not frontend.answered:
         await asyncio.sleep(0.01)
     await listening.stop_taking()
     loop = asyncio.get_running_loop()
@@ -144,11 +145,11 @@
     await listening.close()
 
 
-async def test_a_caller_that_sends_byte_by_byte_does_not_hold_the_end_up():
-    # A caller drips its request's head, so that there is always something unread. It
-    # is closed after a bounded number of looks.
-    front = Front()
-    listening = await front.listen()
+async def test_a_caller_that_sends_byte_by_byte_does_not_delay_the_shutdown():
+    # A caller sends its request headers byte by byte, so that there is always unread
+    # data. Its connection is closed after a bounded number of passes.
+    frontend = Frontend()
+    listening = await frontend.listen()
     raw = connect(listening)
     raw.send(REQUEST[:4])
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -44,7 +44,7 @@
             assert type(parsed) is type(declaration.default)
 
 
-def test_no_setting_is_taken_and_ignored():
+def test_every_setting_is_used():
     package = pathlib.Path(bergamotmast.__file__).parent
     code = "\n".join(path.read_text() for path in package.rglob("*.py"))
     for settings in ALL:
@@ -62,7 +62,7 @@
         assert f"{declaration.group}:" in shown
 
 
-def test_flags_go_before_variables_and_variables_before_defaults():
+def test_flags_override_variables_and_variables_override_defaults():
     loaded = load(EntrySettings, "--log-level", "debug", LOG_LEVEL="error", ZONE="b")
     assert (loaded.log_level, loaded.zone, loaded.log_format) == ("debug", "b", "text")
     assert loaded.key_value_url == "http://10.0.0.1:2379"
@@ -116,7 +116,7 @@
         ("--curve-secret-file", "--curve-peers-file"),
     ],
 )
-def test_files_that_belong_together(given, missing, tmp_path):
+def test_a_file_setting_requires_its_counterpart(given, missing, tmp_path):
     file = tmp_path / "file"
     file.touch()
     with pytest.raises(SettingError, match=f"{missing}.*because {given} is given"):
