--- a/src/bergamotmast/config/holder.py
+++ b/src/bergamotmast/config/holder.py
@@ -1,4 +1,4 @@
-"""The configuration a process has in force; it only ever moves forward."""
+"""Holder of a process's configuration, whose generation never decreases."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .document import decode_configuration
 
 PEER_PULL_DELAY_SECONDS = 0.8
-"""Time a process is given to read an edit from the key-value service.
+"""Delay before a process pulls an edit from a peer, not from the key-value service.
 
-Every process hears of an edit from its peers as soon as from the service. If it asked
-them at once, each edit would carry the whole document over many sessions, when the
-service has only the few bytes that changed. A process that the service does not reach
-asks after this time, well within the time that an edit may take.
+A process learns of an edit from its peers as early as from the service. If it pulled at
+once, each edit would send the whole document over many sessions, while the service
+sends only the few bytes that changed. A process that can't reach the service pulls
+after this delay, well within the time that an edit may take.
 """
 
 INITIAL_PULL_INTERVAL_SECONDS = 0.5
-"""Between two pulls of a process that has no configuration yet."""
+"""Interval between pulls of a process that has no configuration yet."""
 
 
 class ConfigHolder:
-    """Keeps the newest configuration a process has seen, from wherever it came.
+    """Holds the newest configuration that a process has received from any source.
 
     :param process: name of the process, for its history.
-    :param history: where each step forward is recorded.
+    :param history: records each newer generation.
     :param current: the configuration in force; generation 0 before the first.
-    :param document: the same as bytes, to be passed on to peers.
-    :param selection: its rules, prepared for use with each request.
+    :param document: the same configuration encoded, for forwarding to peers.
+    :param selection: its selectors, prepared for matching requests.
     """
 
     def __init__(self, process: str, history: HistorySink) -> None:
@@ -48,14 +48,15 @@
         return self.current.generation
 
     def offer(self, document: bytes) -> bool:
-        """Take a document if it is newer than the one in force.
+        """Accept a document if it is newer than the one in force.
 
-        A key-value service restored from a backup, or a peer that was cut off, may
-        bring an older document: callers would see rules come back that were already
-        replaced. The generation inside the document is raised by every accepted edit,
-        so comparing it is enough, whatever the source.
+        A key-value service restored from a backup, or a peer that was partitioned, may
+        offer an older document, which would bring back rules that were already
+        replaced. Every accepted edit increments the generation in the document, so
+        comparing generations is enough, whatever the source.
 
-        :raises msgspec.DecodeError: if it is no configuration.
+        :return: whether the document is now in force.
+        :raises msgspec.DecodeError: if it is not a valid configuration.
         """
         configuration = decode_configuration(document)
         if configuration.generation <= self.generation:
@@ -75,9 +76,9 @@
         return True
 
     def should_pull(self, generation: int) -> bool:
-        """Return whether to ask a peer that has this generation for its document.
+        """Return whether to pull the document from a peer that has this generation.
 
-        Saying so begins a new wait, so that one peer is asked at a time.
+        ``True`` restarts the delay, so that one peer is asked at a time.
         """
         if generation <= self.generation:
             return False
--- a/src/bergamotmast/config/permissions.py
+++ b/src/bergamotmast/config/permissions.py
@@ -1,4 +1,4 @@
-"""Which edits a team's key allows."""
+"""Authorization of configuration edits by the teams' keys."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from .groups import selectors_by_upstream
 
 _PARTLY_EDITABLE = ("labels", "selectors", "generation")
-"""Fields that a key limited to some selectors may change in part."""
+"""Fields of which a key limited to some selectors may change a part."""
 
 
 _NONE: frozenset[str] = frozenset()
 
 
 def find_key(configuration: Configuration, secret: str) -> AdminKey | None:
-    """Return the key whose digest a secret has.
+    """Return the key whose digest matches a secret; ``None`` if none does.
 
-    Every digest is compared in full, so that the time taken says nothing about how
-    near a guess came or which team's key it is.
+    Every digest is compared, each in constant time, so that the time taken reveals
+    neither how close a guess was nor which team's key it is.
     """
     digest = hashlib.sha256(secret.encode(errors="replace")).hexdigest().encode()
     found = None
@@ -34,7 +34,7 @@
 
 
 def require_scope(key: AdminKey, scope: Scope) -> None:
-    """Refuse a key without a scope.
+    """Reject a key that lacks a scope.
 
     :raises RequestError: ``FORBIDDEN``.
     """
@@ -45,13 +45,13 @@
 def require_edit_allowed(
     key: AdminKey, before: Configuration, after: Configuration
 ) -> None:
-    """Refuse an edit that reaches beyond a key's selectors.
+    """Reject an edit that exceeds a key's selectors.
 
-    A key limited to some selectors may change these, and labels as far as the
-    upstream belongs to no other selector before or after: else a team could take
+    A key limited to some selectors may change these, and the labels of upstreams that
+    match no other selector before or after the edit: otherwise a team could take
     upstreams from another team's group by a label or by a wider expression.
 
-    :raises RequestError: ``FORBIDDEN``, naming what is out of reach.
+    :raises RequestError: ``FORBIDDEN``, naming what the key does not cover.
     """
     require_scope(key, Scope.EDIT)
     if not key.groups:
--- a/src/bergamotmast/config/store.py
+++ b/src/bergamotmast/config/store.py
@@ -1,9 +1,9 @@
-"""The configuration in the key-value service, changed by compare-and-swap.
+"""Storage of the configuration in the key-value service, by compare-and-swap.
 
-Four kinds of key are written in one transaction for each accepted edit: the current
-document, its mark (an empty key named by its digest, so that a process can ask
-cheaply whether it has missed anything), what changed in it, and a record of who
-proposed it.
+Each accepted edit writes four kinds of key in one transaction: the current document,
+its digest key (an empty key named by the document's digest, by which a process can
+check cheaply whether it has missed an edit), the delta from the previous document, and
+a history record that names the author.
 """
 
 from __future__ import annotations
@@ -43,30 +43,30 @@
 HISTORY_PREFIX = CONFIG_PREFIX + "history/"
 
 GENERATION_DIGITS = 12
-"""Zero padding of a generation in a key, so that keys sort as numbers do."""
+"""Digits of a generation in a key, zero-padded so that keys sort numerically."""
 
 DIGEST_KEY_DIGITS = 32
-"""Hex digits of a document's digest in its mark."""
+"""Hex digits of a document's digest in its digest key."""
 
 MAX_HISTORY_RECORDS = 100
-"""Records kept; the service is small, and each record holds a whole document."""
+"""Newest records kept: each holds a whole document, and the service is small."""
 
 MAX_DELTAS = 32
-"""A process that is further behind reads the whole document."""
+"""Newest deltas kept; a process that is further behind reads the whole document."""
 
 MAX_WRITE_ATTEMPTS = 6
-"""Sends of one transaction while its outcome stays unknown."""
+"""Maximum attempts of one transaction while its outcome stays unknown."""
 
 FIRST_RETRY_DELAY_SECONDS = 0.1
-"""Pause before the second send; doubled before each later one."""
+"""Delay before the second attempt; doubled before each later one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """A document as the key-value service holds it.
+    """A configuration as stored in the key-value service.
 
-    :param document: the configuration as bytes.
-    :param mod_revision: what a compare-and-swap must name; 0 if there is none yet.
+    :param document: the encoded configuration.
+    :param mod_revision: revision for a compare-and-swap; 0 if none is stored yet.
     """
 
     configuration: Configuration
@@ -75,12 +75,13 @@
 
 
 class ConfigRecord(msgspec.Struct, frozen=True):
-    """One accepted edit.
+    """History record of an accepted edit.
 
     :param author: who proposed it.
-    :param nonce: names the one proposal that was accepted.
-    :param accepted_at: the proposer's wall clock, seconds since 1970; for people only.
-    :param changes: what it changed, a line each.
+    :param nonce: idempotency key of the accepted proposal.
+    :param accepted_at: the proposer's wall clock, seconds since 1970; shown to people
+        only.
+    :param changes: its differences from the previous document, a line each.
     """
 
     generation: int
@@ -96,25 +97,25 @@
 
 
 def history_key(generation: int) -> str:
-    """Return the key of a generation's record."""
+    """Return the key of a generation's history record."""
     return f"{HISTORY_PREFIX}{generation:0{GENERATION_DIGITS}d}"
 
 
 def delta_key(generation: int) -> str:
-    """Return the key of what a generation changed in the one before."""
+    """Return the key of the delta from the previous generation to this one."""
     return f"{DELTA_PREFIX}{generation:0{GENERATION_DIGITS}d}"
 
 
 def digest_key(document: bytes) -> str:
-    """Return the key that is there while a document is the current one."""
+    """Return the key that exists while a document is the current one."""
     return DIGEST_KEY_PREFIX + hashlib.sha256(document).hexdigest()[:DIGEST_KEY_DIGITS]
 
 
 class ConfigStore:
-    """Reads and edits the configuration.
+    """Reads and edits the stored configuration.
 
     :param kv: the key-value service.
-    :param history: where accepted generations are recorded.
+    :param history: records accepted generations.
     :param wall_clock: seconds since 1970, for the records that people read.
     """
 
@@ -129,9 +130,9 @@
         self.wall_clock = wall_clock
 
     async def read(self) -> StoredConfiguration:
-        """Read the current document; an empty one if there is none yet.
+        """Read the current document; an empty one if none is stored yet.
 
-        :raises ConfigError: if what is stored is no configuration.
+        :raises ConfigError: if the stored document is not valid.
         """
         item = await self.kv.get(CURRENT_KEY)
         if item is None:
@@ -139,17 +140,17 @@
         return _stored(item)
 
     async def read_record(self, generation: int) -> ConfigRecord | None:
-        """Read the record of a generation; ``None`` if there is none or no longer."""
+        """Read the record of a generation; ``None`` if it does not exist or not any more."""
         item = await self.kv.get(history_key(generation))
         return None if item is None else _record(item)
 
     async def read_delta(self, generation: int) -> bytes | None:
-        """Read what a generation changed; ``None`` if it is not kept."""
+        """Read the delta to a generation; ``None`` if it is not kept."""
         item = await self.kv.get(delta_key(generation))
         return None if item is None else item.value
 
     async def read_deltas(self) -> dict[int, bytes]:
-        """Read every kept change, by the generation that it led to."""
+        """Read all kept deltas, by the generation that each leads to."""
         found = await self.kv.range(DELTA_PREFIX)
         return {
             int(item.key.removeprefix(DELTA_PREFIX)): item.value for item in found.items
@@ -168,15 +169,15 @@
         author: str,
         nonce: str,
     ) -> Configuration:
-        """Make a document the current one, if nobody changed it in between.
+        """Make a document the current one, unless another edit was accepted first.
 
-        :param against_generation: the generation the proposer had read.
-        :param nonce: unique to this proposal; sent again it changes nothing more.
+        :param against_generation: the generation that the proposal is based on.
+        :param nonce: idempotency key, unique to this proposal.
         :return: the document with its new generation.
-        :raises ConfigError: if the document can't be obeyed.
-        :raises EditConflictError: if another edit came first.
+        :raises ConfigError: if the document is not valid.
+        :raises EditConflictError: if another edit was accepted first.
         :raises KeyValueUnavailableError: if nothing was written.
-        :raises KeyValueOutcomeUnknownError: if it stayed unknown.
+        :raises KeyValueOutcomeUnknownError: if the outcome stayed unknown.
         """
         proposed = _with_generation(configuration, against_generation + 1)
         check_configuration(proposed)
@@ -193,14 +194,14 @@
         return await self._resolve_conflict(proposed, nonce)
 
     async def republish(self, document: bytes, author: str, nonce: str) -> bool:
-        """Give a service that lost its newest document the one in force.
+        """Write the document in force to a service that lost it.
 
         A service restored from a backup holds an older document, which processes
-        refuse: an operator would edit it and see nothing change anywhere. Where both
-        have the same generation and differ, somebody has already edited the restored
-        document; that later edit is kept, under a generation above both.
+        reject: an operator's edit of it would take effect nowhere. If both documents
+        have the same generation but differ, the restored one has already been edited;
+        that later edit is kept, under a generation above both.
 
-        :return: whether the service was changed.
+        :return: whether the stored document was changed.
         """
         ours = decode_configuration(document)
         digest_keys = await self._read_digest_keys()
@@ -241,12 +242,12 @@
         digest_keys: tuple[KeyValue, ...],
         record: ConfigRecord,
     ) -> bool:
-        """Send the transaction until its outcome is known.
+        """Repeat the transaction until its outcome is known.
 
-        A lost reply leaves open whether the write took effect, or even whether it
-        still will: reading alone can't tell. Sending the very same transaction again
-        is safe, because its condition can hold only once; when it fails, the nonce in
-        the record tells whether an earlier copy was the one that took effect.
+        A lost reply leaves open whether the write took effect or still will, which a
+        read alone can't tell. Repeating the identical transaction is safe, because its
+        condition can hold only once; if it fails, the nonce in the record tells whether
+        an earlier attempt took effect.
         """
         compares = _compares(stored, digest_keys)
         writes = _writes(stored, record, digest_keys)
@@ -277,7 +278,7 @@
     async def _resolve_conflict(
         self, proposed: Configuration, nonce: str
     ) -> Configuration:
-        """Return the proposal if an earlier send of it was accepted, else raise."""
+        """Return the proposal if an earlier attempt was accepted, else raise."""
         first = await self.read_record(proposed.generation)
         if first is not None and first.nonce == nonce:
             return first.configuration
@@ -298,12 +299,12 @@
 def _compares(
     stored: StoredConfiguration, digest_keys: tuple[KeyValue, ...]
 ) -> list[Compare]:
-    """Return what must hold for an edit of a stored document to be written.
+    """Return the conditions for writing an edit of a stored document.
 
-    A service restored from a backup gives revisions out again: another document may
-    have come to carry the revision that the proposer read, and would be overwritten
-    unseen. The mark is named by the document itself and was read before it, so that
-    both together hold for this document alone.
+    A service restored from a backup reissues revisions: another document may have the
+    revision that the proposer read, and would be overwritten unnoticed. The digest key
+    is derived from the document itself and was read before it, so that both conditions
+    together hold for this document only.
     """
     own = [Compare(item.key, item.mod_revision) for item in digest_keys]
     return [Compare(CURRENT_KEY, stored.mod_revision), *own]
--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -1,4 +1,4 @@
-"""Keeps a process's configuration as new as the key-value service's."""
+"""Watcher that keeps a process's configuration as new as the key-value service's."""
 
 from __future__ import annotations
 
@@ -23,38 +23,40 @@
 logger = logging.getLogger(__name__)
 
 REREAD_INTERVAL_SECONDS = 12.0
-"""The longest time between two cheap re-reads, which bounds what a watch can lose."""
+"""Maximum time between two cheap re-reads, which bounds how long a lost event of the
+watch goes unnoticed."""
 
 CALL_SECONDS = 3.0
-"""Time one read may take."""
+"""Timeout of one read."""
 
 MIN_FETCH_INTERVAL_SECONDS = 2.0
-"""Time between two fetches of a process: edits that come faster are read together,
-so that a thousand processes with two reads each stay below that rate too."""
+"""Minimum time between two fetches of a process: edits that come faster are read
+together, so that a thousand processes with two reads each stay within the service's
+read rate too."""
 
 FETCH_JITTER_SECONDS = 0.5
-"""Time over which processes that see the same edit read it. The read rate that the
-service has left, 2,000 a second, is enough for a thousand processes within it."""
+"""Random delay that spreads the reads of processes that see the same edit. The service
+has 2,000 reads a second to spare, enough for a thousand processes in this time."""
 
 
 class ConfigWatcher:
-    """Follows the key-value service and offers what it finds to a holder.
+    """Watches the key-value service and offers each newer document to a holder.
 
-    The mark of the current document is watched. Where it is not the document in
-    force, the changes since then are read, and the whole document only where these
-    don't lead to the mark: several edits in a row are read together, and neither an
-    edit nor a watch opened again carries the whole document to every process.
+    The digest key of the current document is watched. If it is not that of the document
+    in force, the deltas since then are read, and the whole document only if these don't
+    lead to the digest key: several edits in a row are read together, and neither an
+    edit nor a reopened watch sends the whole document to every process.
 
-    While the service is down the process goes on with what its holder has, or learns
-    from its peers.
+    While the service is down, the process continues with its holder's document, or
+    newer ones from its peers.
 
     :param kv: the key-value service.
-    :param holder: takes each newer document.
-    :param rng: source of the random pauses.
-    :param republishes: whether to give the service the document in force where it
+    :param holder: accepts each newer document.
+    :param rng: source of the random delays.
+    :param republishes: whether to write the document in force to the service if that
         holds an older one.
-    :param mark: key of the service's mark as last heard; empty if there was none.
-    :param next_fetch_at: earliest next fetch; a point on the loop's clock.
+    :param current_key: the service's digest key as last read; empty if none was found.
+    :param next_fetch_at: earliest next fetch, in seconds of the loop's clock.
     """
 
     def __init__(
@@ -74,7 +76,7 @@
         self._changed = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._watch_digest_keys())
             group.create_task(self._reread_forever())
@@ -90,11 +92,11 @@
                     self._on_digest_key(found.key)
 
     async def _reread_forever(self) -> None:
-        """Ask at random times whether the watch has missed anything.
+        """Check at random times whether the watch has missed an edit.
 
-        This is the last safeguard: a watch that shows signs of life may still have
-        lost a change, or a read after it failed. One small key is read, within a
-        time that bounds how long an edit may stay unseen.
+        This is the last safeguard: a watch that is alive may still have lost an event,
+        or the read after an event may have failed. One small key is read, at intervals
+        that bound how long an edit may stay unnoticed.
         """
         while True:
             await asyncio.sleep(self.rng.uniform(0.5, 1.0) * REREAD_INTERVAL_SECONDS)
@@ -107,7 +109,7 @@
             self._on_digest_key(found.items[-1].key if found.items else "")
 
     def _on_digest_key(self, current_key: str) -> None:
-        """Remember the service's mark, and have its document fetched if need be."""
+        """Record the service's digest key; request a fetch if its document differs."""
         self.current_key = current_key
         if current_key != self._own_digest_key():
             self._changed.set()
@@ -123,9 +125,9 @@
                 await self._fetch(self.current_key)
 
     async def _fetch(self, current_key: str) -> None:
-        """Take the service's document if newer; put ours back if that is newer.
+        """Offer the service's document to the holder; republish ours if that is newer.
 
-        :param mark: the document's mark as last heard; empty if there is none.
+        :param current_key: the service's digest key as last read; empty if none exists.
         """
         try:
             async with asyncio.timeout(CALL_SECONDS):
@@ -139,10 +141,10 @@
             logger.warning("configuration not read: %r", error)
 
     async def _read_from_deltas(self, current_key: str) -> bytes | None:
-        """Return the document that the kept changes lead to, if its mark is right.
+        """Return the document that the kept deltas lead to; ``None`` if they don't.
 
-        The mark names the content, so that changes which belong to another document,
-        for instance after a restore, can't be taken for what was accepted.
+        Its digest key must match, which is derived from the content: deltas of another
+        document, for instance after a restore, never yield an accepted document.
         """
         if not (self.holder.document and current_key):
             return None
@@ -160,8 +162,8 @@
     async def _republish(self) -> None:
         if not (self.republishes and self.holder.document):
             return
-        # Every process sees the older document at the same moment; the random pause
-        # lets one of them write and the others find that it is done.
+        # All processes see the older document at the same time; the random delay lets
+        # one of them write first, and the others find that it is done.
         await asyncio.sleep(self.rng.uniform(0, FETCH_JITTER_SECONDS))
         nonce = f"{self.rng.getrandbits(64):016x}"
         author = f"process {self.holder.process}"
@@ -189,7 +191,7 @@
 def _apply_deltas(
     document: bytes, deltas: cabc.Iterable[bytes], current_key: str
 ) -> bytes | None:
-    """Return the document with the mark on the way of changes; ``None`` if none has."""
+    """Apply deltas until the digest key matches; ``None`` if it never does."""
     for delta in deltas:
         try:
             document = apply_delta(document, delta)
