--- a/src/bergamotmast/adapters/curve_files.py
+++ b/src/bergamotmast/adapters/curve_files.py
@@ -1,4 +1,4 @@
-"""CURVE keys of a process, from files."""
+"""Loading of a process's CURVE keys from files."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .zeromq import CurveKeys
 
 PUBLIC_KEY_LENGTH = 40
-"""Characters of a public key in Z85."""
+"""Characters of a public key in Z85 encoding."""
 
 
 def load_keys(secret_file: str, peers_file: str) -> CurveKeys | None:
@@ -18,9 +18,9 @@
 
     :param secret_file: a ZeroMQ certificate with public and secret key; empty for
         connections without keys.
-    :param peers_file: one public key a line, ``#`` begins a comment. A side lets
-        these entries in; an entry expects its sides to have the first of them.
-    :raises SettingError: if a file can't be used.
+    :param peers_file: one public key a line; ``#`` begins a comment. A side accepts
+        entries with these keys; an entry expects its sides to have the first one.
+    :raises SettingError: if a file can't be read or holds no valid keys.
     """
     if not secret_file:
         return None
@@ -57,10 +57,10 @@
 
 
 def _parse_key(line: str) -> str | None:
-    """Return what a line has before its comment; nothing if that is all it has.
+    """Return the key of a line without its comment; ``None`` for a line without a key.
 
-    Keys may have ``#`` anywhere. Taken for a comment's mark there, it would leave a
-    process with a key that has lost its end, and unable to start.
+    Keys may contain ``#``. If that were taken for the start of a comment, the key would
+    be truncated, and the process could not start.
     """
     word, _, rest = line.strip().partition(" ")
     if not word or word.startswith("#") and len(word) != PUBLIC_KEY_LENGTH:
--- a/src/bergamotmast/adapters/datagrams.py
+++ b/src/bergamotmast/adapters/datagrams.py
@@ -11,7 +11,7 @@
 
 
 class DatagramPort(asyncio.DatagramProtocol):
-    """One bound port; what can't be sent at once is dropped.
+    """A bound UDP port; datagrams that can't be sent at once are dropped.
 
     :param on_datagram: called with each datagram that arrives.
     """
@@ -22,16 +22,16 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
-        # The library's class is no subclass of the one it documents.
+        # The event loop's transport class does not derive from the documented one.
         self.transport = t.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Hand a datagram over."""
+        """Pass a datagram to the callback."""
         if self.on_datagram is not None:
             self.on_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens there: the peer is gone or not yet up."""
+        """Ignore an unreachable peer, which is gone or has not started yet."""
 
     def send(self, data: bytes, address: Address) -> None:
         """Send a datagram."""
@@ -41,7 +41,7 @@
 
 @contextlib.asynccontextmanager
 async def datagram_port(host: str, port: int) -> cabc.AsyncIterator[DatagramPort]:
-    """Bind a port for the body of an ``async with``."""
+    """Return a context manager that binds a port."""
     loop = asyncio.get_running_loop()
     transport, protocol = await loop.create_datagram_endpoint(
         DatagramPort, local_addr=(host, port)
--- a/src/bergamotmast/adapters/engine_http.py
+++ b/src/bergamotmast/adapters/engine_http.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP: completions as server-sent events, and orders."""
+"""Client for a model engine over HTTP: completions as server-sent events, orders."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from .http_calls import split_stream
 
 CALL_SECONDS = 2.0
-"""Time one call may take; a stream may take any."""
+"""Timeout of a call; streams have no overall timeout."""
 
 CHUNK_TIMEOUT_SECONDS = 60.0
-"""Time between two chunks after which a stream counts as broken."""
+"""Time without a chunk after which a stream counts as broken."""
 
 DONE = b"[DONE]"
 """Data of the event that ends a stream."""
@@ -44,7 +44,7 @@
 
 
 class CompletionEvent(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event of a stream, with what resumption needs beside the usual fields."""
+    """One event of a stream: the usual fields and those that resumption needs."""
 
     choices: tuple[Choice, ...]
     token_index: int
@@ -54,7 +54,7 @@
 
 
 class EngineLoadBody(msgspec.Struct, frozen=True):
-    """A load report; its age in seconds, because clocks of instances differ."""
+    """A load report; it has an age in seconds, because instances' clocks differ."""
 
     age: float
     running: int
@@ -66,7 +66,7 @@
 
 
 class HttpEngine:
-    """An :class:`~bergamotmast.ports.Engine`.
+    """Implements :class:`~bergamotmast.ports.Engine`.
 
     :param url: base address, without a path.
     """
@@ -76,7 +76,7 @@
         self.url = url.rstrip("/")
 
     async def state(self) -> EngineState:
-        """Read what the engine is."""
+        """Read the engine's state."""
         return await self._get("/admin/state", EngineState)
 
     async def load(self) -> EngineLoad:
@@ -86,16 +86,16 @@
         return EngineLoad(measured_at, body.running, body.waiting, body.kv_used)
 
     async def order(self, order: Order) -> None:
-        """Give an order and return when the engine has taken it.
+        """Send an order and return when the engine has accepted it.
 
-        :raises OrderRefusedError: for an old fencing token or an order under way.
+        :raises OrderRefusedError: for an old fencing token or while an order runs.
         """
         await self._call("POST", "/admin/order", msgspec.json.encode(order))
 
     async def generate(
         self, request: GenerateRequest
     ) -> cabc.AsyncGenerator[TokenChunk, None]:
-        """Yield the answer's chunks; closing the generator drops the connection."""
+        """Yield the answer's chunks; closing the generator closes the connection."""
         body = msgspec.to_builtins(request) | {"stream": True}
         async with exchange(
             self.session,
@@ -114,11 +114,11 @@
         raise ReplyLostError("the stream ended without its last event")
 
     async def cancel(self, stream_id: str) -> None:
-        """End a stream that may still run."""
+        """Cancel a stream that may still run."""
         await self._call("DELETE", f"/v1/streams/{stream_id}")
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Read the cache events after a sequence number, as far as still kept."""
+        """Read the cache events after a sequence number that the engine still keeps."""
         path = f"/admin/cache_events?after={after}"
         return await self._get(path, tuple[CacheEvent, ...])
 
@@ -143,7 +143,7 @@
 
 
 def _raise_for_error(response: aiohttp.ClientResponse) -> None:
-    """Raise for an error: 503 and 4xx say that nothing was begun, others do not."""
+    """Raise for an error status; only 503 and 4xx mean that nothing was started."""
     status = response.status
     if status < 300:
         return
--- a/src/bergamotmast/adapters/http_calls.py
+++ b/src/bergamotmast/adapters/http_calls.py
@@ -1,4 +1,4 @@
-"""What the HTTP adapters share: one session, and errors that say what was sent."""
+"""Shared HTTP client code: the session, and errors that tell if a request was sent."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from ..errors import ReplyLostError
 
 CONNECT_SECONDS = 1.0
-"""Time to open a connection within a region."""
+"""Timeout for opening a connection within a region."""
 
 KEEP_ALIVE_SECONDS = 4.0
 """How long an idle connection is kept.
 
-Servers commonly drop theirs after five seconds or more. A request written to a
-connection that the server is just dropping is lost without a word, and a call that
-was never seen would count as one of unknown outcome.
+Servers commonly close idle connections after five seconds or more. A request written
+to a connection that the server is closing is lost without an error status, and a call
+that the server never received would count as one of unknown outcome.
 """
 
 MAX_CONNECTIONS = 1024
-"""Most connections of one session."""
+"""Maximum number of connections of one session."""
 
 JSON_TYPE = {"Content-Type": "application/json"}
 
@@ -31,11 +31,13 @@
 def client_session(
     connector: aiohttp.BaseConnector | None = None, *, decompress: bool = True
 ) -> aiohttp.ClientSession:
-    """Return a session, by default the one that all adapters of a process share.
+    """Return a client session; the adapters of a process share the default one.
 
-    It keeps no cookies: a jar would carry one caller's cookies to the next.
+    It keeps no cookies: a cookie jar would send one caller's cookies with the next
+    caller's requests.
 
-    :param decompress: whether encoded bodies are decoded.
+    :param connector: connector to use instead of the default one.
+    :param decompress: whether compressed bodies are decoded.
     """
     return aiohttp.ClientSession(
         connector=connector
@@ -58,13 +60,14 @@
     connect: float = CONNECT_SECONDS,
     **options: t.Any,
 ) -> cabc.AsyncIterator[aiohttp.ClientResponse]:
-    """Send a request and give its response to the body of an ``async with``.
+    """Send a request; yield its response to the body of an ``async with``.
 
-    :param total: seconds the whole exchange may take.
-    :param read_timeout: seconds between two reads.
-    :param connect: seconds to open a connection.
+    :param total: timeout of the whole exchange, in seconds.
+    :param read_timeout: maximum time between two reads, in seconds.
+    :param connect: timeout for opening a connection, in seconds.
     :raises NotReachedError: if no connection was made, so that nothing was sent.
-    :raises ReplyLostError: for every other failure, also while the body is read.
+    :raises ReplyLostError: for every other failure, including one while the body is
+        read.
     """
     timeout = aiohttp.ClientTimeout(
         total=total, sock_connect=connect, sock_read=read_timeout
@@ -83,9 +86,9 @@
 async def split_stream(
     response: aiohttp.ClientResponse, separator: bytes
 ) -> cabc.AsyncIterator[bytes]:
-    """Yield what stands between separators, of any length, as it arrives.
+    """Yield the parts between separators, of any length, as they arrive.
 
-    The library's own reader of lines refuses those over 128 KB.
+    The library's line reader rejects lines over 128 KB.
     """
     rest = b""
     async for part in response.content.iter_any():
@@ -104,11 +107,11 @@
 async def _prevent_library_retry(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep the library from sending a request a second time by itself.
+    """Prevent the library from retrying a request by itself.
 
-    It repeats GET, PUT and DELETE when a connection breaks after the request was
-    written, and a call that must not be repeated would run twice. It does so only for
-    its own errors, so that raising ours is enough.
+    It retries GET, PUT and DELETE if a connection breaks after the request was written,
+    and a call that must not be repeated would run twice. It retries only after its own
+    errors, so raising another error is enough.
     """
     try:
         return await handler(request)
--- a/src/bergamotmast/adapters/instance_list_http.py
+++ b/src/bergamotmast/adapters/instance_list_http.py
@@ -1,4 +1,4 @@
-"""The instance list over HTTP."""
+"""Client for the instance list over HTTP."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from .http_calls import exchange
 
 CALL_SECONDS = 2.0
-"""Time one call may take."""
+"""Timeout of a call."""
 
 _INSTANCES = msgspec.json.Decoder(tuple[InstanceInfo, ...])
 
 
 class HttpInstanceList:
-    """An :class:`~bergamotmast.ports.InstanceList`.
+    """Implements :class:`~bergamotmast.ports.InstanceList`.
 
     :param url: base address, without a path.
     """
--- a/src/bergamotmast/adapters/key_value_http.py
+++ b/src/bergamotmast/adapters/key_value_http.py
@@ -1,4 +1,4 @@
-"""The key-value service over HTTP, in the style of etcd's v3 JSON gateway."""
+"""Client for a key-value service over HTTP, as etcd's v3 JSON gateway offers it."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 from .key_value_json import write_operation
 
 CALL_SECONDS = 2.0
-"""Time one call may take; a watch may take any."""
+"""Timeout of a call; watches have no overall timeout."""
 
 CLIENT_HEADER = "X-Client"
-"""Names the caller, for the service's own accounting."""
+"""Identifies the client in the service's own accounting."""
 
 
 class HttpKeyValueService:
-    """A :class:`~bergamotmast.ports.KeyValueService`.
+    """Implements :class:`~bergamotmast.ports.KeyValueService`.
 
     :param url: base address, without a path.
-    :param client: name the service may account calls to.
+    :param client: name by which the service may account for calls.
     """
 
     def __init__(
@@ -88,14 +88,14 @@
 
     async def revoke_lease(self, lease: int) -> None:
         """End a lease and delete its keys."""
-        # That the lease has lapsed already is as good.
+        # A lease that has already lapsed needs no revocation.
         with contextlib.suppress(LeaseLapsedError):
             await self._write("/v3/kv/lease/revoke", {"ID": str(lease)})
 
     async def watch(
         self, prefix: str, from_revision: int
     ) -> cabc.AsyncGenerator[WatchEvent | None, None]:
-        """Yield changes below a prefix in order; ``None`` is a sign of life."""
+        """Yield changes below a prefix in order; ``None`` is a keep-alive."""
         create = {
             **prefix_range(prefix),
             "start_revision": str(from_revision),
@@ -146,7 +146,7 @@
 
 
 def _raise_for_error(status: int) -> None:
-    """Raise for an error: 503 and 4xx say that nothing was done, others do not."""
+    """Raise for an error status; only 503 and 4xx mean that nothing was done."""
     if status == 404:
         raise LeaseLapsedError("the lease has lapsed")
     if status == 503 or 400 <= status < 500:
--- a/src/bergamotmast/adapters/key_value_json.py
+++ b/src/bergamotmast/adapters/key_value_json.py
@@ -1,4 +1,4 @@
-"""The wording of etcd's v3 JSON gateway: base64 keys, numbers as strings."""
+"""Encoding of etcd's v3 JSON gateway: base64 keys and values, numbers as strings."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 JsonObject = dict[str, t.Any]
 
 EVERY_KEY = "AA=="
-"""The zero byte; as both ends of a range it stands for every key."""
+"""A zero byte in base64; as both ends of a range it selects all keys."""
 
 
 def encode_text(text: str) -> str:
-    """Return a key as it stands in JSON."""
+    """Encode a key for JSON."""
     return base64.b64encode(text.encode()).decode()
 
 
 def decode_text(encoded: str) -> str:
-    """Return the key that :func:`encode_text` encoded."""
+    """Decode a key that :func:`encode_text` encoded."""
     return base64.b64decode(encoded).decode()
 
 
@@ -41,7 +41,7 @@
 
 
 def write_compare(compare: Compare) -> JsonObject:
-    """Return a condition of a transaction."""
+    """Encode a condition of a transaction."""
     return {
         "key": encode_text(compare.key),
         "target": "MOD",
@@ -51,7 +51,7 @@
 
 
 def write_operation(write: Put | Delete) -> JsonObject:
-    """Return a write of a transaction."""
+    """Encode a write of a transaction."""
     if isinstance(write, Delete):
         return {"request_delete_range": {"key": encode_text(write.key)}}
     value = base64.b64encode(write.value).decode()
@@ -60,12 +60,12 @@
 
 
 def read_revision(answer: JsonObject) -> int:
-    """Return the store revision an answer was given at."""
+    """Return the store's revision at the time of an answer."""
     return int(answer["header"]["revision"])
 
 
 def read_key_value(item: JsonObject) -> KeyValue:
-    """Return one key of an answer."""
+    """Decode one key and its value in an answer."""
     return KeyValue(
         decode_text(item["key"]),
         base64.b64decode(item.get("value", "")),
@@ -75,9 +75,9 @@
 
 
 def read_watch_events(line: JsonObject) -> list[WatchEvent | None]:
-    """Return the events of one line of a watch; ``None`` for a line without any.
+    """Decode the events in one line of a watch; ``None`` for a line without events.
 
-    :raises KeyValueUnavailableError: where it says that the watch is over.
+    :raises KeyValueUnavailableError: if the service has cancelled the watch.
     """
     result = line.get("result", {})
     if result.get("canceled") or "error" in line:
--- a/src/bergamotmast/adapters/memory.py
+++ b/src/bergamotmast/adapters/memory.py
@@ -1,8 +1,8 @@
-"""Connections inside one process, for virtual time, with faults on demand.
+"""In-memory connections within one process, for virtual time and fault injection.
 
-A :class:`MemoryNetwork` carries frames between dialers and listeners in order, after
-a latency, and can cut an address off: while it is cut, frames wait as they would in
-the buffers of a socket, and are delivered when the cut ends.
+A :class:`MemoryNetwork` delivers frames between dialers and listeners in order, after
+a latency, and can partition an address: meanwhile its frames are held, as they would
+be in the buffers of a socket, and are delivered when the partition heals.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from ..errors import NotReachedError
 
 DEFAULT_LATENCY_SECONDS = 0.001
-"""One way between availability zones, in seconds."""
+"""One-way latency between availability zones."""
 
 
 class MemoryNetwork:
-    """Every address of one process.
+    """All addresses of one process.
 
-    :param latency: seconds a frame takes one way.
+    :param latency: one-way latency of a frame, in seconds.
     """
 
     def __init__(self, latency: float = DEFAULT_LATENCY_SECONDS) -> None:
@@ -36,7 +36,7 @@
     def listen(self, address: str) -> MemoryListener:
         """Bind an address exclusively.
 
-        :raises OSError: if it is bound already.
+        :raises OSError: if it is already bound.
         """
         if address in self.listeners:
             raise OSError(f"{address} is in use")
@@ -45,7 +45,7 @@
         return listener
 
     def dial(self, address: str) -> MemoryLink:
-        """Open a connection to an address, bound or not."""
+        """Open a connection to an address, whether bound or not."""
         return MemoryLink(self, address, b"peer-%d" % next(self.peers))
 
     def partition(self, address: str) -> None:
@@ -53,13 +53,13 @@
         self.partitioned.add(address)
 
     def heal(self, address: str) -> None:
-        """Deliver what was held, in order."""
+        """Deliver the frames that were held, in order."""
         self.partitioned.discard(address)
         for queue, frame in self.held_frames.pop(address, []):
             self._deliver(queue, frame)
 
     def carry(self, address: str, queue: asyncio.Queue[_Frame], frame: _Frame) -> None:
-        """Put a frame on its way."""
+        """Send a frame, or hold it while the address is partitioned."""
         if address in self.partitioned:
             self.held_frames.setdefault(address, []).append((queue, frame))
         else:
@@ -70,11 +70,11 @@
         asyncio.get_running_loop().call_later(self.latency, self._arrive)
 
     def _arrive(self) -> None:
-        """Deliver the frame that was sent first.
+        """Deliver the oldest frame in flight.
 
-        The loop keeps no order among timers of one instant, and virtual time puts
-        whole bursts into one: the chunks of an answer would change places, which no
-        socket does. Every frame takes equally long, so the oldest is the one due.
+        The event loop does not order timers that are due at the same instant, and in
+        virtual time whole bursts are: the chunks of an answer would be reordered, which
+        no socket does. All frames have the same latency, so the oldest one is due.
         """
         queue, frame = self.in_flight.popleft()
         queue.put_nowait(frame)
@@ -84,7 +84,7 @@
 
 
 class MemoryLink:
-    """The entry's end of a connection."""
+    """The dialer's end of a connection."""
 
     def __init__(self, network: MemoryNetwork, address: str, peer: bytes) -> None:
         self.network = network
@@ -95,7 +95,10 @@
         self.closed = False
 
     async def send(self, frame: bytes) -> None:
-        """Hand a frame over, if the address is bound."""
+        """Send a frame.
+
+        :raises NotReachedError: if the connection is closed or the address not bound.
+        """
         listener = self.network.listeners.get(self.address)
         if self.closed or listener is None:
             raise NotReachedError(f"{self.address} is not bound")
@@ -108,19 +111,19 @@
         return frame
 
     async def receive_many(self) -> list[bytes]:
-        """Return the frames that have come, in order, at least one."""
+        """Wait for at least one frame and return those that have arrived, in order."""
         frames = [await self.receive()]
         while not self.incoming.empty():
             frames.append(self.incoming.get_nowait()[1])
         return frames
 
     def close(self) -> None:
-        """Drop the connection; frames under way to the listener still arrive."""
+        """Close the connection; frames in flight to the listener still arrive."""
         self.closed = True
 
 
 class MemoryListener:
-    """The side's end of all its connections."""
+    """The listener's end of all its connections."""
 
     def __init__(self, network: MemoryNetwork, address: str) -> None:
         self.network = network
@@ -133,7 +136,10 @@
         return await self.incoming.get()
 
     async def send(self, peer: bytes, *frames: bytes) -> None:
-        """Hand frames over to a peer that has not closed."""
+        """Send frames to a peer.
+
+        :raises NotReachedError: if the peer has closed its connection.
+        """
         link = self.links.get(peer)
         if link is None or link.closed:
             self.links.pop(peer, None)
--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -1,7 +1,7 @@
-"""Measurements through OpenTelemetry, read by Prometheus.
+"""Metrics through OpenTelemetry, exported to Prometheus.
 
-Series are bounded: latencies have one set of histograms by class and one by tenant,
-never the product of both, and tenants beyond a limit share one series named
+The number of series is bounded: latencies have one set of histograms by class and
+another by tenant, never by both, and tenants beyond a limit share one series named
 ``other``. With 1,000 tenants a process keeps at most ``MAX_TENANTS`` times three
 histograms, whatever its callers send.
 """
@@ -29,13 +29,13 @@
 from ..policy.size_bands import SizeBand
 
 MAX_TENANTS = 200
-"""Tenants with series of their own in one process."""
+"""Maximum number of tenants with series of their own in one process."""
 
 MAX_CLASSES = 50
-"""Classes with series of their own in one process."""
+"""Maximum number of classes with series of their own in one process."""
 
 OTHER = "other"
-"""Label of everything beyond those."""
+"""Label value of all tenants and classes beyond these limits."""
 
 _BOUNDS_SECONDS = (
     0.005,
@@ -53,11 +53,11 @@
     30,
     120,
 )
-"""Histogram bounds; among them the users' 39 ms and 0.54 s."""
+"""Upper bounds of histogram buckets, including the users' 39 ms and 0.54 s."""
 
 
 class _LabelLimiter:
-    """Lets through the first labels it sees, up to a limit."""
+    """Passes the first label values up to a limit; replaces later ones by ``other``."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -73,12 +73,12 @@
 
 
 class _TokenIntervals:
-    """Times between tokens by class, as counts up to each bound.
+    """Histograms of the times between tokens, by class.
 
-    The library's histograms take one value at a time and cost as much as a quarter
-    of everything else that an entry does for a token. Counted here, the buckets are
-    plain counters that the library reads when the series are asked for; quantiles
-    over their ``le`` label are worked out as over any histogram's.
+    The library's histograms record one value at a time, and cost as much as a quarter
+    of all other work of an entry for a token. These buckets are plain counters that the
+    library reads when the series are scraped; quantiles over their ``le`` label are
+    computed as over any histogram's.
     """
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         self.sums: dict[str, float] = {}
 
     def add(self, label: str, seconds: float, times: int) -> None:
-        """Count a time."""
+        """Count a time as often as it occurred."""
         if label not in self.counts:
             self.counts[label] = [0] * (len(_BOUNDS_SECONDS) + 1)
             self.sums[label] = 0.0
@@ -94,7 +94,7 @@
         self.sums[label] += seconds * times
 
     def read_buckets(self, options: CallbackOptions) -> cabc.Iterable[Observation]:
-        """Return the counts up to each bound."""
+        """Return the cumulative count of each bucket."""
         bounds = [*(str(float(bound)) for bound in _BOUNDS_SECONDS), "+Inf"]
         for label, counts in self.counts.items():
             totals = itertools.accumulate(counts)
@@ -102,13 +102,13 @@
                 yield Observation(total, {"class": label, "le": bound})
 
     def read_sums(self, options: CallbackOptions) -> cabc.Iterable[Observation]:
-        """Return the sums of all times."""
+        """Return the sum of times of each class."""
         for label, seconds in self.sums.items():
             yield Observation(seconds, {"class": label})
 
 
 class OpenTelemetryMetrics:
-    """The process's measurements.
+    """Metrics of one process.
 
     :param process: name of the process, a label of every series.
     """
@@ -166,19 +166,19 @@
         by_tenant.record(seconds, {"tenant": self.tenants(tenant)})
 
     def on_first_token(self, tenant: str, request_class: str, seconds: float) -> None:
-        """Take the time from a request's arrival to its first token."""
+        """Record the time from a request's arrival to its first token."""
         self._observe(self.first_token, tenant, request_class, seconds)
 
     def on_between_tokens(
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
-        """Take the time to each of so many tokens that came as one chunk."""
+        """Record the time per token for the tokens of one chunk."""
         self.token_intervals.add(self.classes(request_class), seconds, tokens)
 
     def on_ended(
         self, tenant: str, request_class: str, code: ResultCode, seconds: float
     ) -> None:
-        """Take a request's end and its whole time."""
+        """Record a request's end and its total time."""
         self._observe(self.total, tenant, request_class, seconds)
         labels = {"class": self.classes(request_class), "code": code.name.lower()}
         self.ended.add(1, labels)
@@ -186,7 +186,7 @@
     def on_sized_end(
         self, request_class: str, band: SizeBand, code: ResultCode
     ) -> None:
-        """Take the end of a request with a prompt of some size."""
+        """Record the end of a request by the size class of its prompt."""
         labels = {
             "class": self.classes(request_class),
             "size": band.value,
@@ -195,21 +195,21 @@
         self.ended_by_size.add(1, labels)
 
     def on_queue_wait(self, tenant: str, request_class: str, seconds: float) -> None:
-        """Take the time that a request waited at a side."""
+        """Record the time that a request was queued at a side."""
         self._observe(self.queue_wait, tenant, request_class, seconds)
 
     def on_generation(self, generation: int) -> None:
-        """Take the configuration generation in force."""
+        """Record the configuration generation in force."""
         self.generation.set(generation)
 
     def on_report(self, report: SideReport) -> None:
-        """Take a side's state."""
+        """Record a side's state."""
         self.running.set(report.running)
         self.queued.set(report.queued)
         self.ready.set(int(report.readiness is Readiness.READY))
 
     def on_unknown_message(self) -> None:
-        """Take a message that only a later protocol version knows."""
+        """Count a message of a type that only a later protocol version knows."""
         self.unknown.add(1)
 
     def on_second_send(self, group: str, *, allowed: bool) -> None:
@@ -218,12 +218,12 @@
         self.second_sends.add(1, labels)
 
     def exposition(self) -> bytes:
-        """Return all series in Prometheus' text format."""
+        """Return all series in Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
 
 def _result(code: ResultCode) -> str:
-    """Return in one word what became of a request."""
+    """Return the value of the ``result`` label for a request's end."""
     if code is ResultCode.OK:
         return "served"
     if code is ResultCode.CANCELLED_BY_CALLER:
--- a/src/bergamotmast/adapters/service_http.py
+++ b/src/bergamotmast/adapters/service_http.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""Client for a plain service over HTTP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HttpService:
-    """A :class:`~bergamotmast.ports.PlainService`.
+    """Implements :class:`~bergamotmast.ports.PlainService`.
 
     :param url: base address, without a path.
     """
@@ -29,7 +29,7 @@
     async def call(self, call: ServiceCall) -> ServiceAnswer:
         """Run one call and return its whole answer, whatever its status.
 
-        :raises NotReachedError: also where the deadline has passed before it is sent.
+        :raises NotReachedError: also if the deadline has passed before it is sent.
         """
         budget = call.deadline - asyncio.get_running_loop().time()
         if budget <= 0:
--- a/src/bergamotmast/adapters/upstream_http.py
+++ b/src/bergamotmast/adapters/upstream_http.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams over HTTP, byte for byte."""
+"""HTTP client for upstreams, which passes bodies through byte for byte."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 from .http_calls import exchange
 
 CONNECT_SECONDS = 0.4
-"""Time to open a connection. Zones are a few milliseconds apart; a machine without
-power does not answer at all, and the request goes elsewhere after this."""
+"""Timeout for opening a connection. Zones are a few milliseconds apart; a machine
+without power does not answer at all, and the request is then sent elsewhere."""
 
 IDLE_SECONDS = 4.0
-"""How long an idle connection is kept; servers commonly drop theirs after five."""
+"""How long an idle connection is kept; servers commonly close theirs after 5 s."""
 
 TCP_USER_TIMEOUT_MS = 3_000
-"""Unacknowledged bytes end a connection after this: a machine that lost power or is
-cut off would hold it, and the request on it, for many minutes."""
+"""Unacknowledged data closes a connection after this time: otherwise a machine that
+lost power or is partitioned would hold it, and its request, for many minutes."""
 
 _SUPPRESSED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
-"""Headers that the library would add by itself."""
+"""Headers that the library would otherwise add by itself."""
 
 MAX_REPLY_BODY_BYTES = 1 << 26
-"""Longest body of a reply that is read whole; upstreams send well under it."""
+"""Maximum body of a reply that is read whole; upstreams send much shorter ones."""
 
 MAX_REPLY_HEADER_BYTES = 65_536
-"""Longest header of a reply; upstreams send well under it."""
+"""Maximum header line of a reply; upstreams send much shorter ones."""
 
 
 class _CleanConnector(aiohttp.TCPConnector):
-    """Keeps connections whose state is sure, and closes the others before their use."""
+    """Reuses only connections without unread data, and closes the others."""
 
     async def connect(
         self,
@@ -49,11 +49,11 @@
         traces: list[Trace],
         timeout: aiohttp.ClientTimeout,
     ) -> Connection:
-        """Return a connection on which nothing is left of an earlier request.
+        """Return a connection without leftover data of an earlier request.
 
         An upstream may send more than one answer. The library keeps the connection and
-        takes the bytes that came while it was idle for the answer to its next request.
-        The id in an answer would tell, but only after that request has run, and its
+        takes bytes that arrived while it was idle for the answer to the next request.
+        The id in that answer would reveal this only after the request has run, and its
         caller would wait for it to run a second time.
         """
         while True:
@@ -65,7 +65,7 @@
 
 
 class HttpReply:
-    """A :class:`~bergamotmast.direct.ports.Reply`."""
+    """Implements :class:`~bergamotmast.direct.ports.Reply`."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self.response = response
@@ -76,7 +76,7 @@
             _mark_exception_retrieved(self.closed)
 
     def stop_watching(self) -> None:
-        """Watch no longer for the end of the connection, which may be kept."""
+        """Stop watching the connection for its end, as it may be reused."""
         if self.closed is not None:
             self.closed.remove_done_callback(self._on_closed)
 
@@ -87,11 +87,11 @@
 
     @property
     def headers(self) -> cabc.Mapping[str, str]:
-        """Headers, by name without regard to case."""
+        """Headers by name, case-insensitive."""
         return self.response.headers
 
     def header_items(self) -> Headers:
-        """Return all headers in order, doubled ones too."""
+        """Return all headers in order, including repeated ones."""
         return tuple(self.response.headers.items())
 
     async def read(self) -> bytes:
@@ -100,8 +100,8 @@
         async for part in self.chunks():
             body += part
             if len(body) > MAX_REPLY_BODY_BYTES:
-                # A body without an end would take all memory, and the system would end
-                # the process with every request at work.
+                # An endless body would exhaust memory, and the kernel would kill the
+                # process with all of its running requests.
                 raise ReplyLostError(
                     f"a body of more than {MAX_REPLY_BODY_BYTES} bytes"
                 )
@@ -114,20 +114,20 @@
         self._raise_if_reset()
 
     def _on_closed(self, closed: asyncio.Future[None]) -> None:
-        """End a body whose connection has ended.
+        """End a body whose connection was closed.
 
-        The library closes the connection on a chunk that is none and leaves the body
-        without an end: its reader would wait until the deadline.
+        On an invalid chunk the library closes the connection but does not end the body:
+        its reader would wait until the deadline.
         """
         body = self.response.content
         if not body.is_eof() and body.exception() is None:
             body.set_exception(aiohttp.ClientPayloadError("the body breaks off"))
 
     def _raise_if_reset(self) -> None:
-        """Refuse a body without a length whose connection was reset.
+        """Raise for a body without a length whose connection was reset.
 
-        The library takes a reset for the end of such a body, and the caller would get
-        half of an answer as a whole one.
+        The library takes a reset for the end of such a body, and the caller would
+        receive a truncated answer as a complete one.
         """
         if self.unframed and self.closed is not None and self.closed.done():
             error = self.closed.exception()
@@ -138,7 +138,7 @@
 def _end_of_connection(
     response: aiohttp.ClientResponse,
 ) -> asyncio.Future[None] | None:
-    """Return the future that tells how the connection of a body ends."""
+    """Return the future that is done when the connection of a body ends."""
     connection = response.connection
     if connection is None or connection.protocol is None:
         return None
@@ -146,23 +146,23 @@
 
 
 def _mark_exception_retrieved(closed: asyncio.Future[None]) -> None:
-    """Keep the event loop from logging a reset that concerns no request.
+    """Keep the event loop from logging a reset that affects no request.
 
-    One callback a connection, however many replies it carries.
+    A connection has one such callback, however many replies it carries.
     """
     closed.remove_done_callback(asyncio.Future.exception)
     closed.add_done_callback(asyncio.Future.exception)
 
 
 def _is_unframed(response: aiohttp.ClientResponse) -> bool:
-    """Return whether only the end of its connection ends a body."""
+    """Return whether a body ends only with its connection."""
     if "Content-Length" in response.headers:
         return False
     return "chunked" not in response.headers.get("Transfer-Encoding", "").lower()
 
 
 class HttpUpstreamClient:
-    """An :class:`~bergamotmast.direct.ports.UpstreamClient`."""
+    """Implements :class:`~bergamotmast.direct.ports.UpstreamClient`."""
 
     def __init__(self) -> None:
         self.pooled = self._session(force_close=False)
@@ -178,7 +178,7 @@
         error: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        """Close every connection."""
+        """Close all connections."""
         await self.pooled.close()
         await self.fresh.close()
 
@@ -193,7 +193,7 @@
         *,
         fresh: bool,
     ) -> cabc.AsyncIterator[HttpReply]:
-        """Send a request once and give its reply; leaving early cancels it."""
+        """Send a request once and yield its reply; leaving early cancels it."""
         session = self.fresh if fresh else self.pooled
         async with exchange(
             session,
--- a/src/bergamotmast/adapters/weights_http.py
+++ b/src/bergamotmast/adapters/weights_http.py
@@ -1,4 +1,4 @@
-"""The weight store over HTTP."""
+"""Client for the weight store over HTTP."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .http_calls import exchange
 
 CALL_SECONDS = 2.0
-"""Time one call may take; a load may take any."""
+"""Timeout of a call; loads have no timeout."""
 
 
 class WeightStoreBody(msgspec.Struct, frozen=True):
-    """What the store says of itself.
+    """The weight store's description of itself.
 
-    :param sizes: gigabytes of each version.
+    :param sizes: size of each version, in gigabytes.
     :param gigabytes_per_second: rate that all loads share.
     """
 
@@ -27,7 +27,7 @@
 
 
 class HttpWeightStore:
-    """A :class:`~bergamotmast.ports.WeightStore`.
+    """Implements :class:`~bergamotmast.ports.WeightStore`.
 
     :param url: base address, without a path.
     """
@@ -45,9 +45,9 @@
         return (await self._store()).gigabytes_per_second
 
     async def load(self, version: str) -> None:
-        """Return when a version has been read, as an engine does.
+        """Read a version, as an engine does, and return when it is complete.
 
-        :raises PortError: for a version the store does not hold.
+        :raises PortError: for a version that the store does not hold.
         """
         quoted = urllib.parse.quote(version, safe="")
         await self._call("POST", f"/loads/{quoted}", None)
--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -17,27 +17,27 @@
 logger = logging.getLogger(__name__)
 
 HIGH_WATER_MARK = 1000
-"""Messages queued for one connection before it counts as taking no more."""
+"""Messages queued for one connection before further sends fail."""
 
 CLOSE_LINGER_MILLISECONDS = 2000
-"""How long the last answers of a side that shuts down may take to go out."""
+"""How long the last answers of a side may take to be sent during its shutdown."""
 
 HANDSHAKE_MILLISECONDS = 5000
-"""How long a peer may take to show its key."""
+"""How long a peer may take for the handshake, which presents its key."""
 
 MAX_FRAMES_PER_TURN = 64
-"""Frames taken from a socket before the event loop's other tasks get a turn."""
+"""Frames received from a socket before the event loop's other tasks run."""
 
 _NOBLOCK = int(zmq.NOBLOCK)
 _SNDMORE = int(zmq.SNDMORE)
 _EVENTS = int(zmq.EVENTS)
 _POLLIN = int(zmq.POLLIN)
-# Plain numbers: combining the library's flags costs more than the call they steer.
+# Plain integers: combining the library's enum flags costs more than the socket call.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CurveKeys:
-    """Keys of one process, Z85 text as ZeroMQ prints it.
+    """CURVE keys of one process, in the Z85 text that ZeroMQ prints.
 
     :param public: its own public key.
     :param secret: its own secret key.
@@ -66,7 +66,7 @@
         """Open a connection to ``host:port``."""
         socket = _open(self.context, zmq.DEALER)
         # Without this, frames for a side that is not connected would be queued and
-        # delivered whenever it comes back.
+        # delivered whenever it reconnects.
         socket.setsockopt(zmq.IMMEDIATE, 1)
         if self.keys is not None:
             socket.curve_publickey = self.keys.public
@@ -79,15 +79,15 @@
 class _FrameWaiter:
     """Wakes the one task that waits for a socket's next frame.
 
-    Frames are taken without waiting while there are any, so that a burst costs one
-    wake-up; the library's own asyncio sockets make a future for each frame.
+    Frames are received without waiting while there are any, so that a burst costs one
+    wake-up; the library's own asyncio sockets create a future for each frame.
 
-    ZeroMQ's descriptor shows changes, not a state: a send may take in the news of a
-    frame that came, and the descriptor stays silent although a frame is there. Its
-    stream would stall until the next frame. So every send looks for frames while
-    somebody waits, and whoever does not wait yet looks into the socket first.
+    ZeroMQ's file descriptor is edge-triggered: a send may consume the event of a frame
+    that has arrived, and the descriptor is then not readable although a frame is there.
+    The stream would stall until the next frame. So every send polls for frames while a
+    task waits, and a task polls the socket before it waits.
 
-    :param socket: a socket without futures.
+    :param socket: a socket without futures, not one of the library's asyncio sockets.
     """
 
     def __init__(self, socket: zmq.Socket[bytes]) -> None:
@@ -97,13 +97,13 @@
         self.frames_taken = 0
 
     async def yield_after_burst(self) -> None:
-        """Give other tasks a turn after a burst; nothing is held meanwhile."""
+        """Let other tasks run after a burst; no frame is held meanwhile."""
         if self.frames_taken >= MAX_FRAMES_PER_TURN:
             self.frames_taken = 0
             await asyncio.sleep(0)
 
     async def wait(self) -> None:
-        """Wait until there may be a frame, after one look that found none."""
+        """Wait until there may be a frame, after a receive that found none."""
         loop = asyncio.get_running_loop()
         if self.loop is None:
             loop.add_reader(self.socket.FD, self.poll)
@@ -117,15 +117,15 @@
 
     def poll(self) -> None:
         """Wake the waiting task if there is a frame."""
-        # Asked also when nobody waits: the descriptor stays readable until then, and
-        # the event loop would spin.
+        # Read even if no task waits: the descriptor stays readable until then, and the
+        # event loop would spin.
         events = self.socket.get(_EVENTS)
         assert isinstance(events, int)
         if events & _POLLIN and self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     def after_send(self) -> None:
-        """Look for frames whose news a send may have taken in."""
+        """Poll for frames whose event a send may have consumed."""
         if self.waiter is not None:
             self.poll()
 
@@ -146,7 +146,7 @@
         self.frame_waiter = _FrameWaiter(socket)
 
     async def send(self, frame: bytes) -> None:
-        """Hand a frame over without waiting."""
+        """Queue a frame for sending, without waiting."""
         if self.socket.closed:
             raise NotReachedError("the connection is closed")
         try:
@@ -164,7 +164,7 @@
         return frame
 
     async def receive_many(self) -> list[bytes]:
-        """Return the frames that have come, in order, at least one."""
+        """Wait for at least one frame and return those that have arrived, in order."""
         frames = [await self.receive()]
         while self.frame_waiter.frames_taken < MAX_FRAMES_PER_TURN:
             frame = self._receive_now()
@@ -182,7 +182,7 @@
         return frame
 
     def close(self) -> None:
-        """Drop the connection with all frames still queued."""
+        """Close the connection and drop all frames that are still queued."""
         if not self.socket.closed:
             self.frame_waiter.close()
         self.socket.close(linger=0)
@@ -194,7 +194,8 @@
     The address is bound exclusively: a second process for the same slot fails to
     start while the first one, even if it is stopped, still holds the port.
 
-    :param address: ``host:port``; port 0 takes a free one, see ``address`` after.
+    :param address: ``host:port``; port 0 binds a free port, which the attribute
+        ``address`` then names.
     :raises OSError: if the address is in use.
     """
 
@@ -203,7 +204,7 @@
     ) -> None:
         self.socket = _open(context, zmq.ROUTER)
         self.frame_waiter = _FrameWaiter(self.socket)
-        # Without this, a frame for a peer that is gone would be dropped in silence.
+        # Without this, a frame for a peer that is gone would be dropped without an error.
         self.socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
         self.authenticator: zmq.auth.asyncio.AsyncioAuthenticator | None = None
         if keys is not None:
@@ -242,11 +243,11 @@
             await self.frame_waiter.yield_after_burst()
 
     async def send(self, peer: bytes, *frames: bytes) -> None:
-        """Hand frames over as the parts of one message, without waiting."""
+        """Queue frames as the parts of one message, without waiting."""
         if self.socket.closed:
             raise NotReachedError("the listener is closed")
         try:
-            # Only the first part can be refused; the others go where it went.
+            # Only the first part can fail; the others follow it.
             self.socket.send(peer, _NOBLOCK | _SNDMORE)
             for frame in frames[:-1]:
                 self.socket.send(frame, _NOBLOCK | _SNDMORE)
@@ -257,7 +258,7 @@
             self.frame_waiter.after_send()
 
     def close(self) -> None:
-        """Release the address; answers just handed over still go out for a while."""
+        """Release the address; answers that are queued are still sent for a while."""
         if not self.socket.closed:
             self.frame_waiter.close()
         self.socket.close(linger=CLOSE_LINGER_MILLISECONDS)
@@ -280,7 +281,7 @@
 
 
 def _open(context: zmq.Context[t.Any], kind: int) -> zmq.Socket[bytes]:
-    """Return a socket without futures that the context closes if we don't."""
+    """Return a socket without futures; the context closes it if its owner doesn't."""
     socket: zmq.Socket[bytes] = context.socket(kind, socket_class=zmq.Socket)
     socket.setsockopt(zmq.LINGER, 0)
     socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
--- a/src/bergamotmast/config/store.py
+++ b/src/bergamotmast/config/store.py
@@ -140,7 +140,7 @@
         return _stored(item)
 
     async def read_record(self, generation: int) -> ConfigRecord | None:
-        """Read the record of a generation; ``None`` if it does not exist or not any more."""
+        """Read the record of a generation; ``None`` if it does not exist (any more)."""
         item = await self.kv.get(history_key(generation))
         return None if item is None else _record(item)
 
