--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -204,7 +204,7 @@
     ) -> None:
         self.socket = _open(context, zmq.ROUTER)
         self.frame_waiter = _FrameWaiter(self.socket)
-        # Without this, a frame for a peer that is gone would be dropped without an error.
+        # Without this, a frame for a peer that is gone would be silently dropped.
         self.socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
         self.authenticator: zmq.auth.asyncio.AsyncioAuthenticator | None = None
         if keys is not None:
