--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -56,6 +56,11 @@
     :param claims: claims on idempotency keys, for calls that run at most once.
     :param rng: seeded source of jitter.
     :param telemetry: receives metrics; none are recorded without it.
+    :param membership: the connections to sides.
+    :param closing: whether the shutdown has begun, so that the entry is not ready.
+    :param refusing: whether new requests are refused.
+    :param in_flight: number of requests in flight.
+    :param placements: the placements of these requests.
     """
 
     def __init__(
--- a/src/bergamotmast/entry/fleet_view.py
+++ b/src/bergamotmast/entry/fleet_view.py
@@ -27,7 +27,7 @@
     def leaving(self) -> cabc.Container[str]:
         """Return the names of the upstreams that are leaving.
 
-        The instance list, the configuration or the side's own report may say so.
+        The instance list, the configuration or the side's own report may mark them.
         """
         return frozenset(n for n in self.membership.infos if self._is_leaving(n))
 
--- a/src/bergamotmast/entry/membership.py
+++ b/src/bergamotmast/entry/membership.py
@@ -59,10 +59,10 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether an upstream is missing, or marked as leaving, in any source.
+        """Return whether an upstream is not listed or is marked as leaving.
 
-        The sources are the instance list and the configuration. A side that leaves by
-        itself says so in its report and refuses work.
+        The instance list or the configuration may mark it. The readiness that its side
+        reports is not considered: a leaving side refuses work itself.
         """
         info = self.infos.get(name)
         if info is None or info.leaving:
--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -161,7 +161,7 @@
     def _on_finish(
         self, attempt: EntryAttempt, chunk: messages.Chunk, tokens_before: int
     ) -> None:
-        """Complete an attempt; after a handoff, a decode engine goes on."""
+        """Complete an attempt; after a handoff, a decode engine continues."""
         self.placement.on_done(attempt.upstream, self.tokens - tokens_before)
         if chunk.finish == "handoff":
             self.kv_handle = chunk.kv_handle
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -74,7 +74,8 @@
     :param running: names of the attempts that run on the upstream.
     :param leaving: whether this process is shutting down.
     :param admission_paused: whether a planned change keeps new work away.
-    :param engine: last state of the engine; ``None`` for a plain service.
+    :param engine: last known state of the upstream; ``None`` while it is unknown.
+    :param engine_readiness: readiness of the upstream itself.
     :param plan_seen: highest plan token that an earlier side of the upstream obeyed.
     :param plan_token: returns the token of the plan that this side obeys.
     :param offered: demand offered since the start, in tokens.
@@ -192,7 +193,7 @@
         await self.flush()
 
     async def flush(self) -> None:
-        """Send all queued frames now; the event loop may stop before its next turn."""
+        """Send all queued frames now, as the event loop may stop before it would."""
         await asyncio.gather(*self._background)
         await self.server.outbox.flush()
 
@@ -256,6 +257,10 @@
     async def _refuse(
         self, session: Session, offer: messages.Offer, code: ResultCode
     ) -> None:
+        """Refuse an offer.
+
+        Refusals for load, which have codes from 200 to 299, tell the caller when to retry.
+        """
         self._record(offer, "refused")
         retry_after = RETRY_AFTER_FULL if 200 <= code < 300 else 0.0
         await self.send(
@@ -344,7 +349,7 @@
     async def _on_cancel_of_unknown(
         self, session: Session, cancel: messages.Cancel
     ) -> None:
-        """Report the state of an attempt that is not known here any more, or not yet.
+        """Report the state of an attempt that is no longer, or not yet, known.
 
         If it was ever started, it has ended. Otherwise a tombstone is left, which keeps
         an offer of it that arrives later from starting.
