--- a/src/bergamotmast/adapters/http_calls.py
+++ b/src/bergamotmast/adapters/http_calls.py
@@ -102,6 +102,7 @@
     aiohttp.ConnectionTimeoutError,
     aiohttp.InvalidURL,
 )
+"""Errors that are raised before any part of a request is sent."""
 
 
 async def _prevent_library_retry(
--- a/src/bergamotmast/adapters/key_value_http.py
+++ b/src/bergamotmast/adapters/key_value_http.py
@@ -113,12 +113,14 @@
         raise KeyValueUnavailableError("the watch ended")
 
     async def _read(self, path: str, body: JsonObject) -> JsonObject:
+        """Send a read, any failure of which means that the service is unavailable."""
         try:
             return await self._call(path, body)
         except (NotReachedError, ReplyLostError, msgspec.DecodeError) as error:
             raise KeyValueUnavailableError(str(error)) from error
 
     async def _write(self, path: str, body: JsonObject) -> JsonObject:
+        """Send a write, whose outcome is unknown if its reply is lost or malformed."""
         try:
             return await self._call(path, body)
         except NotReachedError as error:
--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -213,7 +213,7 @@
         self.unknown.add(1)
 
     def on_second_send(self, group: str, *, allowed: bool) -> None:
-        """Take a second send to a group, or one that the retry budget refused."""
+        """Count a retry to a group, or one that the retry budget refused."""
         labels = {"group": self.classes(group), "allowed": str(allowed).lower()}
         self.second_sends.add(1, labels)
 
--- a/src/bergamotmast/config/checks.py
+++ b/src/bergamotmast/config/checks.py
@@ -189,6 +189,7 @@
 def _bound_problems(
     roles: dict[Role, RoleBounds], members: int, path: Path
 ) -> cabc.Iterator[Problem]:
+    """Yield bounds that are negative, reversed or unsatisfiable by a group's size."""
     for role, bounds in roles.items():
         if bounds.least < 0 or (bounds.most is not None and bounds.most < 0):
             yield Problem((*path, role.value), "bounds must not be negative")
@@ -233,6 +234,7 @@
 
 
 def _model_names(configuration: Configuration) -> set[str]:
+    """Return the names that requests may use: ``model`` and ``model:adapter``."""
     names = set()
     for selector in configuration.selectors:
         models = [item.partition("@")[0] for item in selector.models]
--- a/src/bergamotmast/config/contradictions.py
+++ b/src/bergamotmast/config/contradictions.py
@@ -66,6 +66,7 @@
     one_members: frozenset[str],
     other_members: frozenset[str],
 ) -> cabc.Iterator[str]:
+    """Yield each conflict between two selectors that share an upstream."""
     if one.state is not other.state:
         yield f"one says {one.state.value}, the other {other.state.value}"
     yield from _version_reasons("model", one.models, other.models)
@@ -85,6 +86,7 @@
 
 
 def _versions(named_versions: tuple[str, ...]) -> dict[str, str]:
+    """Return the version of each name in ``name@version`` items."""
     parts = (item.partition("@") for item in named_versions)
     return {name: version for name, _, version in parts}
 
@@ -95,6 +97,10 @@
     one_members: frozenset[str],
     other_members: frozenset[str],
 ) -> cabc.Iterator[str]:
+    """Yield roles of which one selector wants more engines than the other allows.
+
+    Engines outside the other selector's group count towards the minimum first.
+    """
     outside = len(one_members - other_members)
     for role in Role:
         least = _bounds(one, role).least
@@ -109,6 +115,7 @@
 def _least_reasons(
     one: Selector, other: Selector, members: frozenset[str]
 ) -> cabc.Iterator[str]:
+    """Yield a conflict if the minimums of all roles exceed the engines of both."""
     least = sum(max(_bounds(s, role).least for s in (one, other)) for role in Role)
     if least > len(members):
         yield f"together they want at least {least} engines of {len(members)}"
--- a/src/bergamotmast/config/delta.py
+++ b/src/bergamotmast/config/delta.py
@@ -44,6 +44,7 @@
 
 
 def _difference(before: _Plain, after: _Plain) -> _Plain:
+    """Return the merge patch from one object to another."""
     delta: _Plain = {key: None for key in before if key not in after}
     for key, value in after.items():
         old = before.get(key)
@@ -57,6 +58,7 @@
 
 
 def _merged(document: _Plain, delta: _Plain) -> _Plain:
+    """Return an object with a merge patch applied."""
     merged = dict(document)
     for key, value in delta.items():
         if value is None:
--- a/src/bergamotmast/config/permissions.py
+++ b/src/bergamotmast/config/permissions.py
@@ -72,6 +72,7 @@
     before: Configuration,
     after: Configuration,
 ) -> None:
+    """Reject changes of selectors that a key does not cover."""
     old = {selector.name: selector for selector in before.selectors}
     new = {selector.name: selector for selector in after.selectors}
     for name in sorted((old.keys() | new.keys()) - allowed):
@@ -85,6 +86,7 @@
     before: Configuration,
     after: Configuration,
 ) -> None:
+    """Reject changes of labels or groups of upstreams that a key does not cover."""
     old, new = selectors_by_upstream(before), selectors_by_upstream(after)
     for upstream in sorted(before.labels.keys() | after.labels.keys()):
         was, will_be = old.get(upstream, _NONE), new.get(upstream, _NONE)
