--- a/src/bergamotmast/policy/admission.py
+++ b/src/bergamotmast/policy/admission.py
@@ -1,19 +1,19 @@
-"""What is turned away at the door, before any work is spent on it.
-
-Load pattern: saturation for minutes, from half as much again to three times what the
-fleet can do, with callers whose deadlines differ by two orders of magnitude.
-
-Without it: queues grow until whatever comes out of them is too late; every engine is
-busy and goodput falls to nothing, while prefills are spent on answers nobody waits for.
-
-Thresholds: the side, whose counts are exact, refuses what its own queue would bring
-past its deadline; it has the last word. An entry sees only old reports, so it refuses
-only where every upstream it compared is predicted to be :data:`ENTRY_SLACK` times too
-late: a wrong refusal there loses an answer, a wrong offer costs a round trip of a
-millisecond. :data:`DOOR_SLACK` is the side's own margin for a length that turns out
-longer than predicted. A refused caller is told to come back after the predicted
-overshoot, spread by :data:`RETRY_JITTER` so that a refused burst does not return as
-one.
+"""Admission control: refuses requests that can't meet their deadline.
+
+Load pattern: saturation for minutes, from one and a half times to three times the
+capacity of the fleet, with callers whose deadlines differ by two orders of magnitude.
+
+Without it: queues grow until every request that leaves them is too late; all engines
+are busy, goodput falls to nothing, and prefills are spent on answers that no caller
+waits for any more.
+
+Thresholds: a side knows its exact counts and decides last; it refuses a request that
+its own queue would bring past its deadline. An entry sees only old reports, so it
+refuses only if every upstream that it compared is predicted to be :data:`ENTRY_SLACK`
+times too late: a wrong refusal loses an answer, a wrong offer costs one round trip of a
+millisecond. :data:`DOOR_SLACK` is the side's margin for answers longer than predicted.
+A refused caller is asked to retry after the predicted overshoot, plus jitter of up to
+:data:`RETRY_JITTER` of it, so that refused bursts don't return all at once.
 """
 
 from __future__ import annotations
@@ -21,34 +21,46 @@
 import random
 
 ENTRY_SLACK = 2.0
-"""How many times too late a prediction must be for an entry to refuse."""
+"""Multiple of the remaining time that a prediction must exceed for an entry to refuse.
+"""
 
 DOOR_SLACK = 1.0
-"""Share of the time left that a side's prediction may take."""
+"""Share of the remaining time that a side's prediction may take."""
 
 LEAST_RETRY_AFTER = 1.0
-"""Seconds a refused caller waits at least."""
+"""Lower bound of the delay that a refused caller is asked to keep."""
 
 MOST_RETRY_AFTER = 30.0
-"""Seconds a refused caller is asked to wait at most."""
+"""Upper bound of that delay."""
 
 RETRY_JITTER = 0.5
-"""Share by which a wait is spread upwards."""
+"""Largest random addition to the delay, as a share of it."""
 
 
 def too_late_for_entry(
     predicted: float, left: float, slack: float = ENTRY_SLACK
 ) -> bool:
-    """Return whether an entry refuses, from predicted and remaining seconds."""
+    """Return whether an entry refuses a request.
+
+    :param predicted: predicted seconds until the request is served.
+    :param left: seconds until its deadline.
+    """
     return left <= 0.0 or predicted > slack * left
 
 
 def too_late_for_side(predicted: float, left: float, slack: float) -> bool:
-    """Return whether a side refuses, from predicted and remaining seconds."""
+    """Return whether a side refuses a request.
+
+    :param predicted: predicted seconds until the request is served.
+    :param left: seconds until its deadline.
+    """
     return left <= 0.0 or predicted > slack * left
 
 
 def retry_after(overshoot: float, rng: random.Random) -> float:
-    """Return the seconds after which a refused caller may come back."""
+    """Return the seconds after which a refused caller should retry.
+
+    :param overshoot: predicted seconds past the deadline.
+    """
     seconds = min(MOST_RETRY_AFTER, max(LEAST_RETRY_AFTER, overshoot))
     return round(seconds * (1.0 + RETRY_JITTER * rng.random()), 3)
--- a/src/bergamotmast/policy/affinity.py
+++ b/src/bergamotmast/policy/affinity.py
@@ -1,19 +1,20 @@
-"""Which upstreams are likely to hold a prompt prefix in their cache.
-
-Load pattern: a few prefixes (a notary's template, a production's script) take most of
-the prompt tokens, from callers spread over all entries.
-
-Without it: each upstream prefills each prefix again and evicts it for the next one;
-with blind affinity instead, the upstream of the hottest prefix drowns while its
-neighbours idle.
-
-Thresholds: cache events are late and have gaps, so nothing is believed for longer than
-:data:`BELIEF_SECONDS` and each answer's own cached-token count replaces the belief.
-The belief only shortens the predicted prefill; the predicted wait still counts in
-full, which bounds the load that affinity can draw: an upstream wins by its cache only
-while its queue is shorter than the prefill it saves. :data:`FIRST_HOPE` is what the
-rendezvous choice for a prefix that nobody has seen is worth: enough to bring entries
-to the same upstream when all are idle, not to make any of them wait there.
+"""Prefix cache affinity: estimates which upstreams have a prompt's prefix cached.
+
+Load pattern: a few prefixes (a notary's template, a production's script) account for
+most prompt tokens, and the requests that share them arrive at all entries.
+
+Without it: each upstream prefills each prefix again and evicts it for the next one.
+With affinity that ignores load, the upstream of the most used prefix is overloaded
+while others idle.
+
+Thresholds: cache events are late and incomplete, so an estimate expires after
+:data:`BELIEF_SECONDS`, and the cached-token count of each answer replaces it. The
+estimate only shortens the predicted prefill; the predicted queueing delay still counts
+in full. That bounds the load which affinity attracts: a cached prefix wins only while
+the queue is shorter than the prefill it saves. For a prefix that was never seen, the
+upstream chosen by rendezvous hashing is credited with :data:`FIRST_HOPE` of the prompt:
+enough for all entries to agree on one upstream when all are idle, too little to make
+requests queue there.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 from .subset import rank
 
 MAX_PREFIXES = 2048
-"""Prefixes an entry remembers; the one unused for longest goes first."""
+"""Prefixes that an entry remembers; the least recently used one is dropped first."""
 
 MAX_PLACES = 4
 """Upstreams remembered for each prefix."""
 
 BELIEF_SECONDS = 120.0
-"""How long a hit is believed without being confirmed."""
+"""Time after which an unconfirmed estimate expires."""
 
 FIRST_HOPE = 0.25
-"""Share of the prompt hoped for at the rendezvous choice of an unknown prefix."""
+"""Share of a prompt assumed cached at the rendezvous choice of an unknown prefix."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +46,7 @@
 
 
 class PrefixMap:
-    """What an entry believes of the upstreams' caches."""
+    """Estimated cache contents of the upstreams, by prefix."""
 
     def __init__(self) -> None:
         self.places: collections.OrderedDict[str, dict[str, Belief]] = (
@@ -55,10 +56,10 @@
     def learn(
         self, prefix_key: str, upstream: str, cached: int, prompt: int, now: float
     ) -> None:
-        """Take in an answer's cached-token count.
+        """Record the cached-token count of an answer.
 
-        An answer without a hit still leaves its prefix in the cache, so the whole
-        prompt's hope stands in for a count until the next answer gives one.
+        An answer without a cache hit still leaves its prefix in the cache, so the
+        estimate for an unknown prefix stands in until the next answer gives a count.
         """
         beliefs = self.places.setdefault(prefix_key, {})
         self.places.move_to_end(prefix_key)
@@ -72,7 +73,7 @@
     def expected(
         self, prefix_key: str, names: list[str], prompt: int, now: float
     ) -> dict[str, int]:
-        """Return the prompt tokens each named upstream is expected to have cached."""
+        """Return the prompt tokens that each named upstream is expected to have cached."""
         if not prefix_key:
             return {}
         known = self.places.get(prefix_key, {})
@@ -87,5 +88,9 @@
 
 
 def rendezvous(key: str, names: list[str]) -> str:
-    """Return the name that every process picks for a key, whoever else is named."""
+    """Return the name with the highest rank for a key (rendezvous hashing).
+
+    All processes choose the same name, and adding or removing other names doesn't
+    change the choice.
+    """
     return max(names, key=lambda name: rank(key, name))
--- a/src/bergamotmast/policy/baselines.py
+++ b/src/bergamotmast/policy/baselines.py
@@ -1,9 +1,9 @@
-"""Simple policies to compare with: what a fleet gets without the rest of this package.
+"""Baseline policies to compare the default ones with.
 
-Each answers some load pattern well and fails at another: round robin ignores length
-and state, random ignores state, least outstanding counts requests and not work, a
-static split has the wrong roles once the mix moves, and a greedy threshold follows
-every swing. They use no thresholds but their own, given here.
+Each handles some load patterns well and fails at others: round robin ignores length and
+state, random ignores state, least outstanding counts requests and not work, a static
+split has the wrong roles once the mix changes, and a greedy threshold follows every
+swing. Their only thresholds are the constants below.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
 from .shifting import role_counts
 
 GREEDY_RATIO = 2.0
-"""Ratio of prefill to decode backlog, in seconds, at which greedy shifting acts."""
+"""Ratio of prefill to decode backlog, in seconds, above which greedy shifting acts."""
 
 GREEDY_BACKLOG = 0.5
-"""Seconds of backlog an engine below which greedy shifting sees no need."""
+"""Backlog for each engine below which greedy shifting does nothing."""
 
 BASELINE_RETRY_AFTER = 1.0
-"""Seconds after which a refused caller may come back."""
+"""Delay after which a refused caller may retry."""
 
 
 class PlainEntryPolicy:
     """Common base: no prediction, no affinity, every retry allowed.
 
-    :param rng: seeded source of every draw.
+    :param rng: seeded random source.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -48,7 +48,7 @@
         self.turn = rng.randrange(1 << 16)
 
     def predict(self, call: ModelCall) -> Cost:
-        """Take the caller's limit at its word."""
+        """Return the caller's ``max_tokens`` as the predicted output length."""
         return Cost(call.prompt_tokens, max(1, call.max_tokens))
 
     def choose(
@@ -59,7 +59,7 @@
         resumed_tokens: int = 0,
         excluded: frozenset[str] = frozenset(),
     ) -> Choice:
-        """Choose among the ready upstreams of the roles that fit."""
+        """Choose among the ready upstreams whose role fits the next stage."""
         ready = [c for c in candidates if c.name not in excluded and _ready(c)]
         prefill = [c for c in ready if _role(c) is Role.PREFILL]
         others = [c for c in ready if _role(c) is not Role.PREFILL]
@@ -78,12 +78,12 @@
         return True
 
     def on_admitted(self, call: ModelCall | ServiceCall, now: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def on_first_token(
         self, upstream: str, call: ModelCall, cached_tokens: int, now: float
     ) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def on_ended(
         self,
@@ -93,31 +93,31 @@
         output_tokens: int,
         now: float,
     ) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
 
 class RoundRobinEntryPolicy(PlainEntryPolicy):
-    """Each upstream in turn."""
+    """Chooses the upstreams in turn."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
-        """Return the next in turn."""
+        """Return the next upstream in the order of names."""
         self.turn += 1
         return sorted(pool, key=lambda c: c.name)[self.turn % len(pool)]
 
 
 class RandomEntryPolicy(PlainEntryPolicy):
-    """Any upstream."""
+    """Chooses any upstream at random."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
-        """Return any."""
+        """Return a random upstream."""
         return self.rng.choice(pool)
 
 
 class LeastOutstandingEntryPolicy(PlainEntryPolicy):
-    """The upstream with the fewest requests known to be there."""
+    """Chooses the upstream with the fewest known outstanding requests."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
-        """Return the one with the fewest, any of them where several have."""
+        """Return an upstream with the fewest requests; ties are broken at random."""
         counts = [_outstanding(c) for c in pool]
         least = min(counts)
         return self.rng.choice(
@@ -141,7 +141,9 @@
 
 
 class FifoSidePolicy:
-    """First come, first served up to the batch, until the deadline."""
+    """First in, first out, as many at once as the batch holds; expired items are
+    dropped.
+    """
 
     def __init__(self) -> None:
         self.queue: dict[str, QueueItem] = {}
@@ -157,7 +159,7 @@
         decode_rate: float,
         role: Role | None,
     ) -> None:
-        """Learn the size of the batch."""
+        """Set the batch size and the prefill rate."""
         self.max_streams = max(1, max_streams)
         self.prefill_rate = prefill_rate
 
@@ -167,7 +169,7 @@
         return ResultCode.OK
 
     def next(self, now: float) -> QueueItem | None:
-        """Take the oldest while the batch has a place."""
+        """Return the oldest item if the batch has a free slot."""
         if not self.queue or len(self.started) >= self.max_streams:
             return None
         attempt = next(iter(self.queue))
@@ -176,27 +178,27 @@
         return item
 
     def on_progress(self, attempt: str, tokens: int, now: float) -> None:
-        """Count the tokens still to come."""
+        """Update the output tokens still to come."""
         if attempt in self.started:
             self.started[attempt] = max(0, self.started[attempt] - tokens)
 
     def on_ended(self, attempt: str, now: float) -> None:
-        """Free the place."""
+        """Free the item's slot."""
         self.started.pop(attempt, None)
 
     def withdraw(self, attempt: str) -> bool:
-        """Take a waiting item out."""
+        """Remove a waiting item."""
         return self.queue.pop(attempt, None) is not None
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
-        """Take out what is past its deadline."""
+        """Remove the items that are past their deadline."""
         gone = [i for i in self.queue.values() if now >= i.deadline]
         for item in gone:
             del self.queue[item.attempt]
         return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in gone]
 
     def waiting(self) -> int:
-        """Return how many items wait."""
+        """Return the number of waiting items."""
         return len(self.queue)
 
     def waiting_cost(self) -> Cost:
@@ -211,11 +213,11 @@
         return sum(self.started.values())
 
     def kv_free(self) -> float:
-        """Return the free share of the batch, in place of memory."""
+        """Return the free share of the batch; memory is not tracked."""
         return max(0.0, 1.0 - len(self.started) / self.max_streams)
 
     def speed(self) -> UpstreamSpeed:
-        """Return the stated rate."""
+        """Return the configured rate."""
         return UpstreamSpeed(self.prefill_rate)
 
 
@@ -231,7 +233,7 @@
     """Changes a role whenever one kind of backlog outweighs the other."""
 
     def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
-        """Move one engine towards the longer backlog."""
+        """Move one engine to the role with the longer backlog."""
         if any(e.changing for e in picture.engines):
             return None
         prefill = sum(_prefill_backlog(e) for e in picture.engines)
--- a/src/bergamotmast/policy/capacity.py
+++ b/src/bergamotmast/policy/capacity.py
@@ -1,7 +1,7 @@
-"""Which share of a demand a group of engines can serve with given roles.
+"""Capacity of a group of engines: the share of a demand it can serve with given roles.
 
-Prefill engines take prompt tokens, decode engines output tokens, and mixed engines
-divide their time between both; the share is the largest multiple of the demand that
+Prefill engines process prompt tokens, decode engines output tokens, and mixed engines
+divide their time between both. The share is the largest multiple of the demand that
 fits, at most 1.
 """
 
@@ -15,17 +15,17 @@
 from .interfaces import EngineView
 
 TARGET_UTILISATION = 0.85
-"""Share of the nominal rates that can be used without queues growing past deadlines."""
+"""Share of the nominal rates that can be used before queues grow past deadlines."""
 
 LEARN_WEIGHT = 0.2
-"""Weight of one report in a role's learned rates."""
+"""Weight of one report in the moving average of a role's rates."""
 
 _STEPS = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pair:
-    """Rates of one engine in one role, in tokens a second."""
+    """Prefill and decode rate of one engine in one role, in tokens a second."""
 
     prefill: float
     decode: float
@@ -36,17 +36,17 @@
     Role.PREFILL: Pair(1.25, 0.1),
     Role.DECODE: Pair(0.1, 1.25),
 }
-"""Rates of each role against those of a mixed engine, until a report gives them."""
+"""Rates of each role relative to a mixed engine's, used until a report gives them."""
 
 
 class RoleRates:
-    """Rates of each role, as the engines of the group report them."""
+    """Moving average of the rates that a group's engines report, by role."""
 
     def __init__(self) -> None:
         self.known: dict[Role, Pair] = {}
 
     def observe(self, engines: cabc.Sequence[EngineView]) -> None:
-        """Take in the rates of engines that are settled in their role."""
+        """Update the rates from engines whose reported role matches the planned one."""
         for engine in engines:
             report = engine.report
             if report is None or report.role is not engine.role or engine.changing:
@@ -61,7 +61,7 @@
         )
 
     def of(self, role: Role) -> Pair:
-        """Return a role's rates, from another role's where it was never seen."""
+        """Return a role's rates; for an unseen role, scaled from another role's."""
         if role in self.known:
             return self.known[role]
         for other, pair in self.known.items():
--- a/src/bergamotmast/policy/cost.py
+++ b/src/bergamotmast/policy/cost.py
@@ -1,19 +1,18 @@
-"""Predicted work of a request, with its output length learned for each class.
-
-Load pattern: a mix in which hold checks and confirm flags answer in a few tokens
-while appraisals and call sheets answer in thousands, all with the same generous
-``max_tokens``.
-
-Without it: counting requests, or taking ``max_tokens`` at its word, makes a check
-look as dear as an appraisal. Queues then refuse checks that cost nothing and take
-appraisals that can't be finished.
-
-Thresholds: lengths within a class are skewed, so a quantile is kept and not a mean.
-:data:`DEFAULT_QUANTILE` lies a little above the median, because an underestimate
-admits work that is thrown away half done, while an overestimate only waits.
-:data:`WINDOW` samples place that quantile within about 4 points of its rank (the
-standard error of a rank, the root of 0.6 x 0.4 / 128), and are forgotten in seconds
-at a class's usual rate.
+"""Predicted work of a request, with the output length learned by request class.
+
+Load pattern: hold checks and confirm flags answer in a few tokens, appraisals and call
+sheets in thousands, and all have the same generous ``max_tokens``.
+
+Without it: counting requests, or taking ``max_tokens`` as the length, makes a check
+look as expensive as an appraisal. Queues then refuse checks that cost nothing and
+accept appraisals that can't be finished in time.
+
+Thresholds: lengths within a class are skewed, so the predictor uses a quantile and not
+a mean. :data:`DEFAULT_QUANTILE` is a little above the median, because an underestimate
+admits work that is thrown away half done, while an overestimate only delays it.
+:data:`WINDOW` samples give that quantile to within about 4 points of its rank (the
+standard error of a rank, the root of 0.6 x 0.4 / 128) and are replaced within seconds
+at the usual rate of a class.
 """
 
 from __future__ import annotations
@@ -28,24 +27,24 @@
 """Output lengths kept for each class."""
 
 MAX_CLASSES = 256
-"""Classes kept; the one unused for longest is forgotten first."""
+"""Classes kept; the least recently used one is dropped first."""
 
 DEFAULT_QUANTILE = 0.6
-"""Rank of the length that a prediction takes from the window."""
+"""Quantile of the window that is predicted."""
 
 PRIOR_TOKENS = 128
-"""Output length assumed while a class has no sample, unless the caller takes less."""
+"""Output length assumed for a class without samples, unless ``max_tokens`` is lower."""
 
 
 class LengthWindow:
-    """The last output lengths of one class, in order of arrival and sorted."""
+    """Sliding window of output lengths of one class, in order of arrival and sorted."""
 
     def __init__(self) -> None:
         self.recent: collections.deque[int] = collections.deque()
         self.ordered: list[int] = []
 
     def add(self, tokens: int) -> None:
-        """Take a sample in, and the oldest out where the window is full."""
+        """Add a sample; a full window drops its oldest one."""
         if len(self.recent) == WINDOW:
             oldest = self.recent.popleft()
             del self.ordered[bisect.bisect_left(self.ordered, oldest)]
@@ -61,9 +60,9 @@
 
 
 class OutputPredictor:
-    """Predicts output lengths by class.
+    """Predicts output lengths by request class.
 
-    :param quantile: rank of the length that is predicted.
+    :param quantile: quantile of the window that is predicted.
     """
 
     def __init__(self, quantile: float = DEFAULT_QUANTILE) -> None:
@@ -73,7 +72,7 @@
         )
 
     def learn(self, request_class: str, tokens: int) -> None:
-        """Take in the output length of an answer that came whole."""
+        """Record the output length of a complete answer."""
         window = self.windows.setdefault(request_class, LengthWindow())
         self.windows.move_to_end(request_class)
         window.add(tokens)
@@ -94,9 +93,9 @@
 
 
 def still_to_come(predicted: int, produced: int) -> int:
-    """Return the output tokens expected after so many were produced.
+    """Return the output tokens expected after ``produced`` ones.
 
-    An answer past its prediction is expected to go on for as long again as a quarter
-    of what it produced: lengths are skewed, so what is late is seldom almost done.
+    An answer longer than predicted is expected to continue for a quarter of what it has
+    produced: lengths are skewed, so an overdue answer is seldom almost done.
     """
     return max(predicted - produced, produced // 4 if produced >= predicted else 1, 1)
--- a/src/bergamotmast/policy/decisions.py
+++ b/src/bergamotmast/policy/decisions.py
@@ -1,7 +1,7 @@
-"""Which decisions a direct entry takes, each of which can be switched off.
+"""Decisions of a direct entry that an operator can switch off one by one.
 
-What a decision is worth on a fleet shows when the same load is played without it. An
-operator can switch one off, too, where engines turn out to bear it badly.
+Replaying a load with one decision switched off shows what it contributes. Operators can
+also switch off a decision that does harm with their engines.
 """
 
 from __future__ import annotations
@@ -12,26 +12,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decisions:
-    """Switches, all on by default.
+    """Switches of the decisions, all on by default.
 
-    :param packing: long prompts go where long ones are, so that others stay free.
-    :param fetching: an engine takes a prompt's beginning from one that keeps it.
-    :param copies: a second copy of a prompt's beginning is made where that is worth it.
-    :param urgent_load: waits are stretched by the more urgent prompts that come.
-    :param size_priority: of one rank, short prompts are read before long ones.
-    :param size_shares: large prompts go first while too few of them are served.
-    :param short_answers_first: answers of a few tokens are begun before others.
-    :param direct_reading: short prompts may be read by the engine that answers.
-    :param zone_preference: engines in the entry's availability zone go first.
-    :param refusal: a caller that would leave before its first event is told at once.
-    :param learning: what engines take to read is learned from what reads take.
-    :param slowness: engines are compared with what they were predicted to take.
-    :param silence: a prompt is begun anew where its engine is silent for too long.
-    :param load_hints: what upstreams say of their load counts.
-    :param notices: entries tell each other which prompts they send where.
-    :param leaving_alone: an engine that has failed gets nothing for a moment.
-    :param ejection: a plain upstream that fails again and again is left out.
-    :param role_changes: engines change their roles with the mix.
+    :param packing: place long prompts together, so that other engines stay free of
+        them.
+    :param fetching: transfer a cached prefix from another engine instead of prefilling
+        it.
+    :param copies: charge the cost of a second prefix replica when an engine is chosen.
+    :param urgent_load: extend predicted queueing delays by more urgent prompts to come.
+    :param size_priority: prefill short prompts before long ones of the same rank.
+    :param size_shares: prefill large prompts first while too few of them are served.
+    :param short_answers_first: start answers of a few tokens before others.
+    :param direct_reading: let decode engines prefill short prompts themselves.
+    :param zone_preference: prefer engines in the entry's availability zone.
+    :param refusal: refuse a request at once if its caller would leave before the first
+        event.
+    :param learning: learn prefill times from finished prefills.
+    :param slowness: track the ratio of each engine's actual to predicted time.
+    :param silence: restart a prompt elsewhere if its engine sends no reply within the
+        timeout.
+    :param load_hints: use the load that upstreams report in their replies.
+    :param notices: exchange notices of prefills between entries.
+    :param leaving_alone: give an engine that has just failed no work during a
+        cool-down.
+    :param ejection: eject a plain upstream after consecutive failures.
+    :param role_changes: change the roles of engines as the mix changes.
     """
 
     packing: bool = True
@@ -55,9 +60,9 @@
 
     @classmethod
     def without(cls, names: cabc.Iterable[str]) -> Decisions:
-        """Return all decisions but some.
+        """Return all decisions except the named ones.
 
-        :raises ValueError: for a name that is none.
+        :raises ValueError: if a name is not that of a decision.
         """
         off = set(names)
         if unknown := off - DECISION_NAMES:
@@ -66,7 +71,7 @@
 
 
 DECISION_NAMES = frozenset(field.name for field in dataclasses.fields(Decisions))
-"""What can be switched off."""
+"""Names of the decisions that can be switched off."""
 
 ALL = Decisions()
-"""Every decision is taken."""
+"""All decisions switched on."""
--- a/src/bergamotmast/policy/demand.py
+++ b/src/bergamotmast/policy/demand.py
@@ -1,9 +1,9 @@
-"""Tokens a second that a group of engines is offered.
+"""Demand of a group of engines: the smoothed rate of the tokens offered to it.
 
-Load pattern: bursts of seconds on top of a mix that moves over minutes.
+Load pattern: bursts of seconds on top of a mix that changes over minutes.
 
-Without it: a rate taken between two reports is mostly noise, and one taken over the
-whole day never moves. The meter smooths over a time constant that its user chooses.
+Without it: a rate between two reports is mostly noise, and an average over the day
+never changes. The meter smooths over a time constant chosen by its user.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class DemandMeter:
-    """Exponentially smoothed demand from cumulative counters.
+    """Exponential moving average of the demand, computed from cumulative counters.
 
     :param seconds: time constant.
     """
@@ -38,11 +38,10 @@
         self.weight = 0.0
 
     def observe(self, engines: cabc.Sequence[EngineView], now: float) -> None:
-        """Take in the engines' counters.
+        """Update the demand from the engines' counters.
 
-        A counter that fell belongs to a side that was restarted: what it counts now
-        is all new. An engine not seen before adds nothing yet, as its counter covers
-        an unknown time.
+        A counter that fell belongs to a restarted side, so its whole value is new. A
+        newly seen engine adds nothing yet, as its counter covers an unknown time.
         """
         prefill, decode = 0, 0
         for engine in engines:
@@ -71,7 +70,7 @@
         self.weight = keep * self.weight + (1.0 - keep)
 
     def demand(self) -> Demand:
-        """Return the smoothed demand; 0 before the second look."""
+        """Return the smoothed demand; 0 before the second observation."""
         if self.weight <= 0.0:
             return Demand(0.0, 0.0)
         return Demand(self.prefill / self.weight, self.decode / self.weight)
--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -1,17 +1,17 @@
-"""Where a prompt is read and where its answer is made.
+"""Placement of a request: the engine that prefills its prompt and the one that decodes.
 
-Load pattern: prompts of very different length share engines that read one at a time
-and don't interrupt a long one for a short one; long prompts saturate the engines set
-apart for reading while the others have time to spare; the mix turns within seconds.
+Load pattern: prompts of very different lengths share engines that prefill one at a time
+and don't preempt a long prompt for a short one; long prompts saturate the prefill
+engines while decode engines have spare time; the mix changes within seconds.
 
-Without it: short prompts, the most urgent, miss their objective behind long ones, and
-with a fixed threshold between the two ways every mix but one overloads either the
-reading engines or the answering ones.
+Without it: short prompts, the most urgent, miss their objective behind long ones. With
+a fixed threshold between both ways, every mix but one overloads either the prefill
+engines or the decode engines.
 
-Each way's time to the first token is predicted: over a reading engine and a transfer of
-its KV cache, or at the answering engine itself. The earliest wins, but for a long
-prompt that has time: of the engines that read it well within its objective it takes
-the fullest, so that others stay free of long prompts.
+The time to first token is predicted for each way: a prefill engine plus the transfer of
+its KV cache, or the decode engine itself. The earliest wins. A long prompt with time to
+spare is packed instead: it goes to the most loaded prefill engine that still finishes
+well within the objective, which keeps other engines free of long prompts.
 """
 
 from __future__ import annotations
@@ -24,65 +24,69 @@
 from .decisions import Decisions
 
 ZONE_SECONDS = 0.015
-"""Penalty of an engine in another zone: bytes between zones are dear, and a prompt's go
-twice."""
+"""Penalty of an engine in another zone: traffic between zones is expensive, and a
+prompt crosses it twice."""
 
 ZONE_ANSWERS = 4.0
-"""Answers more at an engine in the same zone that are as good as one elsewhere."""
+"""Additional decodes at an engine in the entry's zone at which one elsewhere is equal.
+"""
 
 LONG_SHARE = 0.33
-"""A prompt that takes so much of the group's tightest objective to read is kept away
-from engines that are free of such."""
+"""A prompt is long if its prefill takes this share of the group's tightest objective.
+"""
 
 PACKED_SHARE = 0.45
-"""Part of the objective within which a long prompt may be put behind others. Entries
-know each other's latest sends some milliseconds late; without packing, long prompts
-that come in one moment take every engine."""
+"""Share of the objective within which a packed prompt must have its first token.
+Entries learn of each other's requests some milliseconds late; without packing, long
+prompts that arrive together would occupy every engine."""
 
 DIRECT_ANSWERS = 24
-"""Answers under way at an engine above which it reads no prompts itself. Each piece of
-a prompt makes its steps three times as long; with two dozen answers that still leaves
-them on time, with four dozen they pile up faster than they end."""
+"""Running decodes above which an engine prefills no prompts itself. Each chunk of a
+prompt makes its decode steps three times as long; two dozen streams still stay on time,
+four dozen pile up faster than they end."""
 
 DIRECT_SHARE = 0.28
-"""Most of the group's tightest objective that an answering engine may read for, while a
-reading one is there: it begins no answer meanwhile, which delays all that arrive."""
+"""Longest prefill at a decode engine while a prefill engine is available, as a share of
+the group's tightest objective: meanwhile the decode engine starts no answer, which
+delays all that arrive."""
 
 COPY_SHARE = 0.6
-"""Penalty of a second copy of a prompt's beginning, as a share of the time in which it
-is read: the copy takes the place of another one, which is then read again."""
+"""Cost of another replica of a prefix, as a share of its prefill time: it evicts
+another prefix, which then has to be prefilled again."""
 
 WAITING_ANSWERS = 300.0
-"""Answers more at an engine that are as bad for a new one as a second of prompts that
-it reads first: six for 20 ms."""
+"""Running decodes that delay a new one as much as a second of queued prefill does: six
+for 20 ms."""
 
 PRIORITY_STEPS: t.Final = ((0, 1), (2, 2), (5, 4))
-"""First priority of each rank, and how many steps by size follow it."""
+"""First engine priority of each rank, and the number of size steps that follow it."""
 
 FIRST_SIZE_STEP = 2_000
-"""Prompt tokens up to which a prompt has its rank's first priority; each doubling is
-a step further, so that what is read soon does not wait for what takes long."""
+"""Largest prompt with the first priority of its rank. Each doubling is one step lower,
+so that short prefills don't wait for long ones."""
 
 SHORT_ANSWER_TOKENS = 300
-"""Up to so many output tokens, at most, an answer is over within some tenths of a
-second, where others take one to three."""
+"""Largest ``max_tokens`` of a short answer, which ends within some tenths of a second;
+others take one to three seconds."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineView:
-    """An engine as a placement sees it.
-
-    :param wait: seconds of what is read before a prompt of this priority.
-    :param read: seconds that it takes for this prompt without a queue.
-    :param fetched: seconds that it would read for what it fetches from another engine.
-    :param transfer: seconds from there to the first token at another engine.
-    :param slow: how many times slower than usual it is.
-    :param answers: answers under way there, as far as known.
-    :param to_read: prompt tokens that it would have to read.
-    :param priority: with which it would read them.
+    """An engine as a candidate for one prompt.
+
+    :param wait: seconds of queued prefills ahead of a prompt of this priority.
+    :param read: seconds of this prompt's prefill without a queue.
+    :param fetched: seconds that prefilling the tokens would take which are transferred
+        from another engine instead.
+    :param transfer: seconds from the end of the prefill to the first token at another
+        engine.
+    :param slow: slowdown factor, the ratio of actual to predicted time.
+    :param answers: estimated number of running decodes.
+    :param to_read: prompt tokens that are not cached.
+    :param priority: engine priority of the prefill.
     :param tie_break: sort key among engines of equal cost; the lowest value wins.
-        Differs per entry, so that entries without load data do not all select the
-        same engine.
+        Differs per entry, so that entries without load data do not all select the same
+        engine.
     """
 
     name: str
@@ -101,12 +105,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a prompt goes.
+    """Engines chosen for a request.
 
-    :param prefill: engine that reads it; ``None`` where the answering one does.
-    :param answer: engine that answers.
+    :param prefill: engine that prefills the prompt; ``None`` if the decode engine does.
+    :param answer: engine that decodes.
     :param first_token: predicted seconds to the first token.
-    :param read_by: the engine that reads it, as it was seen.
+    :param read_by: the candidate that prefills the prompt.
     """
 
     prefill: str | None
@@ -118,10 +122,11 @@
 def priority_of(
     rank: int, tokens: int, decisions: Decisions = ALL, *, goes_first: bool = False
 ) -> int:
-    """Return the engines' priority of a prompt, 0 to 9.
+    """Return the engine priority of a prefill, 0 (most urgent) to 9.
 
-    :param tokens: to read.
-    :param goes_first: whether it is read before the others of its rank.
+    :param rank: priority rank of the route.
+    :param tokens: prompt tokens that are not cached.
+    :param goes_first: whether the prompt precedes the others of its rank.
     """
     first, steps = PRIORITY_STEPS[min(rank, len(PRIORITY_STEPS) - 1)]
     if goes_first:
@@ -139,13 +144,13 @@
 def answer_priority(
     rank: int, prompt_tokens: int, most_outputs: int, decisions: Decisions = ALL
 ) -> int:
-    """Return the engines' priority of an answer whose prompt is read, 0 to 9.
+    """Return the engine priority of an answer whose prompt is prefilled, 0 to 9.
 
-    An answering engine makes some sixty answers at once. With one of two gone they are
-    all taken, and an answer of a few tokens would wait behind those of seconds. It goes
-    first: it takes a place for a twentieth of their time.
+    A decode engine runs some sixty answers at once. If one of two engines is lost, all
+    places are taken, and an answer of a few tokens would wait behind those that take
+    seconds. Short answers go first: they hold a place for a twentieth of the time.
 
-    :param most_outputs: bound of its output tokens; 0 for unknown.
+    :param most_outputs: upper bound of the output tokens; 0 if unknown.
     """
     is_short = 0 < most_outputs <= SHORT_ANSWER_TOKENS
     if is_short and decisions.short_answers_first:
@@ -154,12 +159,12 @@
 
 
 def predict_read(engine: EngineView) -> float:
-    """Return the predicted time until an engine has read a prompt."""
+    """Return the predicted seconds until an engine has prefilled a prompt."""
     return (engine.wait + engine.read) * engine.slow
 
 
 def choose_answering(engines: t.Sequence[EngineView]) -> EngineView | None:
-    """Return the engine to make an answer whose prompt is read elsewhere."""
+    """Return the decode engine for a prompt that is prefilled elsewhere."""
     able = [engine for engine in engines if engine.role is not Role.PREFILL]
     return min(able, key=_answer_load, default=None)
 
@@ -170,10 +175,10 @@
     tightest: float,
     decisions: Decisions = ALL,
 ) -> Placement | None:
-    """Return the way to take, or ``None`` where there is none.
+    """Return the engines to use, or ``None`` if no decode engine is available.
 
-    :param objective: seconds to the first token.
-    :param tightest: the least objective of all that the engines serve.
+    :param objective: time to first token objective, in seconds.
+    :param tightest: tightest objective among all routes of the group, in seconds.
     """
     direct_seconds = DIRECT_SHARE * tightest if decisions.direct_reading else 0.0
     answering = choose_answering(engines)
@@ -199,14 +204,16 @@
 
 
 def _may_read(engine: EngineView, most_seconds: float) -> bool:
-    """Return whether an answering engine may read a prompt beside reading ones."""
+    """Return whether a decode engine may prefill although there are prefill engines."""
     return engine.answers <= DIRECT_ANSWERS and engine.read <= most_seconds
 
 
 def _packed(
     ways: t.Sequence[tuple[float, EngineView]], objective: float
 ) -> tuple[float, EngineView] | None:
-    """Return the fullest reading engine that still reads well within the objective."""
+    """Return the most loaded prefill engine that still finishes well within the
+    objective.
+    """
     able = [
         way
         for way in ways
@@ -221,7 +228,7 @@
 
 
 def _cost(seconds: float, engine: EngineView) -> float:
-    """Return the predicted seconds, and what the choice costs others."""
+    """Return the predicted seconds plus the cost that the choice imposes on others."""
     seconds += COPY_SHARE * engine.fetched
     return seconds if engine.same_zone else seconds + ZONE_SECONDS
 
--- a/src/bergamotmast/policy/direct_refusal.py
+++ b/src/bergamotmast/policy/direct_refusal.py
@@ -1,11 +1,11 @@
-"""Whom a direct entry turns away at once, and when refused callers come back.
+"""Early refusal at a direct entry, and the time after which refused callers retry.
 
-Load pattern: a burst, or a lost engine, leaves more work than can be read before its
-callers leave.
+Load pattern: a burst, or the loss of an engine, leaves more work than can be prefilled
+before its callers time out.
 
-Without it: what can't be served waits until its caller has gone, some of it is read for
-nobody, and callers that are refused for one cause all return in one moment, most of
-them to be refused again.
+Without it: requests wait until their callers have left, some are prefilled for nobody,
+and callers refused for the same cause all retry at the same moment, most of them to be
+refused again.
 """
 
 from __future__ import annotations
@@ -13,32 +13,33 @@
 import random
 
 LEAST_RETRY_AFTER = 0.3
-"""Seconds after which a refused caller may come back at the earliest."""
+"""Lower bound of the delay before a refused caller retries."""
 
 FIRST_SHARE = 0.6
-"""Part of its caller's time within which the first event of a prompt that goes first
-must be foreseen. It holds up all others of its rank, in vain if its caller leaves."""
+"""Share of the caller's remaining time within which the first event of a prompt that
+goes first must be predicted. Such a prompt delays all others of its rank, in vain if
+its caller leaves."""
 
 RETURN_SPREAD_SECONDS = 0.5
-"""Callers that are refused for one cause return over so long."""
+"""Interval over which the retries of callers refused for the same cause are spread."""
 
 
 def is_hopeless(
     first_token: float, seconds_left: float, *, goes_first: bool = False
 ) -> bool:
-    """Return whether a caller would leave before its first event.
+    """Return whether a caller would time out before its first event.
 
     :param first_token: predicted seconds to it.
-    :param seconds_left: until the caller leaves.
-    :param goes_first: whether the prompt is read before the others of its rank.
+    :param seconds_left: seconds until the caller times out.
+    :param goes_first: whether the prompt precedes the others of its rank.
     """
     share = FIRST_SHARE if goes_first else 1.0
     return first_token > share * seconds_left
 
 
 def retry_after(rng: random.Random, seconds: float) -> float:
-    """Return after how many seconds a refused caller should come back.
+    """Return the seconds after which a refused caller should retry.
 
-    :param seconds: after which it would be served, as far as can be told.
+    :param seconds: estimated seconds until it could be served.
     """
     return max(LEAST_RETRY_AFTER, seconds) + rng.uniform(0.0, RETURN_SPREAD_SECONDS)
--- a/src/bergamotmast/policy/direct_roles.py
+++ b/src/bergamotmast/policy/direct_roles.py
@@ -1,18 +1,19 @@
-"""How many engines read prompts and how many make answers.
+"""Role controller of a direct entry's engines: how many prefill and how many decode.
 
 Load pattern: prompts of thousands of tokens with answers of a few dozen, a mix that
-swings within seconds, and a fleet that starts with whatever split its engines have.
-
-Without it: with two of six engines reading, prompts queue for seconds while four
-engines answer a handful of requests each.
-
-An answering engine batches: it makes some :data:`DECODE_RATE` tokens a second, so
-answers of dozens of tokens need a small part of the fleet. It also reads prompts
-between tokens at about two fifths of the speed, so a second answering engine is no
-loss. :func:`wanted_answering` therefore keeps :data:`LEAST_ANSWERING` of them, that one
-may die, and more only where the mix asks for it. A change is made when that has been so
-for :data:`HOLD_SECONDS`: an engine is gone for seconds with each change, which a swing
-that turns back sooner does not pay. What has no engine at all is mended at once.
+swings within seconds, and a fleet that starts with an arbitrary split of roles.
+
+Without it: with two of six engines in the prefill role, prompts queue for seconds while
+four decode engines serve a handful of requests each.
+
+A decode engine batches: it produces some :data:`DECODE_RATE` tokens a second, so
+answers of dozens of tokens need a small part of the fleet. It can also prefill between
+decode steps at about two fifths of the speed, so a second decode engine is no loss.
+:func:`wanted_answering` therefore keeps :data:`LEAST_ANSWERING` decode engines, so that
+one may fail, and more only if the mix requires it. A change starts once the mix has
+required it for :data:`HOLD_SECONDS`: each change takes an engine away for seconds,
+which doesn't pay for a swing that turns back sooner. A role without any engine is
+filled at once.
 """
 
 from __future__ import annotations
@@ -24,31 +25,32 @@
 from ..model import Role
 
 PREFILL_RATE = 50_000.0
-"""Prompt tokens a second of a reading engine, against :data:`DECODE_RATE`: what counts
-is the ratio of the two, which says how many answering engines are enough."""
+"""Prompt tokens a second of a prefill engine. Only its ratio to :data:`DECODE_RATE`
+matters, which determines how many decode engines suffice."""
 
 DECODE_RATE = 40_000.0
-"""Output tokens a second of an answering engine whose batch is half full."""
+"""Output tokens a second of a decode engine with a half full batch."""
 
 LEAST_ANSWERING = 2
-"""Answering engines kept where there are four engines or more."""
+"""Decode engines kept in groups of at least four engines."""
 
 SAFETY = 1.5
-"""Answering engines kept for each one that the mean of the mix asks for."""
+"""Decode engines kept for each one that the mean of the mix requires."""
 
 HOLD_SECONDS = 8.0
-"""How long the mix must have asked for a change."""
+"""Time for which the mix must have required a change."""
 
 SETTLE_SECONDS = 1.5
-"""How long engines must have come or gone before the rest change for it: one that is
-back at once needs no change, and each second without is a second of an engine."""
+"""Time after which the others change roles for an engine that was lost or added: one
+that is back at once needs no change, and each second of delay costs an engine-second.
+"""
 
 MIX_SECONDS = 20.0
-"""Time constant with which older requests count less."""
+"""Time constant of the exponential decay of older requests."""
 
 
 class MixMeter:
-    """The share of work that is making answers, over the last seconds."""
+    """Exponentially decaying measure of prefill and decode work."""
 
     def __init__(self) -> None:
         self.prefill = 0.0
@@ -56,7 +58,7 @@
         self.at: float | None = None
 
     def observe(self, prompt_tokens: float, output_tokens: float, now: float) -> None:
-        """Take a request that was let in."""
+        """Add an admitted request."""
         if self.at is not None:
             fade = math.exp(-max(0.0, now - self.at) / MIX_SECONDS)
             self.prefill *= fade
@@ -67,19 +69,19 @@
 
     @property
     def decode_share(self) -> float:
-        """Share of the engines' time that makes answers; 0 where nothing is known."""
+        """Share of engine time spent on decode; 0 if nothing is known."""
         total = self.prefill + self.decode
         return self.decode / total if total else 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineRole:
-    """An engine as the role policy sees it.
+    """An engine as the role controller sees it.
 
-    :param role: that it has, or that it is on its way to.
-    :param load: requests that it holds, as far as known.
-    :param may_change: whether it may be given an order now.
-    :param changing: whether it is on its way and serves nothing.
+    :param role: its role, or the one it is changing to.
+    :param load: number of requests it holds, as far as known.
+    :param may_change: whether it may be ordered to change its role now.
+    :param changing: whether it is changing its role and serves nothing.
     """
 
     name: str
@@ -91,10 +93,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleOrder:
-    """A role that an engine should take.
+    """A role change to order.
 
-    :param urgent: whether no engine serves in a role: the order for one does not wait
-        for the end of another.
+    :param urgent: whether a role has no serving engine, so that the order does not wait for
+        another one to end.
     """
 
     name: str
@@ -104,7 +106,7 @@
 
 
 def wanted_answering(engines: int, decode_share: float) -> int:
-    """Return how many of some engines should make answers."""
+    """Return how many of a group's engines should have the decode role."""
     if engines <= 1:
         # A last engine that only reads ends no request; an answering one reads too.
         return engines
@@ -114,7 +116,7 @@
 
 
 class RoleController:
-    """Decides which engine changes its role next, for one group."""
+    """Chooses the next engine of one group to change its role."""
 
     def __init__(self) -> None:
         self.wished = 0
@@ -123,10 +125,9 @@
     def decide(
         self, engines: t.Sequence[EngineRole], decode_share: float, now: float
     ) -> RoleOrder | None:
-        """Return the one change to begin now, or ``None``.
+        """Return the role change to start now, or ``None``.
 
-        :param engines: all engines of the group, but for those of which it can't be
-            told what becomes of them.
+        :param engines: all engines of the group except those whose state is unknown.
         """
         answering = [e for e in engines if e.role is not Role.PREFILL]
         reading = [e for e in engines if e.role is Role.PREFILL]
