--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -26,7 +26,7 @@
 from ..errors import ResultCode
 from ..model import Readiness
 from ..model import SideReport
-from ..policy.size_bands import SizeBand
+from ..policy.size_classes import SizeClass
 
 MAX_TENANTS = 200
 """Tenants with series of their own in one process."""
@@ -169,12 +169,12 @@
         self.ended.add(1, labels)
 
     def on_sized_end(
-        self, request_class: str, band: SizeBand, code: ResultCode
+        self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Take the end of a request with a prompt of some size."""
         labels = {
             "class": self.classes(request_class),
-            "size": band.value,
+            "size": size_class.value,
             "result": _result(code),
         }
         self.ended_by_size.add(1, labels)
--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -11,7 +11,7 @@
 from ..errors import ReplyLostError
 from ..errors import RequestError
 from ..errors import ResultCode
-from ..policy.direct_placement import answer_priority
+from ..policy.direct_placement import decode_priority
 from .events import Event
 from .events import EventSplitter
 from .forwarding import answer_headers
@@ -48,7 +48,7 @@
     """One send of a stream to the engine that answers it.
 
     :param read: the prompt's booking, where this engine reads it too.
-    :param heard_at: when the engine last said anything; a point in time.
+    :param last_reply_at: when the engine last said anything; a point in time.
     :param streaming: whether it has made an event.
     :param began_at: when the send began; a point in time.
     :param sent_at: when it was told to take a prompt that was read elsewhere.
@@ -59,9 +59,9 @@
         self.context = stream.context
         self.call = stream.call
         self.upstream = upstream
-        self.book = stream.context.placing.engine_book(upstream)
+        self.book = stream.context.placing.engine_load(upstream)
         self.read: Read | None = None
-        self.heard_at = math.inf
+        self.last_reply_at = math.inf
         self.streaming = False
         self.sent_at: float | None = None
         self.began_at = asyncio.get_running_loop().time()
@@ -81,7 +81,7 @@
             self._log_failure(error.message, "not reached")
         except (ReplyLostError, BrokenStreamError) as error:
             self._log_failure(str(error), "broken")
-            if self.heard_at == math.inf:
+            if self.last_reply_at == math.inf:
                 # Without work it would look best to each of the next requests.
                 self.stream.leave_alone(self.upstream)
             # Whatever became of the KV cache, it can't be taken twice.
@@ -98,7 +98,7 @@
         if not self.stream.cache:
             self.read = self.stream.reads.begin(self.upstream)
             timeline.reader = ""
-            timeline.to_read = self.read.tokens
+            timeline.uncached_tokens = self.read.tokens
 
     def _on_event(self) -> None:
         """Note the engine's first event: by then it has read the prompt."""
@@ -111,7 +111,7 @@
             self.stream.reads.end(self.upstream, self.read, done=True)
         elif self.sent_at is not None and self.context.decisions.learning:
             seconds = asyncio.get_running_loop().time() - self.sent_at
-            transfers = self.book.reads.transfers
+            transfers = self.book.prefill_times.transfers
             transfers.learn(self.call.traits.prompt_tokens, 0, seconds)
 
     def _unbook(self) -> None:
@@ -164,7 +164,7 @@
         traits, rank = self.call.traits, self.call.route.rank
         if self.read is not None:
             return self.read.priority
-        return answer_priority(
+        return decode_priority(
             rank, traits.prompt_tokens, traits.max_tokens, self.context.decisions
         )
 
@@ -174,8 +174,8 @@
         :raises ReplyLostError: if it is not.
         :raises BrokenStreamError: if it says that nothing ran.
         """
-        self.heard_at = asyncio.get_running_loop().time()
-        self.stream.timeline.replied_at = self.heard_at
+        self.last_reply_at = asyncio.get_running_loop().time()
+        self.stream.timeline.replied_at = self.last_reply_at
         self.stream.on_heard(self.upstream)
         traits = self.context.read_reply(self.call, self.upstream, reply)
         if traits.not_run:
@@ -194,7 +194,9 @@
         """
         splitter = EventSplitter()
         async for data in reply.chunks():
-            self.book.heard_at = self.heard_at = asyncio.get_running_loop().time()
+            self.book.last_reply_at = self.last_reply_at = (
+                asyncio.get_running_loop().time()
+            )
             for event in splitter.feed(data):
                 yield event
             if len(splitter.rest) > MOST_EVENT_BYTES:
@@ -215,7 +217,7 @@
         silent but passes the engine check, so it keeps the request.
         """
         now = asyncio.get_running_loop().time()
-        silent = now >= self.book.silent_at(self.began_at, now)
+        silent = now >= self.book.unresponsive_at(self.began_at, now)
         if not silent or not self.stream.sends.may_move():
             return ""
         lives = await self.context.engine_checks.lives(self.upstream)
@@ -234,7 +236,7 @@
         lost that the caller still waits for.
         """
         now = asyncio.get_running_loop().time()
-        stalls = now >= self.heard_at + STALL_SECONDS
+        stalls = now >= self.last_reply_at + STALL_SECONDS
         return SILENT if stalls and self.stream.sends.may_move() else ""
 
     async def _forward(self, event: Event, reply: Reply, traits: ReplyTraits) -> None:
--- a/src/bergamotmast/direct/context.py
+++ b/src/bergamotmast/direct/context.py
@@ -10,7 +10,7 @@
 from ..errors import ReplyLostError
 from ..policy.decisions import Decisions
 from ..policy.direct_roles import MixMeter
-from ..policy.prefix_memory import WorkKey
+from ..policy.prefix_cache import PrefillKey
 from ..policy.size_shares import SizeShares
 from .fleet import Fleet
 from .model import Call
@@ -78,7 +78,7 @@
     def tell_begun(
         self,
         engine: Upstream,
-        key: WorkKey,
+        key: PrefillKey,
         priority: int,
         tokens: int,
         cached: int,
@@ -101,7 +101,7 @@
             self.notices.tell(notice)
 
     def tell_ended(
-        self, engine: Upstream, key: WorkKey, tokens: int, *, done: bool
+        self, engine: Upstream, key: PrefillKey, tokens: int, *, done: bool
     ) -> None:
         """Tell the other entries that a prompt they were told of is done with.
 
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -10,7 +10,7 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..logs import request_context
-from ..policy.size_bands import SizeBand
+from ..policy.size_classes import SizeClass
 from ..telemetry import Telemetry
 from .caller import CallerReply
 from .caller import CallerRequest
@@ -167,7 +167,7 @@
             )
             call = dataclasses.replace(call, sized=sized)
             story["prompt"] = call.traits.prompt_tokens
-            story["size"] = sized.band
+            story["size"] = sized.size_class
             run = StreamRun(self.context, call, reply)
             served = False
             try:
@@ -205,8 +205,8 @@
     ) -> None:
         seconds = asyncio.get_running_loop().time() - arrived_at
         self.telemetry.on_ended("", route, code, seconds)
-        if (band := story.get("size")) is not None:
-            self.telemetry.on_sized_end(route, SizeBand(str(band)), code)
+        if (size_class := story.get("size")) is not None:
+            self.telemetry.on_sized_end(route, SizeClass(str(size_class)), code)
         logger.info(
             "request ended",
             extra={
--- a/src/bergamotmast/direct/following.py
+++ b/src/bergamotmast/direct/following.py
@@ -87,7 +87,7 @@
 
     def _on_heard(self, now: float) -> None:
         self.heard_at = now
-        self.fleet.entry_share.on_heard(now)
+        self.fleet.entry_share.on_store_reply(now)
         if self.lost:
             self.lost = False
             logger.info("store is reached", extra={"dependency": "store"})
--- a/src/bergamotmast/direct/placing.py
+++ b/src/bergamotmast/direct/placing.py
@@ -12,19 +12,19 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..model import Role
-from ..policy.decisions import ALL
+from ..policy.decisions import ALL_DECISIONS
 from ..policy.decisions import Decisions
-from ..policy.direct_placement import EngineView
+from ..policy.direct_placement import EngineCandidate
 from ..policy.direct_placement import Placement
-from ..policy.direct_placement import choose_answering
-from ..policy.direct_placement import place
-from ..policy.direct_placement import priority_of
-from ..policy.engine_book import EngineBook
-from ..policy.plain_choice import PlainBook
-from ..policy.plain_choice import PlainView
-from ..policy.plain_choice import choose_plain
-from ..policy.prefix_memory import WorkKey
-from ..policy.read_model import GroupReads
+from ..policy.direct_placement import choose_decode_engine
+from ..policy.direct_placement import place_prompt
+from ..policy.direct_placement import prefill_priority
+from ..policy.engine_load import EngineLoadTracker
+from ..policy.plain_placement import PlainCandidate
+from ..policy.plain_placement import PlainUpstreamLoad
+from ..policy.plain_placement import choose_plain_upstream
+from ..policy.prefill_model import GroupPrefillTimes
+from ..policy.prefix_cache import PrefillKey
 from .fleet import Fleet
 from .model import Call
 from .model import CallTraits
@@ -69,44 +69,44 @@
         name: str,
         zone: str,
         rng: random.Random,
-        decisions: Decisions = ALL,
+        decisions: Decisions = ALL_DECISIONS,
     ) -> None:
         self.decisions = decisions
         self.fleet = fleet
         self.name = name
         self.zone = zone
         self.rng = rng
-        self.engines: dict[BookKey, EngineBook] = {}
-        self.reads: dict[str, GroupReads] = {}
-        self.plain: dict[BookKey, PlainBook] = {}
+        self.engines: dict[BookKey, EngineLoadTracker] = {}
+        self.reads: dict[str, GroupPrefillTimes] = {}
+        self.plain: dict[BookKey, PlainUpstreamLoad] = {}
         self.by_hash: dict[int, BookKey] = {}
         self.last_number = 0
 
-    def engine_book(self, upstream: Upstream) -> EngineBook:
+    def engine_load(self, upstream: Upstream) -> EngineLoadTracker:
         """Return what is known of an engine."""
         key = (upstream.name, upstream.boot)
         book = self.engines.get(key)
         if book is None:
             self._forget_gone()
             engine = self.fleet.group(upstream.group).engine
-            reads = self.reads.setdefault(upstream.group, GroupReads())
+            reads = self.reads.setdefault(upstream.group, GroupPrefillTimes())
             kv_capacity = engine.kv_capacity if engine else 1
-            book = EngineBook(kv_capacity, reads, self.rng.getrandbits(32))
+            book = EngineLoadTracker(kv_capacity, reads, self.rng.getrandbits(32))
             self.engines[key] = book
             self.by_hash[upstream_hash(upstream)] = key
         book.role = upstream.role or Role.MIXED
         return book
 
-    def plain_book(self, upstream: Upstream) -> PlainBook:
+    def plain_load(self, upstream: Upstream) -> PlainUpstreamLoad:
         """Return what is known of a plain upstream."""
         key = (upstream.name, upstream.boot)
         book = self.plain.get(key)
         if book is None:
             self._forget_gone()
-            book = self.plain[key] = PlainBook()
+            book = self.plain[key] = PlainUpstreamLoad()
         return book
 
-    def new_key(self) -> WorkKey:
+    def new_key(self) -> PrefillKey:
         """Return a key for a prompt that this entry is about to send."""
         self.last_number += 1
         return self.name, self.last_number
@@ -117,9 +117,9 @@
             return
         now = asyncio.get_running_loop().time()
         if upstream.role is not None:
-            self.engine_book(upstream).hint(load.running, load.waiting, now)
+            self.engine_load(upstream).hint(load.running, load.waiting, now)
         else:
-            self.plain_book(upstream).hint(load.running, load.waiting, now)
+            self.plain_load(upstream).hint(load.running, load.waiting, now)
 
     def on_notice(self, sender: str, notice: ReadNotice, now: float) -> None:
         """Take another entry's word on a prompt it has sent."""
@@ -128,13 +128,13 @@
             return
         key = (sender, notice.number)
         if notice.tokens:
-            seconds = book.occupied(notice.tokens, notice.cached)
+            seconds = book.occupied_seconds(notice.tokens, notice.cached)
             book.begin(key, seconds, notice.priority, now, goes_first=notice.goes_first)
             book.prefix.expect(key, notice.all_parts(key))
         else:
             book.end(key, now, done=notice.done)
             if notice.done:
-                book.heard_at = now
+                book.last_reply_at = now
 
     def reading(self, call: Call, upstream: Upstream) -> Reading:
         """Return what an engine would have to read of a prompt, as far as known."""
@@ -148,15 +148,20 @@
 
         :param tokens: to read.
         """
-        return priority_of(
+        return prefill_priority(
             call.route.rank, tokens, self.decisions, goes_first=call.goes_first
         )
 
     def _kept(self, call: Call, members: list[Upstream]) -> dict[str, int]:
         """Return how much of a prompt's beginning could be fetched from each engine."""
-        return {m.name: self.engine_book(m).prefix.kept(call.parts) for m in members}
+        return {
+            m.name: self.engine_load(m).prefix.transferable_tokens(call.parts)
+            for m in members
+        }
 
-    def choose_plain(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
+    def choose_plain_upstream(
+        self, call: Call, tried: cabc.Collection[str]
+    ) -> Upstream:
         """Return the plain upstream for a request's next send.
 
         :raises RequestError: if there is none.
@@ -165,16 +170,16 @@
         members = self._untried(call, tried, now)
         by_name = {member.name: member for member in members}
         views = [
-            PlainView(
+            PlainCandidate(
                 member.name,
                 self._is_near(member),
                 max(1, member.slots),
-                self.plain_book(member).load(now),
+                self.plain_load(member).load(now),
                 self._is_ejected(member, now),
             )
             for member in members
         ]
-        chosen = choose_plain(views, self.rng)
+        chosen = choose_plain_upstream(views, self.rng)
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         return by_name[chosen]
@@ -191,11 +196,11 @@
         by_name = {member.name: member for member in members}
         views = self._views(call, members, now)
         tightest = self.fleet.tightest_objective(call.group.name)
-        placement = place(views, call.route.objective, tightest, self.decisions)
+        placement = place_prompt(views, call.route.objective, tightest, self.decisions)
         if placement is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
-        reader = by_name[placement.prefill] if placement.prefill else None
-        return reader, by_name[placement.answer], placement
+        reader = by_name[placement.prefill_engine] if placement.prefill_engine else None
+        return reader, by_name[placement.decode_engine], placement
 
     def answering(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
         """Return the engine that answers a request whose prompt was read elsewhere.
@@ -205,7 +210,7 @@
         now = asyncio.get_running_loop().time()
         untried = self._untried(call, tried, now)
         able = [member for member in untried if member.role is not Role.PREFILL]
-        chosen = choose_answering(self._views(call, able, now))
+        chosen = choose_decode_engine(self._views(call, able, now))
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         return next(member for member in able if member.name == chosen.name)
@@ -218,32 +223,38 @@
 
     def _views(
         self, call: Call, members: list[Upstream], now: float
-    ) -> list[EngineView]:
+    ) -> list[EngineCandidate]:
         views = []
         everyone = self.fleet.members(call.group.name, now)
         kept = self._kept(call, everyone)
         sources = _best_sources(everyone, kept)
         for member in self._sound(members, now):
-            book = self.engine_book(member)
+            book = self.engine_load(member)
             reading = self._reading(call, member, kept, sources)
-            to_read = reading.tokens
-            priority = self.priority(call, to_read)
+            uncached_tokens = reading.tokens
+            priority = self.priority(call, uncached_tokens)
             wait = book.wait(priority, now)
             if self.decisions.urgent_load:
                 wait = book.expected_wait(priority, now)
             views.append(
-                EngineView(
+                EngineCandidate(
                     member.name,
                     member.role or Role.MIXED,
                     self._is_near(member),
                     wait,
-                    book.read_seconds(to_read, call.traits.prompt_tokens - to_read),
-                    book.slow(now),
-                    book.answers(now),
-                    book.reads.transfers.times.seconds(call.traits.prompt_tokens, 0),
-                    book.occupied(reading.fetched, 0) if self.decisions.copies else 0.0,
+                    book.prefill_seconds(
+                        uncached_tokens, call.traits.prompt_tokens - uncached_tokens
+                    ),
+                    book.slowdown(now),
+                    book.running_decodes(now),
+                    book.prefill_times.transfers.times.seconds(
+                        call.traits.prompt_tokens, 0
+                    ),
+                    book.occupied_seconds(reading.fetched, 0)
+                    if self.decisions.copies
+                    else 0.0,
                     book.tie_break,
-                    to_read,
+                    uncached_tokens,
                     priority,
                 )
             )
@@ -258,7 +269,7 @@
         """
         if not self.decisions.leaving_alone:
             return members
-        sound = [m for m in members if now >= self.engine_book(m).failed_until]
+        sound = [m for m in members if now >= self.engine_load(m).cooldown_until]
         if any(member.role is not Role.PREFILL for member in sound):
             return sound
         answering = [m for m in members if m.role is not Role.PREFILL]
@@ -271,7 +282,7 @@
         kept: dict[str, int],
         sources: list[Upstream],
     ) -> Reading:
-        own = self.engine_book(upstream).prefix.cached(call.parts)
+        own = self.engine_load(upstream).prefix.expected_cached_tokens(call.parts)
         best, source = own, ""
         others = sources if self.decisions.fetching else []
         for other in others:
@@ -285,7 +296,7 @@
         return upstream.zone == self.zone or not self.decisions.zone_preference
 
     def _is_ejected(self, upstream: Upstream, now: float) -> bool:
-        return self.decisions.ejection and self.plain_book(upstream).is_ejected(now)
+        return self.decisions.ejection and self.plain_load(upstream).is_ejected(now)
 
     def _forget_gone(self) -> None:
         present = {
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -58,7 +58,7 @@
     async def _answer(self) -> PlainAnswer:
         while True:
             try:
-                upstream = self.context.placing.choose_plain(
+                upstream = self.context.placing.choose_plain_upstream(
                     self.call, self.sends.excluded
                 )
                 self.sends.begin(upstream)
@@ -74,7 +74,7 @@
 
     async def _send(self, upstream: Upstream) -> PlainAnswer | None:
         """Send once; ``None`` where the call may be tried elsewhere."""
-        book = self.context.placing.plain_book(upstream)
+        book = self.context.placing.plain_load(upstream)
         loop = asyncio.get_running_loop()
         book.running += 1
         try:
@@ -126,7 +126,7 @@
             self.context.check_reply(call, reply, traits)
             body = await reply.read()
             answer = PlainAnswer(reply.status, answer_headers(reply), body)
-        book = self.context.placing.plain_book(upstream)
+        book = self.context.placing.plain_load(upstream)
         if 200 <= answer.status < 300:
             book.succeeded()
             return answer
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/prefilling.py
@@ -62,7 +62,7 @@
             done = self.done = True
             stream.on_prompt_read()
             stream.timeline.prefilled_at = loop.time()
-            stream.timeline.to_read = read.tokens
+            stream.timeline.uncached_tokens = read.tokens
         except NotReachedError as error:
             self._on_failure(reader, error.message)
         except ReplyLostError as error:
@@ -91,9 +91,9 @@
         """Return why a prompt that waits at an engine is to be begun anew elsewhere."""
         if not self.context.decisions.silence:
             return ""
-        book = self.context.placing.engine_book(reader)
+        book = self.context.placing.engine_load(reader)
         now = asyncio.get_running_loop().time()
-        if now >= book.silent_at(read.began_at, now):
+        if now >= book.unresponsive_at(read.began_at, now):
             if not await self.context.engine_checks.lives(reader):
                 return SILENT
         if now >= book.overdue_at(read.key) and self._is_in_time_elsewhere(reader):
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -5,8 +5,8 @@
 import asyncio
 import dataclasses
 
-from ..policy.engine_book import EngineBook
-from ..policy.prefix_memory import WorkKey
+from ..policy.engine_load import EngineLoadTracker
+from ..policy.prefix_cache import PrefillKey
 from .context import Context
 from .model import Call
 from .model import Upstream
@@ -22,7 +22,7 @@
     :param alone: whether nothing else was known to be at the engine.
     """
 
-    key: WorkKey
+    key: PrefillKey
     tokens: int
     cached: int
     priority: int
@@ -42,19 +42,19 @@
     def begin(self, engine: Upstream) -> Read:
         """Book a prompt at the engine that is about to read it, and tell the peers."""
         context = self.context
-        book = context.placing.engine_book(engine)
+        book = context.placing.engine_load(engine)
         now = asyncio.get_running_loop().time()
         reading = context.placing.reading(self.call, engine)
         tokens = reading.tokens
         priority = context.placing.priority(self.call, tokens)
         cached = max(0, self.call.traits.prompt_tokens - tokens)
         wait = book.wait(priority, now)
-        predicted = wait + book.read_seconds(tokens, cached)
-        alone = not book.reading
+        predicted = wait + book.prefill_seconds(tokens, cached)
+        alone = not book.pending_prefills
         key = context.placing.new_key()
         parts = self.call.parts
         goes_first = self.call.goes_first
-        seconds = book.occupied(tokens, cached)
+        seconds = book.occupied_seconds(tokens, cached)
         book.begin(key, seconds, priority, now, goes_first=goes_first)
         book.prefix.expect(key, parts)
         context.tell_begun(
@@ -69,16 +69,18 @@
 
         :param done: whether it was read to its end.
         """
-        book = self.context.placing.engine_book(engine)
+        book = self.context.placing.engine_load(engine)
         now = asyncio.get_running_loop().time()
         work = book.end(read.key, now, done=done)
         if done and work is not None and not work.overtaken:
             self._learn(book, read, now - read.began_at, now)
         self.context.tell_ended(engine, read.key, read.tokens, done=done)
 
-    def _learn(self, book: EngineBook, read: Read, seconds: float, now: float) -> None:
+    def _learn(
+        self, book: EngineLoadTracker, read: Read, seconds: float, now: float
+    ) -> None:
         decisions = self.context.decisions
         if decisions.slowness:
-            book.measure(read.predicted, seconds, now)
+            book.observe_slowdown(read.predicted, seconds, now)
         if decisions.learning and read.alone:
             book.learn(read.tokens, read.cached, seconds)
--- a/src/bergamotmast/direct/read_notice.py
+++ b/src/bergamotmast/direct/read_notice.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..policy.prefix_memory import WorkKey
+from ..policy.prefix_cache import PrefillKey
 
 
 class ReadNotice(msgspec.Struct, frozen=True, array_like=True):
@@ -30,7 +30,7 @@
     done: bool = False
     goes_first: bool = False
 
-    def all_parts(self, key: WorkKey) -> tuple[tuple[int, int], ...]:
+    def all_parts(self, key: PrefillKey) -> tuple[tuple[int, int], ...]:
         """Return the prompt's parts, its own one under a name of its own.
 
         Nobody else asks for that one, but the engine keeps it and forgets another.
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -240,8 +240,8 @@
                 return None
             return EngineRole(upstream.name, pending.order.role, changing=True)
         assert upstream.role is not None
-        book = self.placing.engine_book(upstream)
-        load = book.answers(now) + len(book.reading)
+        book = self.placing.engine_load(upstream)
+        load = book.running_decodes(now) + len(book.pending_prefills)
         quiet_until = max(
             self.quiet_until.get(upstream.name, 0.0), self.all_quiet_until
         )
--- a/src/bergamotmast/direct/second_sends.py
+++ b/src/bergamotmast/direct/second_sends.py
@@ -52,8 +52,8 @@
             extra={
                 "group": group,
                 "requests": account.requests,
-                "repeats": account.repeats,
-                "room": round(account.room, 2),
+                "repeats": account.retries,
+                "room": round(account.available, 2),
                 "part": round(part, 4),
                 "entries": len(self.fleet.entries),
             },
@@ -61,7 +61,7 @@
         return allowed
 
     def _part(self, now: float) -> float:
-        return self.fleet.entry_share.part(self.fleet.entries, now)
+        return self.fleet.entry_share.share(self.fleet.entries, now)
 
     def _window(self, group: str) -> RetryWindow:
         return self.windows.setdefault(group, RetryWindow(self.limits))
--- a/src/bergamotmast/direct/silence.py
+++ b/src/bergamotmast/direct/silence.py
@@ -85,7 +85,7 @@
         began = loop.time()
         lives = await check.answers(engine)
         if lives:
-            self.placing.engine_book(engine).heard_at = loop.time()
+            self.placing.engine_load(engine).last_reply_at = loop.time()
         ms = round((loop.time() - began) * 1e3, 1)
         logger.info(
             "silent engine is asked",
--- a/src/bergamotmast/direct/stream.py
+++ b/src/bergamotmast/direct/stream.py
@@ -49,10 +49,10 @@
 
     def on_heard(self, engine: Upstream) -> None:
         """Note that an engine has said something."""
-        book = self.context.placing.engine_book(engine)
-        book.heard_at = asyncio.get_running_loop().time()
+        book = self.context.placing.engine_load(engine)
+        book.last_reply_at = asyncio.get_running_loop().time()
 
     def leave_alone(self, engine: Upstream, seconds: float = FAILED_SECONDS) -> None:
         """Have an engine left alone for a while, if there is another."""
-        book = self.context.placing.engine_book(engine)
-        book.failed_until = asyncio.get_running_loop().time() + seconds
+        book = self.context.placing.engine_load(engine)
+        book.cooldown_until = asyncio.get_running_loop().time() + seconds
--- a/src/bergamotmast/direct/stream_placing.py
+++ b/src/bergamotmast/direct/stream_placing.py
@@ -7,7 +7,7 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..policy.direct_placement import Placement
-from ..policy.direct_refusal import is_hopeless
+from ..policy.direct_refusal import is_unreachable
 from ..policy.direct_refusal import retry_after
 from .model import Upstream
 from .stream import Stream
@@ -69,7 +69,7 @@
         if not self.context.decisions.refusal or self.stream.reply.started:
             return False
         seconds_left = self.call.leaves_at - now
-        return is_hopeless(
+        return is_unreachable(
             placement.first_token, seconds_left, goes_first=self.call.goes_first
         )
 
--- a/src/bergamotmast/direct/time_limits.py
+++ b/src/bergamotmast/direct/time_limits.py
@@ -11,9 +11,9 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..policy.direct_refusal import retry_after
-from ..policy.last_requests import RETURN_SECONDS
-from ..policy.last_requests import End
-from ..policy.last_requests import is_taken
+from ..policy.shutdown_admission import SHUTDOWN_RETRY_SECONDS
+from ..policy.shutdown_admission import ShutdownWindow
+from ..policy.shutdown_admission import is_admitted
 
 
 class TimeLimits:
@@ -24,10 +24,10 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.end: End | None = None
+        self.end: ShutdownWindow | None = None
         self.limits: set[asyncio.Timeout] = set()
 
-    def begin(self, end: End) -> None:
+    def begin(self, end: ShutdownWindow) -> None:
         """Bring the limits of all requests forward to the end of the process.
 
         A request that ran on until the process ends would have its connection closed,
@@ -58,12 +58,12 @@
 
         :raises RequestError: if its caller should come back.
         """
-        if self.end is not None and not is_taken(self.end, deadline, now):
+        if self.end is not None and not is_admitted(self.end, deadline, now):
             raise self.refusal()
 
     def refusal(self) -> RequestError:
         """Return the error of a request that did not run because the process ends."""
-        seconds = retry_after(self.rng, RETURN_SECONDS)
+        seconds = retry_after(self.rng, SHUTDOWN_RETRY_SECONDS)
         return RequestError(ResultCode.SHUTTING_DOWN, retry_after=seconds)
 
     def is_over(self, now: float) -> bool:
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -13,7 +13,7 @@
 
     :param reader: engine that read the prompt for the answering one.
     :param upstream: the answering engine.
-    :param to_read: prompt tokens that were thought not to be cached.
+    :param uncached_tokens: prompt tokens that were thought not to be cached.
     :param predicted: seconds from the choice to the first token.
     :param waiting: the part of it in which other prompts are read.
     :param caller_seconds: until the caller leaves, at the choice.
@@ -21,7 +21,7 @@
 
     reader: str = ""
     upstream: str = ""
-    to_read: int = 0
+    uncached_tokens: int = 0
     predicted: float = 0.0
     waiting: float = 0.0
     priority: int = 0
@@ -33,11 +33,13 @@
 
     def on_placed(self, placement: Placement, caller_seconds: float) -> None:
         """Take a choice, and what it or a refusal went by."""
-        self.reader = placement.prefill or ""
+        self.reader = placement.prefill_engine or ""
         self.predicted = placement.first_token
-        self.to_read = placement.read_by.to_read
-        self.waiting = placement.read_by.wait * placement.read_by.slow
-        self.priority = placement.read_by.priority
+        self.uncached_tokens = placement.prefill_candidate.uncached_tokens
+        self.waiting = (
+            placement.prefill_candidate.wait * placement.prefill_candidate.slowdown
+        )
+        self.priority = placement.prefill_candidate.priority
         self.caller_seconds = caller_seconds
 
     def fields(self, arrived_at: float) -> dict[str, object]:
@@ -58,7 +60,7 @@
             found |= {
                 "reader": self.reader,
                 "upstream": self.upstream,
-                "to_read": self.to_read,
+                "to_read": self.uncached_tokens,
                 "predicted_ms": round(self.predicted * 1e3, 1),
                 "waiting_ms": round(self.waiting * 1e3, 1),
                 "priority": self.priority,
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -39,8 +39,8 @@
 from .platform.store import PlatformStore
 from .platform.store import store_session
 from .policy.decisions import Decisions
-from .policy.last_requests import End
 from .policy.retry_window import RetryLimits
+from .policy.shutdown_admission import ShutdownWindow
 from .policy.watch_pause import watch_pause
 from .protocol.plan import HOLDER_KEY
 from .serving import FIRST_REQUEST_SECONDS
@@ -216,7 +216,7 @@
     logger.info("stops soon", extra={"running": len(front.busy)})
     now = loop.time()
     end_by = now + max(0.0, seconds - SHUTDOWN_MARGIN_SECONDS)
-    end = End(min(now + STILL_ROUTED_SECONDS, end_by), end_by)
+    end = ShutdownWindow(min(now + STILL_ROUTED_SECONDS, end_by), end_by)
     front.core.context.time_limits.begin(end)
     await asyncio.sleep(end.routed_until - now)
     late_ms = round((loop.time() - end.routed_until) * 1e3, 1)
--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -20,7 +20,7 @@
 from ..model import TokenChunk
 from ..policy import Candidate
 from ..policy import EntryPolicy
-from ..policy.size_bands import ClassSizes
+from ..policy.size_classes import RequestClassSizes
 from ..ports import Dialer
 from ..ports import InstanceList
 from ..selection import bare_name
@@ -80,7 +80,7 @@
         self.closing = False
         self.refusing = False
         self.in_flight = 0
-        self.sizes = ClassSizes()
+        self.sizes = RequestClassSizes()
         self.placements: set[Placement] = set()
         self._attempts = itertools.count(1)
         self._hellos = itertools.count(1)
@@ -233,8 +233,8 @@
             seconds = asyncio.get_running_loop().time() - call.arrived_at
             self.telemetry.on_ended(call.tenant, call.request_class, code, seconds)
             if _is_model(call):
-                band = self.sizes.observe(call.request_class, call.prompt_tokens)
-                self.telemetry.on_sized_end(call.request_class, band, code)
+                size_class = self.sizes.observe(call.request_class, call.prompt_tokens)
+                self.telemetry.on_sized_end(call.request_class, size_class, code)
             self.in_flight -= 1
             self.placements.discard(placement)
             if self.in_flight == 0:
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -20,7 +20,7 @@
 from ..model import Role
 from ..model import UpstreamKind
 from ..policy.interfaces import EngineView
-from ..policy.interfaces import FleetPicture
+from ..policy.interfaces import GroupSnapshot
 from ..policy.interfaces import ShiftPolicy
 from ..ports import WeightStore
 from .authority import Authority
@@ -43,7 +43,7 @@
 WEIGHTS_SECONDS = 60.0
 """Between two readings of the weight store's sizes and rate."""
 
-MOST_STALE_SHARE = 0.25
+MAX_STALE_SHARE = 0.25
 """Share of a group's engines without a fresh report above which it is left alone.
 
 With a partition or the end of a process, reports stop together. The picture then
@@ -233,7 +233,7 @@
         roles = {name: part.assignment.role for name, part in self.store.plans.items()}
         bounds = group_bounds(group, groups, roles)
         counts = count_roles(group, roles)
-        picture = FleetPicture(
+        picture = GroupSnapshot(
             group.name, self._views(group, now), bounds, ROLE_CHANGE_SECONDS
         )
         wish = self.policy.decide(picture, now)
@@ -284,7 +284,7 @@
             for engine in group.engines
             if (word := self._fresh(engine, now)) is not None
         }
-        if len(group.engines) - len(fresh) > MOST_STALE_SHARE * len(group.engines):
+        if len(group.engines) - len(fresh) > MAX_STALE_SHARE * len(group.engines):
             return []
         ready = [
             engine
--- a/src/bergamotmast/policy/__init__.py
+++ b/src/bergamotmast/policy/__init__.py
@@ -6,7 +6,7 @@
 from .interfaces import Choice
 from .interfaces import EngineView
 from .interfaces import EntryPolicy
-from .interfaces import FleetPicture
+from .interfaces import GroupSnapshot
 from .interfaces import QueueItem
 from .interfaces import RoleChange
 from .interfaces import ShiftPolicy
@@ -18,7 +18,7 @@
     "Choice",
     "EngineView",
     "EntryPolicy",
-    "FleetPicture",
+    "GroupSnapshot",
     "QueueItem",
     "RoleChange",
     "ShiftPolicy",
--- a/src/bergamotmast/policy/admission.py
+++ b/src/bergamotmast/policy/admission.py
@@ -11,7 +11,7 @@
 its own queue would bring past its deadline. An entry sees only old reports, so it
 refuses only if every upstream that it compared is predicted to be :data:`ENTRY_SLACK`
 times too late: a wrong refusal loses an answer, a wrong offer costs one round trip of a
-millisecond. :data:`DOOR_SLACK` is the side's margin for answers longer than predicted.
+millisecond. :data:`SIDE_SLACK` is the side's margin for answers longer than predicted.
 A refused caller is asked to retry after the predicted overshoot, plus jitter of up to
 :data:`RETRY_JITTER` of it, so that refused bursts don't return all at once.
 """
@@ -24,20 +24,20 @@
 """Multiple of the remaining time that a prediction must exceed for an entry to refuse.
 """
 
-DOOR_SLACK = 1.0
+SIDE_SLACK = 1.0
 """Share of the remaining time that a side's prediction may take."""
 
-LEAST_RETRY_AFTER = 1.0
+MIN_RETRY_AFTER_SECONDS = 1.0
 """Lower bound of the delay that a refused caller is asked to keep."""
 
-MOST_RETRY_AFTER = 30.0
+MAX_RETRY_AFTER_SECONDS = 30.0
 """Upper bound of that delay."""
 
 RETRY_JITTER = 0.5
 """Largest random addition to the delay, as a share of it."""
 
 
-def too_late_for_entry(
+def exceeds_entry_deadline(
     predicted: float, left: float, slack: float = ENTRY_SLACK
 ) -> bool:
     """Return whether an entry refuses a request.
@@ -48,7 +48,7 @@
     return left <= 0.0 or predicted > slack * left
 
 
-def too_late_for_side(predicted: float, left: float, slack: float) -> bool:
+def exceeds_side_deadline(predicted: float, left: float, slack: float) -> bool:
     """Return whether a side refuses a request.
 
     :param predicted: predicted seconds until the request is served.
@@ -62,5 +62,5 @@
 
     :param overshoot: predicted seconds past the deadline.
     """
-    seconds = min(MOST_RETRY_AFTER, max(LEAST_RETRY_AFTER, overshoot))
+    seconds = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, overshoot))
     return round(seconds * (1.0 + RETRY_JITTER * rng.random()), 3)
--- a/src/bergamotmast/policy/affinity.py
+++ b/src/bergamotmast/policy/affinity.py
@@ -8,13 +8,13 @@
 while others idle.
 
 Thresholds: cache events are late and incomplete, so an estimate expires after
-:data:`BELIEF_SECONDS`, and the cached-token count of each answer replaces it. The
-estimate only shortens the predicted prefill; the predicted queueing delay still counts
-in full. That bounds the load which affinity attracts: a cached prefix wins only while
-the queue is shorter than the prefill it saves. For a prefix that was never seen, the
-upstream chosen by rendezvous hashing is credited with :data:`FIRST_HOPE` of the prompt:
-enough for all entries to agree on one upstream when all are idle, too little to make
-requests queue there.
+:data:`CACHE_ESTIMATE_TTL_SECONDS`, and the cached-token count of each answer replaces
+it. The estimate only shortens the predicted prefill; the predicted queueing delay still
+counts in full. That bounds the load which affinity attracts: a cached prefix wins only
+while the queue is shorter than the prefill it saves. For a prefix that was never seen,
+the upstream chosen by rendezvous hashing is credited with :data:`UNKNOWN_PREFIX_SHARE`
+of the prompt: enough for all entries to agree on one upstream when all are idle, too
+little to make requests queue there.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 import collections
 import dataclasses
 
-from .subset import rank
+from .subset import rendezvous_rank
 
 MAX_PREFIXES = 2048
 """Prefixes that an entry remembers; the least recently used one is dropped first."""
 
-MAX_PLACES = 4
+MAX_UPSTREAMS_PER_PREFIX = 4
 """Upstreams remembered for each prefix."""
 
-BELIEF_SECONDS = 120.0
+CACHE_ESTIMATE_TTL_SECONDS = 120.0
 """Time after which an unconfirmed estimate expires."""
 
-FIRST_HOPE = 0.25
+UNKNOWN_PREFIX_SHARE = 0.25
 """Share of a prompt assumed cached at the rendezvous choice of an unknown prefix."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Belief:
+class CacheEstimate:
     """Cached tokens last seen for a prefix at one upstream."""
 
     tokens: int
@@ -49,7 +49,7 @@
     """Estimated cache contents of the upstreams, by prefix."""
 
     def __init__(self) -> None:
-        self.places: collections.OrderedDict[str, dict[str, Belief]] = (
+        self.places: collections.OrderedDict[str, dict[str, CacheEstimate]] = (
             collections.OrderedDict()
         )
 
@@ -64,8 +64,10 @@
         beliefs = self.places.setdefault(prefix_key, {})
         self.places.move_to_end(prefix_key)
         beliefs.pop(upstream, None)
-        beliefs[upstream] = Belief(cached or int(prompt * FIRST_HOPE), now)
-        if len(beliefs) > MAX_PLACES:
+        beliefs[upstream] = CacheEstimate(
+            cached or int(prompt * UNKNOWN_PREFIX_SHARE), now
+        )
+        if len(beliefs) > MAX_UPSTREAMS_PER_PREFIX:
             del beliefs[next(iter(beliefs))]
         if len(self.places) > MAX_PREFIXES:
             self.places.popitem(last=False)
@@ -73,18 +75,18 @@
     def expected(
         self, prefix_key: str, names: list[str], prompt: int, now: float
     ) -> dict[str, int]:
-        """Return the prompt tokens that each named upstream is expected to have cached."""
+        """Return the tokens that each named upstream is expected to have cached."""
         if not prefix_key:
             return {}
         known = self.places.get(prefix_key, {})
         fresh = {
             name: min(belief.tokens, prompt - 1)
             for name, belief in known.items()
-            if now - belief.seen_at <= BELIEF_SECONDS and name in names
+            if now - belief.seen_at <= CACHE_ESTIMATE_TTL_SECONDS and name in names
         }
         if fresh or not names:
             return fresh
-        return {rendezvous(prefix_key, names): int(prompt * FIRST_HOPE)}
+        return {rendezvous(prefix_key, names): int(prompt * UNKNOWN_PREFIX_SHARE)}
 
 
 def rendezvous(key: str, names: list[str]) -> str:
@@ -93,4 +95,4 @@
     All processes choose the same name, and adding or removing other names doesn't
     change the choice.
     """
-    return max(names, key=lambda name: rank(key, name))
+    return max(names, key=lambda name: rendezvous_rank(key, name))
--- a/src/bergamotmast/policy/baselines.py
+++ b/src/bergamotmast/policy/baselines.py
@@ -20,7 +20,7 @@
 from .interfaces import Candidate
 from .interfaces import Choice
 from .interfaces import EngineView
-from .interfaces import FleetPicture
+from .interfaces import GroupSnapshot
 from .interfaces import QueueItem
 from .interfaces import RoleChange
 from .interfaces import UpstreamSpeed
@@ -30,14 +30,14 @@
 GREEDY_RATIO = 2.0
 """Ratio of prefill to decode backlog, in seconds, above which greedy shifting acts."""
 
-GREEDY_BACKLOG = 0.5
+GREEDY_MIN_BACKLOG_SECONDS = 0.5
 """Backlog for each engine below which greedy shifting does nothing."""
 
-BASELINE_RETRY_AFTER = 1.0
+BASELINE_RETRY_AFTER_SECONDS = 1.0
 """Delay after which a refused caller may retry."""
 
 
-class PlainEntryPolicy:
+class BaselineEntryPolicy:
     """Common base: no prediction, no affinity, every retry allowed.
 
     :param rng: seeded random source.
@@ -66,7 +66,7 @@
         staged = bool(prefill and others) and not resumed_tokens
         pool = prefill if staged else others or ready
         if not pool:
-            return Choice(None, ResultCode.NO_UPSTREAM, BASELINE_RETRY_AFTER)
+            return Choice(None, ResultCode.NO_UPSTREAM, BASELINE_RETRY_AFTER_SECONDS)
         return Choice(self.pick(pool).name, prefill_only=staged)
 
     def pick(self, pool: list[Candidate]) -> Candidate:
@@ -96,7 +96,7 @@
         """Do nothing."""
 
 
-class RoundRobinEntryPolicy(PlainEntryPolicy):
+class RoundRobinEntryPolicy(BaselineEntryPolicy):
     """Chooses the upstreams in turn."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
@@ -105,7 +105,7 @@
         return sorted(pool, key=lambda c: c.name)[self.turn % len(pool)]
 
 
-class RandomEntryPolicy(PlainEntryPolicy):
+class RandomEntryPolicy(BaselineEntryPolicy):
     """Chooses any upstream at random."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
@@ -113,7 +113,7 @@
         return self.rng.choice(pool)
 
 
-class LeastOutstandingEntryPolicy(PlainEntryPolicy):
+class LeastOutstandingEntryPolicy(BaselineEntryPolicy):
     """Chooses the upstream with the fewest known outstanding requests."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
@@ -224,7 +224,7 @@
 class FixedShiftPolicy:
     """Never changes a role."""
 
-    def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
+    def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
         """Return ``None``."""
         return None
 
@@ -232,26 +232,26 @@
 class GreedyShiftPolicy:
     """Changes a role whenever one kind of backlog outweighs the other."""
 
-    def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
+    def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
         """Move one engine to the role with the longer backlog."""
-        if any(e.changing for e in picture.engines):
+        if any(e.changing for e in snapshot.engines):
             return None
-        prefill = sum(_prefill_backlog(e) for e in picture.engines)
-        decode = sum(_decode_backlog(e) for e in picture.engines)
-        needed = GREEDY_BACKLOG * len(picture.engines)
+        prefill = sum(_prefill_backlog(e) for e in snapshot.engines)
+        decode = sum(_decode_backlog(e) for e in snapshot.engines)
+        needed = GREEDY_MIN_BACKLOG_SECONDS * len(snapshot.engines)
         if prefill > needed and prefill > GREEDY_RATIO * decode:
-            return self._move(picture, Role.DECODE, Role.PREFILL)
+            return self._move(snapshot, Role.DECODE, Role.PREFILL)
         if decode > needed and decode > GREEDY_RATIO * prefill:
-            return self._move(picture, Role.PREFILL, Role.DECODE)
+            return self._move(snapshot, Role.PREFILL, Role.DECODE)
         return None
 
     def _move(
-        self, picture: FleetPicture, source: Role, target: Role
+        self, snapshot: GroupSnapshot, source: Role, target: Role
     ) -> RoleChange | None:
-        allowed = possible_changes(picture, role_counts(picture))
+        allowed = possible_changes(snapshot, role_counts(snapshot))
         for role in (source, Role.MIXED):
             if (role, target) in allowed:
-                engine = min(e.name for e in picture.engines if e.role is role)
+                engine = min(e.name for e in snapshot.engines if e.role is role)
                 return RoleChange(engine, target, "backlog")
         return None
 
--- a/src/bergamotmast/policy/capacity.py
+++ b/src/bergamotmast/policy/capacity.py
@@ -17,24 +17,24 @@
 TARGET_UTILISATION = 0.85
 """Share of the nominal rates that can be used before queues grow past deadlines."""
 
-LEARN_WEIGHT = 0.2
+RATE_EWMA_WEIGHT = 0.2
 """Weight of one report in the moving average of a role's rates."""
 
 _STEPS = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pair:
+class TokenRates:
     """Prefill and decode rate of one engine in one role, in tokens a second."""
 
     prefill: float
     decode: float
 
 
-PRIOR_RATIOS: dict[Role, Pair] = {
-    Role.MIXED: Pair(1.0, 1.0),
-    Role.PREFILL: Pair(1.25, 0.1),
-    Role.DECODE: Pair(0.1, 1.25),
+PRIOR_RATIOS: dict[Role, TokenRates] = {
+    Role.MIXED: TokenRates(1.0, 1.0),
+    Role.PREFILL: TokenRates(1.25, 0.1),
+    Role.DECODE: TokenRates(0.1, 1.25),
 }
 """Rates of each role relative to a mixed engine's, used until a report gives them."""
 
@@ -43,7 +43,7 @@
     """Moving average of the rates that a group's engines report, by role."""
 
     def __init__(self) -> None:
-        self.known: dict[Role, Pair] = {}
+        self.known: dict[Role, TokenRates] = {}
 
     def observe(self, engines: cabc.Sequence[EngineView]) -> None:
         """Update the rates from engines whose reported role matches the planned one."""
@@ -51,22 +51,24 @@
             report = engine.report
             if report is None or report.role is not engine.role or engine.changing:
                 continue
-            self._learn(engine.role, Pair(report.prefill_rate, report.decode_rate))
+            self._learn(
+                engine.role, TokenRates(report.prefill_rate, report.decode_rate)
+            )
 
-    def _learn(self, role: Role, pair: Pair) -> None:
+    def _learn(self, role: Role, pair: TokenRates) -> None:
         old = self.known.get(role, pair)
-        self.known[role] = Pair(
-            old.prefill + LEARN_WEIGHT * (pair.prefill - old.prefill),
-            old.decode + LEARN_WEIGHT * (pair.decode - old.decode),
+        self.known[role] = TokenRates(
+            old.prefill + RATE_EWMA_WEIGHT * (pair.prefill - old.prefill),
+            old.decode + RATE_EWMA_WEIGHT * (pair.decode - old.decode),
         )
 
-    def of(self, role: Role) -> Pair:
+    def of(self, role: Role) -> TokenRates:
         """Return a role's rates; for an unseen role, scaled from another role's."""
         if role in self.known:
             return self.known[role]
         for other, pair in self.known.items():
             theirs, ours = PRIOR_RATIOS[other], PRIOR_RATIOS[role]
-            return Pair(
+            return TokenRates(
                 pair.prefill * ours.prefill / theirs.prefill,
                 pair.decode * ours.decode / theirs.decode,
             )
--- a/src/bergamotmast/policy/cost.py
+++ b/src/bergamotmast/policy/cost.py
@@ -10,9 +10,9 @@
 Thresholds: lengths within a class are skewed, so the predictor uses a quantile and not
 a mean. :data:`DEFAULT_QUANTILE` is a little above the median, because an underestimate
 admits work that is thrown away half done, while an overestimate only delays it.
-:data:`WINDOW` samples give that quantile to within about 4 points of its rank (the
-standard error of a rank, the root of 0.6 x 0.4 / 128) and are replaced within seconds
-at the usual rate of a class.
+:data:`LENGTH_SAMPLES` samples give that quantile to within about 4 points of its rank
+(the standard error of a rank, the root of 0.6 x 0.4 / 128) and are replaced within
+seconds at the usual rate of a class.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ..model import Cost
 from ..model import ModelCall
 
-WINDOW = 128
+LENGTH_SAMPLES = 128
 """Output lengths kept for each class."""
 
 MAX_CLASSES = 256
@@ -32,7 +32,7 @@
 DEFAULT_QUANTILE = 0.6
 """Quantile of the window that is predicted."""
 
-PRIOR_TOKENS = 128
+DEFAULT_OUTPUT_TOKENS = 128
 """Output length assumed for a class without samples, unless ``max_tokens`` is lower."""
 
 
@@ -45,7 +45,7 @@
 
     def add(self, tokens: int) -> None:
         """Add a sample; a full window drops its oldest one."""
-        if len(self.recent) == WINDOW:
+        if len(self.recent) == LENGTH_SAMPLES:
             oldest = self.recent.popleft()
             del self.ordered[bisect.bisect_left(self.ordered, oldest)]
         self.recent.append(tokens)
@@ -82,7 +82,7 @@
     def tokens(self, request_class: str, max_tokens: int) -> int:
         """Return the predicted output length, at least 1."""
         window = self.windows.get(request_class)
-        expected = window.quantile(self.rank) if window else PRIOR_TOKENS
+        expected = window.quantile(self.rank) if window else DEFAULT_OUTPUT_TOKENS
         return max(1, min(expected, max_tokens))
 
     def cost(self, call: ModelCall) -> Cost:
@@ -92,7 +92,7 @@
         )
 
 
-def still_to_come(predicted: int, produced: int) -> int:
+def remaining_output_tokens(predicted: int, produced: int) -> int:
     """Return the output tokens expected after ``produced`` ones.
 
     An answer longer than predicted is expected to continue for a quarter of what it has
--- a/src/bergamotmast/policy/decisions.py
+++ b/src/bergamotmast/policy/decisions.py
@@ -73,5 +73,5 @@
 DECISION_NAMES = frozenset(field.name for field in dataclasses.fields(Decisions))
 """Names of the decisions that can be switched off."""
 
-ALL = Decisions()
+ALL_DECISIONS = Decisions()
 """All decisions switched on."""
--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -20,48 +20,48 @@
 import typing as t
 
 from ..model import Role
-from .decisions import ALL
+from .decisions import ALL_DECISIONS
 from .decisions import Decisions
 
-ZONE_SECONDS = 0.015
+CROSS_ZONE_PENALTY_SECONDS = 0.015
 """Penalty of an engine in another zone: traffic between zones is expensive, and a
 prompt crosses it twice."""
 
-ZONE_ANSWERS = 4.0
+CROSS_ZONE_PENALTY_DECODES = 4.0
 """Additional decodes at an engine in the entry's zone at which one elsewhere is equal.
 """
 
-LONG_SHARE = 0.33
+LONG_PROMPT_SHARE = 0.33
 """A prompt is long if its prefill takes this share of the group's tightest objective.
 """
 
-PACKED_SHARE = 0.45
+PACKING_LIMIT_SHARE = 0.45
 """Share of the objective within which a packed prompt must have its first token.
 Entries learn of each other's requests some milliseconds late; without packing, long
 prompts that arrive together would occupy every engine."""
 
-DIRECT_ANSWERS = 24
+MAX_DECODES_BESIDE_PREFILL = 24
 """Running decodes above which an engine prefills no prompts itself. Each chunk of a
 prompt makes its decode steps three times as long; two dozen streams still stay on time,
 four dozen pile up faster than they end."""
 
-DIRECT_SHARE = 0.28
+DECODE_ENGINE_PREFILL_SHARE = 0.28
 """Longest prefill at a decode engine while a prefill engine is available, as a share of
 the group's tightest objective: meanwhile the decode engine starts no answer, which
 delays all that arrive."""
 
-COPY_SHARE = 0.6
+REPLICA_COST_SHARE = 0.6
 """Cost of another replica of a prefix, as a share of its prefill time: it evicts
 another prefix, which then has to be prefilled again."""
 
-WAITING_ANSWERS = 300.0
+DECODES_PER_QUEUED_SECOND = 300.0
 """Running decodes that delay a new one as much as a second of queued prefill does: six
 for 20 ms."""
 
 PRIORITY_STEPS: t.Final = ((0, 1), (2, 2), (5, 4))
 """First engine priority of each rank, and the number of size steps that follow it."""
 
-FIRST_SIZE_STEP = 2_000
+FIRST_SIZE_STEP_TOKENS = 2_000
 """Largest prompt with the first priority of its rank. Each doubling is one step lower,
 so that short prefills don't wait for long ones."""
 
@@ -71,18 +71,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineView:
+class EngineCandidate:
     """An engine as a candidate for one prompt.
 
     :param wait: seconds of queued prefills ahead of a prompt of this priority.
-    :param read: seconds of this prompt's prefill without a queue.
-    :param fetched: seconds that prefilling the tokens would take which are transferred
-        from another engine instead.
-    :param transfer: seconds from the end of the prefill to the first token at another
-        engine.
-    :param slow: slowdown factor, the ratio of actual to predicted time.
-    :param answers: estimated number of running decodes.
-    :param to_read: prompt tokens that are not cached.
+    :param prefill_seconds: seconds of this prompt's prefill without a queue.
+    :param transferred_seconds: seconds that prefilling the tokens would take which are
+        transferred from another engine instead.
+    :param handoff_seconds: seconds from the end of the prefill to the first token at
+        another engine.
+    :param slowdown: slowdown factor, the ratio of actual to predicted time.
+    :param running_decodes: estimated number of running decodes.
+    :param uncached_tokens: prompt tokens that are not cached.
     :param priority: engine priority of the prefill.
     :param tie_break: sort key among engines of equal cost; the lowest value wins.
         Differs per entry, so that entries without load data do not all select the same
@@ -93,13 +93,13 @@
     role: Role
     same_zone: bool
     wait: float
-    read: float
-    slow: float
-    answers: float
-    transfer: float = 0.0
-    fetched: float = 0.0
+    prefill_seconds: float
+    slowdown: float
+    running_decodes: float
+    handoff_seconds: float = 0.0
+    transferred_seconds: float = 0.0
     tie_break: int = 0
-    to_read: int = 0
+    uncached_tokens: int = 0
     priority: int = 0
 
 
@@ -107,20 +107,25 @@
 class Placement:
     """Engines chosen for a request.
 
-    :param prefill: engine that prefills the prompt; ``None`` if the decode engine does.
-    :param answer: engine that decodes.
+    :param prefill_engine: engine that prefills the prompt; ``None`` if the decode
+        engine does.
+    :param decode_engine: engine that decodes.
     :param first_token: predicted seconds to the first token.
-    :param read_by: the candidate that prefills the prompt.
+    :param prefill_candidate: the candidate that prefills the prompt.
     """
 
-    prefill: str | None
-    answer: str
+    prefill_engine: str | None
+    decode_engine: str
     first_token: float
-    read_by: EngineView
+    prefill_candidate: EngineCandidate
 
 
-def priority_of(
-    rank: int, tokens: int, decisions: Decisions = ALL, *, goes_first: bool = False
+def prefill_priority(
+    rank: int,
+    tokens: int,
+    decisions: Decisions = ALL_DECISIONS,
+    *,
+    goes_first: bool = False,
 ) -> int:
     """Return the engine priority of a prefill, 0 (most urgent) to 9.
 
@@ -134,15 +139,18 @@
     if not decisions.size_priority:
         return first
     step = 0
-    size = FIRST_SIZE_STEP
+    size = FIRST_SIZE_STEP_TOKENS
     while tokens > size and step < steps:
         step += 1
         size *= 2
     return first + step
 
 
-def answer_priority(
-    rank: int, prompt_tokens: int, most_outputs: int, decisions: Decisions = ALL
+def decode_priority(
+    rank: int,
+    prompt_tokens: int,
+    most_outputs: int,
+    decisions: Decisions = ALL_DECISIONS,
 ) -> int:
     """Return the engine priority of an answer whose prompt is prefilled, 0 to 9.
 
@@ -155,33 +163,37 @@
     is_short = 0 < most_outputs <= SHORT_ANSWER_TOKENS
     if is_short and decisions.short_answers_first:
         return 0
-    return priority_of(rank, prompt_tokens, decisions)
+    return prefill_priority(rank, prompt_tokens, decisions)
 
 
-def predict_read(engine: EngineView) -> float:
+def predict_prefill(engine: EngineCandidate) -> float:
     """Return the predicted seconds until an engine has prefilled a prompt."""
-    return (engine.wait + engine.read) * engine.slow
+    return (engine.wait + engine.prefill_seconds) * engine.slowdown
 
 
-def choose_answering(engines: t.Sequence[EngineView]) -> EngineView | None:
+def choose_decode_engine(
+    engines: t.Sequence[EngineCandidate],
+) -> EngineCandidate | None:
     """Return the decode engine for a prompt that is prefilled elsewhere."""
     able = [engine for engine in engines if engine.role is not Role.PREFILL]
     return min(able, key=_answer_load, default=None)
 
 
-def place(
-    engines: t.Sequence[EngineView],
+def place_prompt(
+    engines: t.Sequence[EngineCandidate],
     objective: float,
     tightest: float,
-    decisions: Decisions = ALL,
+    decisions: Decisions = ALL_DECISIONS,
 ) -> Placement | None:
     """Return the engines to use, or ``None`` if no decode engine is available.
 
     :param objective: time to first token objective, in seconds.
     :param tightest: tightest objective among all routes of the group, in seconds.
     """
-    direct_seconds = DIRECT_SHARE * tightest if decisions.direct_reading else 0.0
-    answering = choose_answering(engines)
+    direct_seconds = (
+        DECODE_ENGINE_PREFILL_SHARE * tightest if decisions.direct_reading else 0.0
+    )
+    answering = choose_decode_engine(engines)
     if answering is None:
         return None
     ways = [
@@ -196,49 +208,52 @@
         and (not ways or _may_read(engine, direct_seconds))
     ]
     seconds, engine = min(ways, key=lambda way: (_cost(*way), *_tie_break_key(way[1])))
-    if decisions.packing and engine.read >= LONG_SHARE * tightest:
+    if decisions.packing and engine.prefill_seconds >= LONG_PROMPT_SHARE * tightest:
         seconds, engine = _packed(ways, objective) or (seconds, engine)
     if engine.role is Role.PREFILL:
         return Placement(engine.name, answering.name, seconds, engine)
     return Placement(None, engine.name, seconds, engine)
 
 
-def _may_read(engine: EngineView, most_seconds: float) -> bool:
+def _may_read(engine: EngineCandidate, most_seconds: float) -> bool:
     """Return whether a decode engine may prefill although there are prefill engines."""
-    return engine.answers <= DIRECT_ANSWERS and engine.read <= most_seconds
+    return (
+        engine.running_decodes <= MAX_DECODES_BESIDE_PREFILL
+        and engine.prefill_seconds <= most_seconds
+    )
 
 
 def _packed(
-    ways: t.Sequence[tuple[float, EngineView]], objective: float
-) -> tuple[float, EngineView] | None:
+    ways: t.Sequence[tuple[float, EngineCandidate]], objective: float
+) -> tuple[float, EngineCandidate] | None:
     """Return the most loaded prefill engine that still finishes well within the
     objective.
     """
     able = [
         way
         for way in ways
-        if way[1].role is Role.PREFILL and way[0] <= objective * PACKED_SHARE
+        if way[1].role is Role.PREFILL and way[0] <= objective * PACKING_LIMIT_SHARE
     ]
     return max(able, key=lambda way: (way[0], way[1].name), default=None)
 
 
-def _first_token(engine: EngineView) -> float:
-    seconds = predict_read(engine)
-    return seconds + engine.transfer if engine.role is Role.PREFILL else seconds
+def _first_token(engine: EngineCandidate) -> float:
+    seconds = predict_prefill(engine)
+    return seconds + engine.handoff_seconds if engine.role is Role.PREFILL else seconds
 
 
-def _cost(seconds: float, engine: EngineView) -> float:
+def _cost(seconds: float, engine: EngineCandidate) -> float:
     """Return the predicted seconds plus the cost that the choice imposes on others."""
-    seconds += COPY_SHARE * engine.fetched
-    return seconds if engine.same_zone else seconds + ZONE_SECONDS
+    seconds += REPLICA_COST_SHARE * engine.transferred_seconds
+    return seconds if engine.same_zone else seconds + CROSS_ZONE_PENALTY_SECONDS
 
 
-def _answer_load(engine: EngineView) -> tuple[float, int, str]:
-    waits = engine.wait * WAITING_ANSWERS
-    load = (engine.answers + waits) * engine.slow
-    load = load if engine.same_zone else load + ZONE_ANSWERS
+def _answer_load(engine: EngineCandidate) -> tuple[float, int, str]:
+    waits = engine.wait * DECODES_PER_QUEUED_SECOND
+    load = (engine.running_decodes + waits) * engine.slowdown
+    load = load if engine.same_zone else load + CROSS_ZONE_PENALTY_DECODES
     return (load, *_tie_break_key(engine))
 
 
-def _tie_break_key(engine: EngineView) -> tuple[int, str]:
+def _tie_break_key(engine: EngineCandidate) -> tuple[int, str]:
     return engine.tie_break, engine.name
--- a/src/bergamotmast/policy/direct_refusal.py
+++ b/src/bergamotmast/policy/direct_refusal.py
@@ -12,19 +12,19 @@
 
 import random
 
-LEAST_RETRY_AFTER = 0.3
+MIN_RETRY_AFTER_SECONDS = 0.3
 """Lower bound of the delay before a refused caller retries."""
 
-FIRST_SHARE = 0.6
+GOES_FIRST_SHARE = 0.6
 """Share of the caller's remaining time within which the first event of a prompt that
 goes first must be predicted. Such a prompt delays all others of its rank, in vain if
 its caller leaves."""
 
-RETURN_SPREAD_SECONDS = 0.5
+RETRY_JITTER_SECONDS = 0.5
 """Interval over which the retries of callers refused for the same cause are spread."""
 
 
-def is_hopeless(
+def is_unreachable(
     first_token: float, seconds_left: float, *, goes_first: bool = False
 ) -> bool:
     """Return whether a caller would time out before its first event.
@@ -33,7 +33,7 @@
     :param seconds_left: seconds until the caller times out.
     :param goes_first: whether the prompt precedes the others of its rank.
     """
-    share = FIRST_SHARE if goes_first else 1.0
+    share = GOES_FIRST_SHARE if goes_first else 1.0
     return first_token > share * seconds_left
 
 
@@ -42,4 +42,6 @@
 
     :param seconds: estimated seconds until it could be served.
     """
-    return max(LEAST_RETRY_AFTER, seconds) + rng.uniform(0.0, RETURN_SPREAD_SECONDS)
+    return max(MIN_RETRY_AFTER_SECONDS, seconds) + rng.uniform(
+        0.0, RETRY_JITTER_SECONDS
+    )
--- a/src/bergamotmast/policy/direct_roles.py
+++ b/src/bergamotmast/policy/direct_roles.py
@@ -9,9 +9,9 @@
 A decode engine batches: it produces some :data:`DECODE_RATE` tokens a second, so
 answers of dozens of tokens need a small part of the fleet. It can also prefill between
 decode steps at about two fifths of the speed, so a second decode engine is no loss.
-:func:`wanted_answering` therefore keeps :data:`LEAST_ANSWERING` decode engines, so that
-one may fail, and more only if the mix requires it. A change starts once the mix has
-required it for :data:`HOLD_SECONDS`: each change takes an engine away for seconds,
+:func:`wanted_decode_engines` therefore keeps :data:`MIN_DECODE_ENGINES` decode engines,
+so that one may fail, and more only if the mix requires it. A change starts once the mix
+has required it for :data:`HOLD_SECONDS`: each change takes an engine away for seconds,
 which doesn't pay for a swing that turns back sooner. A role without any engine is
 filled at once.
 """
@@ -31,10 +31,10 @@
 DECODE_RATE = 40_000.0
 """Output tokens a second of a decode engine with a half full batch."""
 
-LEAST_ANSWERING = 2
+MIN_DECODE_ENGINES = 2
 """Decode engines kept in groups of at least four engines."""
 
-SAFETY = 1.5
+DECODE_SAFETY_FACTOR = 1.5
 """Decode engines kept for each one that the mean of the mix requires."""
 
 HOLD_SECONDS = 8.0
@@ -45,7 +45,7 @@
 that is back at once needs no change, and each second of delay costs an engine-second.
 """
 
-MIX_SECONDS = 20.0
+MIX_TIME_CONSTANT_SECONDS = 20.0
 """Time constant of the exponential decay of older requests."""
 
 
@@ -60,7 +60,7 @@
     def observe(self, prompt_tokens: float, output_tokens: float, now: float) -> None:
         """Add an admitted request."""
         if self.at is not None:
-            fade = math.exp(-max(0.0, now - self.at) / MIX_SECONDS)
+            fade = math.exp(-max(0.0, now - self.at) / MIX_TIME_CONSTANT_SECONDS)
             self.prefill *= fade
             self.decode *= fade
         self.at = now
@@ -95,8 +95,8 @@
 class RoleOrder:
     """A role change to order.
 
-    :param urgent: whether a role has no serving engine, so that the order does not wait for
-        another one to end.
+    :param urgent: whether a role has no serving engine, so that the order does not
+        wait for another one to end.
     """
 
     name: str
@@ -105,13 +105,13 @@
     urgent: bool = False
 
 
-def wanted_answering(engines: int, decode_share: float) -> int:
+def wanted_decode_engines(engines: int, decode_share: float) -> int:
     """Return how many of a group's engines should have the decode role."""
     if engines <= 1:
         # A last engine that only reads ends no request; an answering one reads too.
         return engines
-    least = LEAST_ANSWERING if engines >= 2 * LEAST_ANSWERING else 1
-    by_mix = math.ceil(engines * decode_share * SAFETY)
+    least = MIN_DECODE_ENGINES if engines >= 2 * MIN_DECODE_ENGINES else 1
+    by_mix = math.ceil(engines * decode_share * DECODE_SAFETY_FACTOR)
     return min(engines - 1, max(least, by_mix))
 
 
@@ -131,7 +131,7 @@
         """
         answering = [e for e in engines if e.role is not Role.PREFILL]
         reading = [e for e in engines if e.role is Role.PREFILL]
-        surplus = len(answering) - wanted_answering(len(engines), decode_share)
+        surplus = len(answering) - wanted_decode_engines(len(engines), decode_share)
         if surplus == 0:
             self.since = None
             return None
@@ -140,7 +140,9 @@
             self.wished = sign
             self.since = now
         # Engines that came or went ask for it, whatever the mix:
-        by_count = sign * (len(answering) - wanted_answering(len(engines), 0.0)) > 0
+        by_count = (
+            sign * (len(answering) - wanted_decode_engines(len(engines), 0.0)) > 0
+        )
         wanting = reading if surplus > 0 else answering
         urgent = all(engine.changing for engine in wanting)
         hold = SETTLE_SECONDS if by_count else HOLD_SECONDS
--- a/src/bergamotmast/policy/engine_book.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -20,64 +20,64 @@
 import math
 
 from ..model import Role
-from .load_hint import FadingHint
-from .prefix_memory import PrefixMemory
-from .prefix_memory import WorkKey
-from .read_model import GroupReads
-from .read_model import Pace
+from .load_hint import DecayingLoadHint
+from .prefill_model import EngineTimeRatio
+from .prefill_model import GroupPrefillTimes
+from .prefix_cache import PrefillKey
+from .prefix_cache import PrefixCacheModel
 
-LEAST_LEFT = 0.3
+MIN_REMAINING_SHARE = 0.3
 """Part of the present prompt that is always taken to be left: its end has not been
 heard of, and short prompts that nobody tells of may have gone before it."""
 
-TURN_SECONDS = 0.02
+NEXT_PREFILL_LEAD_SECONDS = 0.02
 """An engine has begun its next prompt by so much before the end of the last is heard
 of. What came later can't be the one that it reads."""
 
 OVERRUN_FACTOR = 1.3
-"""Multiples of its time, beside :data:`TURN_SECONDS`, after which the present prompt
-must be another one than was thought."""
+"""Multiples of its time, beside :data:`NEXT_PREFILL_LEAD_SECONDS`, after which the
+present prompt must be another one than was thought."""
 
-HINT_SECONDS = 2.0
+LOAD_HINT_SECONDS = 2.0
 """Time constant with which an engine's word on its answers fades: they take a second
 or two, and each new one brings the engine's word anew."""
 
-FORGET_SECONDS = 4.0
+PENDING_TTL_SECONDS = 4.0
 """Work whose end was never heard of, by a lost notice or a dead entry, is forgotten."""
 
-URGENT_SECONDS = 1.0
+URGENT_LOAD_SECONDS = 1.0
 """Time constant with which the load of more urgent prompts is measured: bursts last
 some seconds, and a wait that counts is under two."""
 
-MOST_URGENT = 0.75
+MAX_URGENT_SHARE = 0.75
 """Bound of that load as a share of the engine's time: the wait is at most four times
 what stands before a prompt."""
 
-SILENT_SECONDS = 0.7
+UNRESPONSIVE_SECONDS = 0.7
 """An engine that has said nothing for so long, on any of this entry's calls, beside the
 time its present prompt takes, may be gone: callers leave after two seconds, and the
 prompt must be read anew before that."""
 
-SILENT_FACTOR = 2.0
+UNRESPONSIVE_FACTOR = 2.0
 """Multiples of that time that are allowed for."""
 
 OVERDUE_FACTOR = 2.0
 """Multiples of the time predicted for a prompt after which it is overdue at an engine
 that lives: what waits there unknown to this entry seldom doubles it."""
 
-SLOW_WEIGHT = 0.25
+SLOWDOWN_WEIGHT = 0.25
 """Weight of a new measurement of an engine's slowness, on a log scale."""
 
-SLOW_SECONDS = 4.0
+SLOWDOWN_DECAY_SECONDS = 4.0
 """Time constant with which a slow engine is taken to be sound again; it is then tried
 with a request or two, which show whether it is."""
 
-MOST_SLOW = 16.0
+MAX_SLOWDOWN = 16.0
 """Bound of the slowness: beyond it an engine gets nothing anyway."""
 
 
 @dataclasses.dataclass(slots=True)
-class Work:
+class PendingPrefill:
     """One prompt on its way through an engine.
 
     :param seconds: for which it keeps the engine from others.
@@ -115,63 +115,66 @@
         """Return the share of the engine's time that more urgent prompts take."""
         self._fade(now)
         urgent = sum(s for known, s in self.seconds.items() if known < priority)
-        return min(MOST_URGENT, urgent / URGENT_SECONDS)
+        return min(MAX_URGENT_SHARE, urgent / URGENT_LOAD_SECONDS)
 
     def _fade(self, now: float) -> None:
-        factor = math.exp(-max(0.0, now - self.at) / URGENT_SECONDS)
+        factor = math.exp(-max(0.0, now - self.at) / URGENT_LOAD_SECONDS)
         self.at = now
         self.seconds = {known: s * factor for known, s in self.seconds.items()}
 
 
-class EngineBook:
+class EngineLoadTracker:
     """One engine as this entry knows it.
 
     :param current: the work that it is thought to read now.
     :param current_since: when that began; a point in time.
     :param streams: own answers under way there.
-    :param heard_at: when it last said anything to this entry; a point in time.
-    :param failed_until: until when it is left alone; a point in time.
+    :param last_reply_at: when it last said anything to this entry; a point in time.
+    :param cooldown_until: until when it is left alone; a point in time.
     :param role: that it had when it was last looked at.
-    :param reads: what the engines of its group take to read.
+    :param prefill_times: what the engines of its group take to read.
     :param tie_break: see :class:`~.direct_placement.EngineView`.
     """
 
     def __init__(
-        self, kv_capacity: int, reads: GroupReads | None = None, tie_break: int = 0
+        self,
+        kv_capacity: int,
+        prefill_times: GroupPrefillTimes | None = None,
+        tie_break: int = 0,
     ) -> None:
         self.tie_break = tie_break
-        self.reads = reads or GroupReads()
+        self.prefill_times = prefill_times or GroupPrefillTimes()
         self.role = Role.PREFILL
-        self.pace = Pace()
-        self.prefix = PrefixMemory(kv_capacity)
-        self.reading: dict[WorkKey, Work] = {}
+        self.time_ratio = EngineTimeRatio()
+        self.prefix = PrefixCacheModel(kv_capacity)
+        self.pending_prefills: dict[PrefillKey, PendingPrefill] = {}
         self.urgent = UrgentLoad()
-        self.current: WorkKey | None = None
+        self.current: PrefillKey | None = None
         self.current_since = 0.0
         self.streams = 0
-        self.hinted = FadingHint(HINT_SECONDS)
-        self.failed_until = -math.inf
-        self.heard_at = -math.inf
-        self.slow_log = 0.0
-        self.slow_at = 0.0
+        self.reported_load = DecayingLoadHint(LOAD_HINT_SECONDS)
+        self.cooldown_until = -math.inf
+        self.last_reply_at = -math.inf
+        self.slowdown_log = 0.0
+        self.slowdown_at = 0.0
 
-    def occupied(self, tokens: int, cached: int) -> float:
+    def occupied_seconds(self, tokens: int, cached: int) -> float:
         """Return for how many seconds a prompt keeps this engine from others.
 
         :param tokens: to read.
         :param cached: tokens before them that it need not read.
         """
-        times = self.reads.of(self.role).times
-        return times.occupied(tokens, cached) * self.pace.factor
+        times = self.prefill_times.of(self.role).times
+        return times.occupied_seconds(tokens, cached) * self.time_ratio.factor
 
-    def read_seconds(self, tokens: int, cached: int) -> float:
+    def prefill_seconds(self, tokens: int, cached: int) -> float:
         """Return how long this engine takes for a prompt that meets no queue."""
-        times = self.reads.of(self.role).times
-        return times.seconds(tokens, cached) * self.pace.factor
+        times = self.prefill_times.of(self.role).times
+        return times.seconds(tokens, cached) * self.time_ratio.factor
 
     def begin(
         self,
-        key: WorkKey,
+        key: PrefillKey,
         seconds: float,
         priority: int,
         now: float,
@@ -183,28 +186,30 @@
         :param goes_first: whether it is more urgent than others of its size. It tells
             nothing of what comes next, and would pass for a burst of urgent prompts.
         """
-        slow = self.slow(now)
-        due_at = now + (self.wait(priority, now) + seconds) * slow
-        for work in self.reading.values():
+        slowdown = self.slowdown(now)
+        due_at = now + (self.wait(priority, now) + seconds) * slowdown
+        for work in self.pending_prefills.values():
             if priority < work.priority:
                 work.overtaken = True
-                work.due_at += seconds * slow
-        self.reading[key] = Work(seconds, priority, now, due_at)
+                work.due_at += seconds * slowdown
+        self.pending_prefills[key] = PendingPrefill(seconds, priority, now, due_at)
         if not goes_first:
             self.urgent.add(priority, seconds, now)
         if self.current is None:
             self._take_next(now)
 
-    def end(self, key: WorkKey, now: float, *, done: bool = True) -> Work | None:
+    def end(
+        self, key: PrefillKey, now: float, *, done: bool = True
+    ) -> PendingPrefill | None:
         """Note that a prompt is read, or that its call has ended otherwise.
 
         :param done: whether it was read to its end: the engine reads another one now,
             whichever was taken for the present one.
         """
-        work = self.reading.pop(key, None)
+        work = self.pending_prefills.pop(key, None)
         self.prefix.settle(key, done=done)
         if work is not None and (done or key == self.current):
-            self._take_next(now - TURN_SECONDS)
+            self._take_next(now - NEXT_PREFILL_LEAD_SECONDS)
         return work
 
     def wait(self, priority: int, now: float) -> float:
@@ -212,10 +217,12 @@
         self._forget_old(now)
         self._guess_again(now)
         seconds = 0.0
-        for key, work in self.reading.items():
+        for key, work in self.pending_prefills.items():
             if key == self.current:
-                progress = max(0.0, now - self.current_since) / self.slow(now)
-                seconds += max(work.seconds * LEAST_LEFT, work.seconds - progress)
+                progress = max(0.0, now - self.current_since) / self.slowdown(now)
+                seconds += max(
+                    work.seconds * MIN_REMAINING_SHARE, work.seconds - progress
+                )
             elif work.priority <= priority:
                 seconds += work.seconds
         return seconds
@@ -227,12 +234,12 @@
         """
         return self.wait(priority, now) / (1.0 - self.urgent.share(priority, now))
 
-    def slow(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return how many times slower than usual the engine is taken to be."""
-        age = max(0.0, now - self.slow_at)
-        return math.exp(self.slow_log * math.exp(-age / SLOW_SECONDS))
+        age = max(0.0, now - self.slowdown_at)
+        return math.exp(self.slowdown_log * math.exp(-age / SLOWDOWN_DECAY_SECONDS))
 
-    def measure(self, predicted: float, actual: float, now: float) -> None:
+    def observe_slowdown(self, predicted: float, actual: float, now: float) -> None:
         """Compare a prediction with what the engine took.
 
         What was faster than predicted counts at once, what was slower by its weight:
@@ -240,27 +247,27 @@
         """
         if predicted <= 0.0 or actual <= 0.0:
             return
-        ratio = math.log(min(MOST_SLOW, max(1.0, actual / predicted)))
-        known = math.log(self.slow(now))
-        weight = 1.0 if ratio < known else SLOW_WEIGHT
-        self.slow_log = known + weight * (ratio - known)
-        self.slow_at = now
+        ratio = math.log(min(MAX_SLOWDOWN, max(1.0, actual / predicted)))
+        known = math.log(self.slowdown(now))
+        weight = 1.0 if ratio < known else SLOWDOWN_WEIGHT
+        self.slowdown_log = known + weight * (ratio - known)
+        self.slowdown_at = now
 
     def learn(self, tokens: int, cached: int, seconds: float) -> None:
         """Take what a read took that met no queue, as far as known."""
-        model = self.reads.of(self.role)
-        self.pace.learn(model.times.seconds(tokens, cached), seconds)
-        model.learn(tokens, cached, seconds / self.pace.factor)
+        model = self.prefill_times.of(self.role)
+        self.time_ratio.learn(model.times.seconds(tokens, cached), seconds)
+        model.learn(tokens, cached, seconds / self.time_ratio.factor)
 
     def hint(self, running: int, waiting: int, now: float) -> None:
         """Take an engine's word on its requests, this entry's own included."""
-        self.hinted.take(running, waiting, self.streams, now)
+        self.reported_load.update(running, waiting, self.streams, now)
 
-    def answers(self, now: float) -> float:
+    def running_decodes(self, now: float) -> float:
         """Return how many answers are thought to be under way there."""
-        return self.streams + self.hinted.others(now)
+        return self.streams + self.reported_load.estimate(now)
 
-    def overdue_at(self, key: WorkKey) -> float:
+    def overdue_at(self, key: PrefillKey) -> float:
         """Return when a prompt is overdue, whatever else its engine does.
 
         It is reckoned from what stood before this prompt, its own length and what has
@@ -268,33 +275,33 @@
         engine reads for a second and more, from every engine just before they are read.
         A prompt that is no longer booked has been forgotten as too old.
         """
-        work = self.reading.get(key)
+        work = self.pending_prefills.get(key)
         if work is None:
             return -math.inf
         expected = work.due_at - work.since
-        return work.since + OVERDUE_FACTOR * expected + SILENT_SECONDS
+        return work.since + OVERDUE_FACTOR * expected + UNRESPONSIVE_SECONDS
 
-    def silent_at(self, since: float, now: float) -> float:
+    def unresponsive_at(self, since: float, now: float) -> float:
         """Return when an engine that stays silent may be gone.
 
         It may be busy with one prompt all the while, whose time is allowed for.
 
         :param since: when the call that waits was sent; a point in time.
         """
-        work = self.reading.get(self.current) if self.current else None
+        work = self.pending_prefills.get(self.current) if self.current else None
         seconds = work.seconds if work is not None else 0.0
-        reading = SILENT_FACTOR * seconds * self.slow(now)
-        return max(since, self.heard_at) + SILENT_SECONDS + reading
+        pending_prefills = UNRESPONSIVE_FACTOR * seconds * self.slowdown(now)
+        return max(since, self.last_reply_at) + UNRESPONSIVE_SECONDS + pending_prefills
 
     def _take_next(self, at: float) -> None:
         """Guess what the engine reads since a point in time."""
         self.current_since = at
-        there = [key for key, work in self.reading.items() if work.since <= at]
+        there = [key for key, work in self.pending_prefills.items() if work.since <= at]
         if there:
             self.current = min(there, key=self._order)
             return
         # Nothing waited: the engine began with the first that came.
-        self.current = min(self.reading, key=self._since, default=None)
+        self.current = min(self.pending_prefills, key=self._since, default=None)
         if self.current is not None:
             self.current_since = self._since(self.current)
 
@@ -305,29 +312,29 @@
         guess, it would look as good as free to an urgent prompt for as long as that
         takes, a second at times, and all of them would be sent there.
         """
-        work = self.reading.get(self.current) if self.current else None
+        work = self.pending_prefills.get(self.current) if self.current else None
         if work is None:
             return
-        elapsed = (now - self.current_since) / self.slow(now)
-        if elapsed <= work.seconds * OVERRUN_FACTOR + TURN_SECONDS:
+        elapsed = (now - self.current_since) / self.slowdown(now)
+        if elapsed <= work.seconds * OVERRUN_FACTOR + NEXT_PREFILL_LEAD_SECONDS:
             return
-        begun_by = self.current_since + TURN_SECONDS
+        begun_by = self.current_since + NEXT_PREFILL_LEAD_SECONDS
         longer = [
             key
-            for key, other in self.reading.items()
+            for key, other in self.pending_prefills.items()
             if other.since <= begun_by and other.seconds > elapsed
         ]
         self.current = min(longer, key=self._order, default=self.current)
 
-    def _order(self, key: WorkKey) -> tuple[int, float]:
+    def _order(self, key: PrefillKey) -> tuple[int, float]:
         """Return by what the engine chooses its next prompt."""
-        return self.reading[key].priority, self.reading[key].since
+        return self.pending_prefills[key].priority, self.pending_prefills[key].since
 
-    def _since(self, key: WorkKey) -> float:
-        return self.reading[key].since
+    def _since(self, key: PrefillKey) -> float:
+        return self.pending_prefills[key].since
 
     def _forget_old(self, now: float) -> None:
-        limit = now - FORGET_SECONDS
-        old = [key for key, work in self.reading.items() if work.since < limit]
+        limit = now - PENDING_TTL_SECONDS
+        old = [key for key, work in self.pending_prefills.items() if work.since < limit]
         for key in old:
             self.end(key, now, done=False)
--- a/src/bergamotmast/policy/entry_policy.py
+++ b/src/bergamotmast/policy/entry_policy.py
@@ -15,8 +15,8 @@
 from ..model import Role
 from ..model import ServiceCall
 from .admission import ENTRY_SLACK
+from .admission import exceeds_entry_deadline
 from .admission import retry_after
-from .admission import too_late_for_entry
 from .affinity import PrefixMap
 from .cost import OutputPredictor
 from .interfaces import Candidate
@@ -24,7 +24,7 @@
 from .retries import OutlierEjector
 from .retries import RetryBudget
 from .routing import HANDOFF_SECONDS
-from .routing import LEAST_STAGED_TOKENS
+from .routing import MIN_STAGED_TOKENS
 from .routing import Estimate
 from .routing import Router
 from .routing import role_of
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Attempt:
+class AttemptPrediction:
     """What was predicted for an attempt when it was chosen.
 
     :param first_at: predicted first token; a point in time.
@@ -71,7 +71,7 @@
         self.budget = RetryBudget()
         self.ejector = OutlierEjector(rng)
         self.router = Router(rng, zone)
-        self.attempts: collections.OrderedDict[tuple[str, str], Attempt] = (
+        self.attempts: collections.OrderedDict[tuple[str, str], AttemptPrediction] = (
             collections.OrderedDict()
         )
 
@@ -89,13 +89,13 @@
     ) -> Choice:
         """Choose an upstream for a call's next attempt."""
         names = [c.name for c in candidates]
-        self.ejector.see(names, now)
+        self.ejector.observe(names, now)
         ready = _ready(candidates, excluded, now)
         if not ready:
             wait = retry_after(0.0, self.rng)
             return Choice(None, ResultCode.NO_UPSTREAM, wait)
-        fit = set(self.ejector.fit([c.name for c in ready], now))
-        ready = [c for c in ready if c.name in fit]
+        eligible = set(self.ejector.eligible([c.name for c in ready], now))
+        ready = [c for c in ready if c.name in eligible]
         if isinstance(call, ServiceCall):
             return self._choose_service(call, ready, now)
         return self._choose_engine(call, ready, now, resumed_tokens)
@@ -105,7 +105,7 @@
     ) -> Choice:
         estimates = self._estimates(ready, Cost(1, 1), call.priority, {}, now)
         best = min(estimates, key=lambda e: e.total)
-        if too_late_for_entry(best.total, call.deadline - now):
+        if exceeds_entry_deadline(best.total, call.deadline - now):
             return self._refuse(best.total - (call.deadline - now))
         self._remember(call.request_id, best, now, 0, False)
         return Choice(best.candidate.name)
@@ -122,11 +122,13 @@
         )
         best, staged = self._best(work, call.priority, ready, cached, now, resumed)
         late = best.first - (call.first_token_by - now)
-        if not resumed and too_late_for_entry(best.first, call.first_token_by - now):
+        if not resumed and exceeds_entry_deadline(
+            best.first, call.first_token_by - now
+        ):
             return self._refuse(late)
         # Behind a prefill stage comes no other door before the prefill is spent.
         slack = 1.0 if staged else ENTRY_SLACK
-        if too_late_for_entry(best.total, call.deadline - now, slack):
+        if exceeds_entry_deadline(best.total, call.deadline - now, slack):
             return self._refuse(best.total - (call.deadline - now))
         self._remember(call.request_id, best, now, resumed, staged)
         return Choice(best.candidate.name, prefill_only=staged)
@@ -152,7 +154,7 @@
         staged = self._staged(work, priority, ready, cached, now)
         if staged is None:
             return min(whole, key=lambda e: e.score), False
-        if work.decode < LEAST_STAGED_TOKENS:
+        if work.decode < MIN_STAGED_TOKENS:
             suited = [e for e in whole if role_of(e.candidate) is not Role.DECODE]
             return min(suited, key=lambda e: e.score), False
         mixed = [e for e in whole if role_of(e.candidate) is Role.MIXED]
@@ -207,7 +209,7 @@
     def _remember(
         self, request: str, best: Estimate, now: float, resumed: int, staged: bool
     ) -> None:
-        attempt = Attempt(now, now + best.first, resumed, staged)
+        attempt = AttemptPrediction(now, now + best.first, resumed, staged)
         self.attempts[request, best.candidate.name] = attempt
         if len(self.attempts) > MAX_ATTEMPTS:
             self.attempts.popitem(last=False)
@@ -233,7 +235,7 @@
             )
         measured = now - attempt.chosen_at
         predicted = attempt.first_at - attempt.chosen_at
-        self.router.speeds.learn(upstream, measured, predicted)
+        self.router.slowdowns.learn(upstream, measured, predicted)
 
     def on_ended(
         self,
--- a/src/bergamotmast/policy/entry_share.py
+++ b/src/bergamotmast/policy/entry_share.py
@@ -7,7 +7,7 @@
 with a whole part each time it starts. Where all see few, or start again and again, they
 give out many times what they may.
 
-Thresholds: an entry's part grows to its whole over :data:`GROWTH_SECONDS`, so that the
+Thresholds: an entry's part grows to its whole over :data:`RAMP_UP_SECONDS`, so that the
 successive lives of one entry have together no more than one life. It grows only while
 the store is heard, which lists all that registered before: an entry that is cut off as
 it starts does not know how many share with it.
@@ -20,14 +20,14 @@
 
 from .retry_window import WINDOW_SECONDS
 
-GROWTH_SECONDS = WINDOW_SECONDS
+RAMP_UP_SECONDS = WINDOW_SECONDS
 """How long the store must have been heard for an entry to have its whole part."""
 
-REMEMBERED_SECONDS = 60.0
+LAPSED_ENTRY_SECONDS = 60.0
 """How long an entry counts on whose registration has lapsed: one that is cut off from
 the store serves on, and one that the store has lost registers anew."""
 
-LEAST_ENTRIES = 4
+MIN_ENTRIES = 4
 """Entries that are reckoned with at least, also before the others are known."""
 
 
@@ -36,19 +36,19 @@
 
     :param own: name under which this entry registers.
     :param registered_at: when the store first listed this entry; a point in time.
-    :param heard_at: when the store was last heard; a point in time.
+    :param last_store_reply_at: when the store was last heard; a point in time.
     :param counts_until: entries no longer registered, and until when they count.
     """
 
     def __init__(self, own: str) -> None:
         self.own = own
         self.registered_at = math.inf
-        self.heard_at = -math.inf
+        self.last_store_reply_at = -math.inf
         self.counts_until: dict[str, float] = {}
 
-    def on_heard(self, now: float) -> None:
+    def on_store_reply(self, now: float) -> None:
         """Note that the store was heard."""
-        self.heard_at = now
+        self.last_store_reply_at = now
 
     def on_registered(self, name: str, now: float) -> None:
         """Note that the store lists an entry."""
@@ -57,7 +57,7 @@
 
     def on_lapsed(self, name: str, now: float) -> None:
         """Note that an entry is no longer registered."""
-        self.counts_until[name] = now + REMEMBERED_SECONDS
+        self.counts_until[name] = now + LAPSED_ENTRY_SECONDS
 
     def entries(self, registered: cabc.Collection[str], now: float) -> int:
         """Return how many entries there may be.
@@ -67,10 +67,10 @@
         for name, until in list(self.counts_until.items()):
             if now >= until or name in registered:
                 del self.counts_until[name]
-        return max(LEAST_ENTRIES, len(registered) + len(self.counts_until))
+        return max(MIN_ENTRIES, len(registered) + len(self.counts_until))
 
-    def part(self, registered: cabc.Collection[str], now: float) -> float:
+    def share(self, registered: cabc.Collection[str], now: float) -> float:
         """Return which part of what all share falls to this entry, from 0 to 1."""
-        heard = self.heard_at - self.registered_at
-        grown = min(1.0, max(0.0, heard / GROWTH_SECONDS))
+        heard = self.last_store_reply_at - self.registered_at
+        grown = min(1.0, max(0.0, heard / RAMP_UP_SECONDS))
         return grown / self.entries(registered, now)
--- a/src/bergamotmast/policy/interfaces.py
+++ b/src/bergamotmast/policy/interfaces.py
@@ -233,7 +233,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetPicture:
+class GroupSnapshot:
     """One group of engines that may stand in for each other.
 
     :param bounds: least and most engines for each role, from the selector.
@@ -258,6 +258,6 @@
 class ShiftPolicy(t.Protocol):
     """How fast the roles of a group follow its mix."""
 
-    def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
+    def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
         """Return the one change to begin now, or ``None``."""
         ...
--- a/src/bergamotmast/policy/load_hint.py
+++ b/src/bergamotmast/policy/load_hint.py
@@ -5,7 +5,7 @@
 import math
 
 
-class FadingHint:
+class DecayingLoadHint:
     """An upstream's word on the work that others than this entry have given it.
 
     :param seconds: time constant with which it fades.
@@ -13,15 +13,15 @@
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self.told = 0
+        self.reported = 0
         self.at = -math.inf
 
-    def take(self, running: int, waiting: int, own: int, now: float) -> None:
+    def update(self, running: int, waiting: int, own: int, now: float) -> None:
         """Take the upstream's word on all its work, this entry's own included."""
-        self.told = max(0, running + waiting - own)
+        self.reported = max(0, running + waiting - own)
         self.at = now
 
-    def others(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return how much work of others is thought to be there."""
         age = max(0.0, now - self.at)
-        return self.told * math.exp(-age / self.seconds)
+        return self.reported * math.exp(-age / self.seconds)
--- a/src/bergamotmast/policy/plain_choice.py
+++ b/src/bergamotmast/policy/plain_placement.py
@@ -7,8 +7,8 @@
 
 The less loaded of two candidates drawn at random takes the call, so that entries that
 know little of each other don't all choose the same one. One that has failed
-:data:`FAILURES_TO_EJECT` calls in a row is left out for :data:`EJECTED_SECONDS` as long
-as others are there.
+:data:`FAILURES_TO_EJECT` calls in a row is left out for :data:`EJECTION_SECONDS` as
+long as others are there.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 import random
 import typing as t
 
-from .load_hint import FadingHint
+from .load_hint import DecayingLoadHint
 
-HINT_SECONDS = 0.3
+LOAD_HINT_SECONDS = 0.3
 """Time constant with which a reply's word on load fades."""
 
 FAILURES_TO_EJECT = 2
 """Failures in a row that eject an upstream."""
 
-EJECTED_SECONDS = 2.0
+EJECTION_SECONDS = 2.0
 """How long it is left out; a call that tries it then shows whether it is back."""
 
-OTHER_ZONE_LOAD = 0.1
+CROSS_ZONE_LOAD = 0.1
 """Load that an upstream in another zone counts more, as a share of its slots."""
 
 
-class PlainBook:
+class PlainUpstreamLoad:
     """One plain upstream as this entry knows it."""
 
     def __init__(self) -> None:
         self.running = 0
-        self.hinted = FadingHint(HINT_SECONDS)
+        self.reported_load = DecayingLoadHint(LOAD_HINT_SECONDS)
         self.failures = 0
         self.ejected_until = float("-inf")
 
     def hint(self, running: int, waiting: int, now: float) -> None:
         """Take an upstream's word on its calls, this entry's own included."""
-        self.hinted.take(running, waiting, self.running, now)
+        self.reported_load.update(running, waiting, self.running, now)
 
     def load(self, now: float) -> float:
         """Return how many calls are thought to be there."""
-        return self.running + self.hinted.others(now)
+        return self.running + self.reported_load.estimate(now)
 
     def is_ejected(self, now: float) -> bool:
         """Return whether it is left out for now."""
@@ -61,11 +61,11 @@
         """Note a call that the upstream failed."""
         self.failures += 1
         if self.failures >= FAILURES_TO_EJECT:
-            self.ejected_until = now + EJECTED_SECONDS
+            self.ejected_until = now + EJECTION_SECONDS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlainView:
+class PlainCandidate:
     """A plain upstream as a choice sees it."""
 
     name: str
@@ -75,7 +75,9 @@
     ejected: bool = False
 
 
-def choose_plain(views: t.Sequence[PlainView], rng: random.Random) -> str | None:
+def choose_plain_upstream(
+    views: t.Sequence[PlainCandidate], rng: random.Random
+) -> str | None:
     """Return the name of the upstream that takes a call, or ``None``."""
     able = [view for view in views if not view.ejected] or list(views)
     if not able:
@@ -84,6 +86,6 @@
     return min(pair, key=_share).name
 
 
-def _share(view: PlainView) -> float:
+def _share(view: PlainCandidate) -> float:
     share = view.load / view.slots
-    return share if view.same_zone else share + OTHER_ZONE_LOAD
+    return share if view.same_zone else share + CROSS_ZONE_LOAD
--- a/src/bergamotmast/policy/read_model.py
+++ b/src/bergamotmast/policy/prefill_model.py
@@ -24,49 +24,49 @@
 
 from ..model import Role
 
-WINDOW_READS = 48
+WINDOW_SAMPLES = 48
 """Reads that are fitted; later ones take the place of the oldest."""
 
-FEWEST_READS = 6
+MIN_SAMPLES = 6
 """Reads with which the first fit is made."""
 
-READS_BETWEEN_FITS = 4
+SAMPLES_BETWEEN_FITS = 4
 """New reads after which the fit is made again."""
 
 SCALE_QUANTILE = 0.4
 """Where the ratio of what reads took to the first guess is taken: below the middle,
 since queues make reads longer."""
 
-WIDTHS = (4.0, 3.0, 2.0, 1.5, 1.0, 1.0)
+WIDTH_STRETCHES = (4.0, 3.0, 2.0, 1.5, 1.0, 1.0)
 """Rounds of fitting, each with the weights that the last one leads to, and by how much
 the widths are stretched in it: at first, a long prompt is far off because its pairs
 cost more than guessed."""
 
-LONGER_WIDTH = 0.15
+SLOWER_LOG_WIDTH = 0.15
 """Log ratio to the fit at which a read that took longer has half its weight."""
 
-SHORTER_WIDTH = 0.3
+FASTER_LOG_WIDTH = 0.3
 """The same for one that took less time."""
 
-GUESS_WEIGHT = 0.05
+PRIOR_WEIGHT = 0.05
 """Reads that the scaled first guess counts for: a few of one length don't tell
 the three parts from each other."""
 
-MOST_FACTOR = 5.0
+MAX_PRIOR_FACTOR = 5.0
 """Bound of each part against the scaled first guess."""
 
-PACE_WEIGHT = 0.25
+TIME_RATIO_WEIGHT = 0.25
 """Weight of a new read in an engine's pace, on a log scale."""
 
-PACE_STEP = 0.5
+MAX_TIME_RATIO_STEP = 0.5
 """Bound of the log ratio by which one read may pull the pace."""
 
-MOST_PACE = 8.0
+MAX_TIME_RATIO = 8.0
 """Bound of an engine's pace against its group's, either way."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadTimes:
+class PrefillTimes:
     """What reads take, in seconds.
 
     :param fixed: of each call, without holding up other reads.
@@ -78,7 +78,7 @@
     token: float
     pair: float
 
-    def occupied(self, tokens: int, cached: int) -> float:
+    def occupied_seconds(self, tokens: int, cached: int) -> float:
         """Return how long a read keeps its engine from others.
 
         :param tokens: to read.
@@ -88,18 +88,18 @@
 
     def seconds(self, tokens: int, cached: int) -> float:
         """Return how long a read takes that meets no queue."""
-        return self.fixed + self.occupied(tokens, cached)
+        return self.fixed + self.occupied_seconds(tokens, cached)
 
 
-READING_GUESS = ReadTimes(fixed=0.015, token=1 / 45_000, pair=0.4e-9)
+PREFILL_ENGINE_PRIOR = PrefillTimes(fixed=0.015, token=1 / 45_000, pair=0.4e-9)
 """First guess for engines that only read."""
 
-ANSWERING_GUESS = ReadTimes(fixed=0.02, token=1 / 22_000, pair=0.8e-9)
+DECODE_ENGINE_PRIOR = PrefillTimes(fixed=0.02, token=1 / 22_000, pair=0.8e-9)
 """First guess for engines that make answers too: between their tokens, they read at
 half the speed."""
 
 
-TRANSFER_GUESS = ReadTimes(fixed=0.02, token=1.6e-6, pair=0.0)
+TRANSFER_PRIOR = PrefillTimes(fixed=0.02, token=1.6e-6, pair=0.0)
 """First guess of the time from a read to the first token at another engine."""
 
 
@@ -109,16 +109,16 @@
     seconds: float
 
 
-class ReadModel:
+class PrefillTimeModel:
     """The reads of a group's engines in one role, at the pace of the group.
 
     :param times: what reads are taken to take.
     """
 
-    def __init__(self, guess: ReadTimes) -> None:
+    def __init__(self, guess: PrefillTimes) -> None:
         self.guess = guess
         self.times = guess
-        self.reads: collections.deque[_Read] = collections.deque(maxlen=WINDOW_READS)
+        self.reads: collections.deque[_Read] = collections.deque(maxlen=WINDOW_SAMPLES)
         self.unfitted = 0
 
     def learn(self, tokens: int, cached: int, seconds: float) -> None:
@@ -127,25 +127,25 @@
             return
         self.reads.append(_Read(tokens, _pairs(tokens, cached), seconds))
         self.unfitted += 1
-        if len(self.reads) >= FEWEST_READS and self.unfitted >= READS_BETWEEN_FITS:
+        if len(self.reads) >= MIN_SAMPLES and self.unfitted >= SAMPLES_BETWEEN_FITS:
             self.unfitted = 0
             self.times = _fit(self.guess, self.reads)
 
 
-class GroupReads:
+class GroupPrefillTimes:
     """The reads of one group's engines in each role, and the transfers between them."""
 
     def __init__(self) -> None:
-        self.reading = ReadModel(READING_GUESS)
-        self.answering = ReadModel(ANSWERING_GUESS)
-        self.transfers = ReadModel(TRANSFER_GUESS)
+        self.prefill_engines = PrefillTimeModel(PREFILL_ENGINE_PRIOR)
+        self.decode_engines = PrefillTimeModel(DECODE_ENGINE_PRIOR)
+        self.transfers = PrefillTimeModel(TRANSFER_PRIOR)
 
-    def of(self, role: Role) -> ReadModel:
+    def of(self, role: Role) -> PrefillTimeModel:
         """Return the reads of engines in a role."""
-        return self.reading if role is Role.PREFILL else self.answering
+        return self.prefill_engines if role is Role.PREFILL else self.decode_engines
 
 
-class Pace:
+class EngineTimeRatio:
     """How many times longer than its group's usual one engine takes."""
 
     def __init__(self) -> None:
@@ -161,8 +161,10 @@
         if expected <= 0.0 or seconds <= 0.0:
             return
         off = math.log(seconds / expected) - self.log
-        self.log += PACE_WEIGHT * max(-PACE_STEP, min(PACE_STEP, off))
-        most = math.log(MOST_PACE)
+        self.log += TIME_RATIO_WEIGHT * max(
+            -MAX_TIME_RATIO_STEP, min(MAX_TIME_RATIO_STEP, off)
+        )
+        most = math.log(MAX_TIME_RATIO)
         self.log = max(-most, min(most, self.log))
 
 
@@ -170,19 +172,19 @@
     return tokens * (cached + tokens / 2)
 
 
-def _fit(guess: ReadTimes, reads: t.Collection[_Read]) -> ReadTimes:
+def _fit(guess: PrefillTimes, reads: t.Collection[_Read]) -> PrefillTimes:
     """Return the times that fit some reads best, near a multiple of the first guess."""
     scale = _scale(guess, reads)
     start = (guess.fixed * scale, guess.token * scale, guess.pair * scale)
     factors = [1.0, 1.0, 1.0]
-    for stretch in WIDTHS:
+    for stretch in WIDTH_STRETCHES:
         factors = _refit(start, factors, reads, stretch)
-    return ReadTimes(
+    return PrefillTimes(
         *(part * factor for part, factor in zip(start, factors, strict=True))
     )
 
 
-def _scale(guess: ReadTimes, reads: t.Collection[_Read]) -> float:
+def _scale(guess: PrefillTimes, reads: t.Collection[_Read]) -> float:
     ratios = sorted(
         read.seconds
         / (guess.fixed + read.tokens * guess.token + read.pairs * guess.pair)
@@ -198,8 +200,8 @@
     stretch: float,
 ) -> list[float]:
     """Return better factors of the three parts: weighted least squares of ratios."""
-    matrix = [[GUESS_WEIGHT * (i == j) for j in range(3)] for i in range(3)]
-    right = [GUESS_WEIGHT] * 3
+    matrix = [[PRIOR_WEIGHT * (i == j) for j in range(3)] for i in range(3)]
+    right = [PRIOR_WEIGHT] * 3
     for read in reads:
         parts = (start[0], read.tokens * start[1], read.pairs * start[2])
         expected = sum(p * f for p, f in zip(parts, factors, strict=True))
@@ -211,11 +213,13 @@
             for j in range(3):
                 matrix[i][j] += weight * row[i] * row[j]
     solved = _solve(matrix, right)
-    return [max(1 / MOST_FACTOR, min(MOST_FACTOR, factor)) for factor in solved]
+    return [
+        max(1 / MAX_PRIOR_FACTOR, min(MAX_PRIOR_FACTOR, factor)) for factor in solved
+    ]
 
 
 def _weight(log_ratio: float) -> float:
-    width = LONGER_WIDTH if log_ratio > 0.0 else SHORTER_WIDTH
+    width = SLOWER_LOG_WIDTH if log_ratio > 0.0 else FASTER_LOG_WIDTH
     return 1.0 / (1.0 + (log_ratio / width) ** 2)
 
 
--- a/src/bergamotmast/policy/presets.py
+++ b/src/bergamotmast/policy/presets.py
@@ -45,7 +45,7 @@
     first_roles: RoleSplit
 
 
-LEAST_SPLIT = 3
+MIN_SPLIT_ENGINES = 3
 """Engines from which on roles are split: with fewer, one failure takes a whole role."""
 
 
@@ -62,7 +62,7 @@
 
 def split_or_mixed(engines: int) -> tuple[Role, ...]:
     """Split a group in halves, but a small one not at all."""
-    return all_mixed(engines) if engines < LEAST_SPLIT else half_split(engines)
+    return all_mixed(engines) if engines < MIN_SPLIT_ENGINES else half_split(engines)
 
 
 def _least_outstanding(rng: random.Random, zone: str) -> EntryPolicy:
@@ -80,12 +80,12 @@
 def _side_1() -> SidePolicy:
     return FairSidePolicy(
         SideTuning(
-            owed_share=0.1,
-            patience=0.0,
+            lower_priority_share=0.1,
+            min_waited_share=0.0,
             reserved=(0.0, 0.0, 0.1),
             kv_reserved=None,
-            measures=False,
-            sees_memory=False,
+            uses_measured_rates=False,
+            predicts_by_memory=False,
             window_by_priority=False,
             size_shares=False,
         )
@@ -94,7 +94,7 @@
 
 def _side_2() -> SidePolicy:
     return FairSidePolicy(
-        SideTuning(kv_reserved=None, sees_memory=False, size_shares=False)
+        SideTuning(kv_reserved=None, predicts_by_memory=False, size_shares=False)
     )
 
 
--- a/src/bergamotmast/policy/queueing.py
+++ b/src/bergamotmast/policy/queueing.py
@@ -9,12 +9,12 @@
 
 Thresholds: within a priority, tenants share by start-time fair queueing on token cost
 over weight, so a tenant's wait depends on its own backlog and its share alone. A lower
-priority that waits is owed :data:`OWED_SHARE` of the work started, which leaves the
-upper ones theirs as long as they ask for no more than the rest. They claim it only
-after half of their allowed wait (:data:`PATIENCE`), so that a burst of short checks
-still comes in time between long answers. A tenant's place in the accounts is dropped
-once it would not differ from a newcomer's, which bounds them by the tenants of the last
-moments.
+priority that waits is owed :data:`LOWER_PRIORITY_SHARE` of the work started, which
+leaves the upper ones theirs as long as they ask for no more than the rest. They claim
+it only after half of their allowed wait (:data:`MIN_WAITED_SHARE`), so that a burst of
+short checks still comes in time between long answers. A tenant's place in the accounts
+is dropped once it would not differ from a newcomer's, which bounds them by the tenants
+of the last moments.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 from ..model import Priority
 from .interfaces import QueueItem
 
-OWED_SHARE = 0.5
+LOWER_PRIORITY_SHARE = 0.5
 """Share of started work owed to each lower priority while it waits."""
 
-PATIENCE = 0.5
+MIN_WAITED_SHARE = 0.5
 """Share of its allowed wait after which an item may claim what it is owed.
 
 A burst of checks that ends sooner is let through whole, at no loss to the long work.
 """
 
-MOST_OWED = 5.0
+MAX_DEFICIT_SECONDS = 5.0
 """Engine-seconds that can be owed to a lower priority at most."""
 
 MAX_IDLE_ACCOUNTS = 256
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ahead:
+class WorkAhead:
     """Work that will start before a new item.
 
     :param count: how many items; a share of a tenant's lane may count.
@@ -74,7 +74,7 @@
     return *_urgency(item), item.arrived_at, item.attempt
 
 
-class Lane:
+class TenantQueue:
     """The waiting items of one tenant at one priority, earliest deadline first.
 
     :param seconds: upstream's time of all of them.
@@ -106,26 +106,27 @@
     """Waiting items of all priorities and tenants.
 
     :param rates: the upstream's rates, by which costs become its time.
-    :param owed_share: share of started work owed to lower priorities.
-    :param patience: share of its allowed wait that an item waits before it is owed.
+    :param lower_priority_share: share of started work owed to lower priorities.
+    :param min_waited_share: share of its allowed wait that an item waits before it is
+        owed.
     """
 
     def __init__(
         self,
         rates: Rates,
         fair: bool = True,
-        owed_share: float = OWED_SHARE,
-        patience: float = PATIENCE,
+        lower_priority_share: float = LOWER_PRIORITY_SHARE,
+        min_waited_share: float = MIN_WAITED_SHARE,
     ) -> None:
         self.rates = rates
         self.fair = fair
-        self.owed_share = owed_share
-        self.patience = patience
-        self.lanes: dict[Priority, dict[str, Lane]] = {p: {} for p in Priority}
+        self.lower_priority_share = lower_priority_share
+        self.min_waited_share = min_waited_share
+        self.lanes: dict[Priority, dict[str, TenantQueue]] = {p: {} for p in Priority}
         self.items: dict[str, tuple[QueueItem, float]] = {}
-        self.accounts: dict[str, float] = {}
-        self.clock = 0.0
-        self.owed: dict[Priority, float] = dict.fromkeys(Priority, 0.0)
+        self.virtual_finish: dict[str, float] = {}
+        self.virtual_time = 0.0
+        self.deficits: dict[Priority, float] = dict.fromkeys(Priority, 0.0)
 
     def __len__(self) -> int:
         return len(self.items)
@@ -138,7 +139,7 @@
         """Put an item in."""
         seconds = self.rates.seconds(item.cost)
         self.items[item.attempt] = (item, seconds)
-        lane = self.lanes[item.priority].setdefault(self._tenant(item), Lane())
+        lane = self.lanes[item.priority].setdefault(self._tenant(item), TenantQueue())
         lane.add(item, seconds)
 
     def _tenant(self, item: QueueItem) -> str:
@@ -166,23 +167,23 @@
 
     def _priorities(self, now: float) -> list[Priority]:
         waiting = [p for p in Priority if self.lanes[p]]
-        owed = [p for p in waiting[1:] if self._due(p, now)]
-        return owed + [p for p in waiting if p not in owed]
+        deficits = [p for p in waiting[1:] if self._due(p, now)]
+        return deficits + [p for p in waiting if p not in deficits]
 
     def _due(self, priority: Priority, now: float) -> bool:
         """Return whether the most urgent item has waited long and is owed its turn."""
         heads = [lane.items[0] for lane in self.lanes[priority].values()]
         head = min(heads, key=lambda item: (item.deadline, item.attempt))
         allowed = head.start_by - head.arrived_at
-        if not head.resumed and now - head.arrived_at < self.patience * allowed:
+        if not head.resumed and now - head.arrived_at < self.min_waited_share * allowed:
             return False
         _, seconds = self.items[head.attempt]
-        return self.owed[priority] >= min(seconds, MOST_OWED)
+        return self.deficits[priority] >= min(seconds, MAX_DEFICIT_SECONDS)
 
     def _start(self, tenant: str) -> float:
-        return max(self.clock, self.accounts.get(tenant, 0.0))
+        return max(self.virtual_time, self.virtual_finish.get(tenant, 0.0))
 
-    def is_owed(self, priority: Priority, now: float) -> bool:
+    def is_entitled(self, priority: Priority, now: float) -> bool:
         """Return whether a priority goes before the higher ones now."""
         return bool(self.lanes[priority]) and self._due(priority, now)
 
@@ -192,36 +193,40 @@
         self.remove(item.attempt)
         tenant = self._tenant(item)
         start = self._start(tenant)
-        self.clock = start
-        self.accounts[tenant] = start + seconds / max(item.weight, 1e-6)
+        self.virtual_time = start
+        self.virtual_finish[tenant] = start + seconds / max(item.weight, 1e-6)
         self._settle(item.priority, seconds)
-        if len(self.accounts) > MAX_IDLE_ACCOUNTS:
+        if len(self.virtual_finish) > MAX_IDLE_ACCOUNTS:
             self._drop_idle()
 
     def charge(self, item: QueueItem, decode: int) -> None:
         """Charge a tenant for output tokens beyond what was predicted."""
         tenant = self._tenant(item)
         seconds = decode / self.rates.decode / max(item.weight, 1e-6)
-        self.accounts[tenant] = self._start(tenant) + seconds
+        self.virtual_finish[tenant] = self._start(tenant) + seconds
 
     def _settle(self, started: Priority, seconds: float) -> None:
-        self.owed[started] = max(0.0, self.owed[started] - seconds)
+        self.deficits[started] = max(0.0, self.deficits[started] - seconds)
         for priority in Priority:
             if priority <= started:
                 continue
             if not self.lanes[priority]:
-                self.owed[priority] = 0.0
+                self.deficits[priority] = 0.0
                 continue
             more = (
-                self.owed[priority]
-                + self.owed_share / (1.0 - self.owed_share) * seconds
+                self.deficits[priority]
+                + self.lower_priority_share
+                / (1.0 - self.lower_priority_share)
+                * seconds
             )
-            self.owed[priority] = min(MOST_OWED, more)
+            self.deficits[priority] = min(MAX_DEFICIT_SECONDS, more)
 
     def _drop_idle(self) -> None:
-        self.accounts = {t: v for t, v in self.accounts.items() if v > self.clock}
+        self.virtual_finish = {
+            t: v for t, v in self.virtual_finish.items() if v > self.virtual_time
+        }
 
-    def ahead(self, item: QueueItem) -> Ahead:
+    def ahead(self, item: QueueItem) -> WorkAhead:
         """Return the waiting work that will start before an item offered now.
 
         Of another tenant of the same priority no more counts than its share allows
@@ -236,19 +241,19 @@
                 count += share * len(lane.items)
                 prefill += share * lane.prefill
                 decode += share * lane.decode
-        return Ahead(count, prefill, decode)
+        return WorkAhead(count, prefill, decode)
 
-    def up_to(self, priority: Priority) -> Ahead:
+    def work_up_to(self, priority: Priority) -> WorkAhead:
         """Return all waiting work of a priority and the higher ones."""
         lanes = [x for p in Priority if p <= priority for x in self.lanes[p].values()]
-        return Ahead(
+        return WorkAhead(
             sum(len(lane.items) for lane in lanes),
             sum(lane.prefill for lane in lanes),
             sum(lane.decode for lane in lanes),
         )
 
     def _share_ahead(
-        self, priority: Priority, tenant: str, lane: Lane, item: QueueItem
+        self, priority: Priority, tenant: str, lane: TenantQueue, item: QueueItem
     ) -> float:
         if priority < item.priority:
             return 1.0
--- a/src/bergamotmast/policy/measured.py
+++ b/src/bergamotmast/policy/rate_meters.py
@@ -1,30 +1,30 @@
 """How fast an upstream really is, from the items that were started there.
 
-Load pattern: prompts of which a large part is cached, mixed with decode work that
-slows prefill down, so that the stated rates are off by a factor in either direction.
+Load pattern: prompts of which a large part is cached, mixed with decode work that slows
+prefill down, so that the stated rates are off by a factor in either direction.
 
 Without it: the door refuses prompts that a warm cache would have prefilled in time, or
 admits what the batch then delays past its deadline.
 
-Thresholds: sums are forgotten with a time constant of :data:`MEMORY_SECONDS` of busy
-time, a few hundred prefills, and a measured rate is believed between
-:data:`LEAST_SHARE` and :data:`MOST_SHARE` of the stated one, so that a stretch of odd
-requests can neither close the door nor open it wide. Until
-:data:`LEAST_BUSY_SECONDS` were seen, the stated rate counts.
+Thresholds: sums are forgotten with a time constant of
+:data:`RATE_TIME_CONSTANT_SECONDS` of busy time, a few hundred prefills, and a measured
+rate is believed between :data:`MIN_RATE_RATIO` and :data:`MAX_RATE_RATIO` of the stated
+one, so that a stretch of odd requests can neither close the door nor open it wide.
+Until :data:`MIN_BUSY_SECONDS` were seen, the stated rate counts.
 """
 
 from __future__ import annotations
 
 import math
 
-MEMORY_SECONDS = 15.0
+RATE_TIME_CONSTANT_SECONDS = 15.0
 """Busy seconds after which a measurement counts a third."""
 
-LEAST_BUSY_SECONDS = 1.0
+MIN_BUSY_SECONDS = 1.0
 """Busy seconds needed before a measurement is believed."""
 
-LEAST_SHARE = 0.2
-MOST_SHARE = 4.0
+MIN_RATE_RATIO = 0.2
+MAX_RATE_RATIO = 4.0
 """Bounds of what is believed, as shares of the stated rate."""
 
 STEP_WEIGHT = 0.05
@@ -53,7 +53,7 @@
     def end(self, tokens: int, now: float) -> None:
         """Note a prefill done, or given up with 0 tokens."""
         busy = max(0.0, now - self.marked_at)
-        keep = math.exp(-busy / MEMORY_SECONDS)
+        keep = math.exp(-busy / RATE_TIME_CONSTANT_SECONDS)
         self.tokens = keep * self.tokens + tokens
         self.seconds = keep * self.seconds + busy
         self.marked_at = now
@@ -61,10 +61,12 @@
 
     def rate(self) -> float:
         """Return the rate to reckon with, in prompt tokens a second."""
-        if self.seconds < LEAST_BUSY_SECONDS:
+        if self.seconds < MIN_BUSY_SECONDS:
             return self.stated
         measured = self.tokens / self.seconds
-        return min(MOST_SHARE * self.stated, max(LEAST_SHARE * self.stated, measured))
+        return min(
+            MAX_RATE_RATIO * self.stated, max(MIN_RATE_RATIO * self.stated, measured)
+        )
 
 
 class StepMeter:
@@ -86,5 +88,5 @@
 
     def seconds(self) -> float:
         """Return the time between tokens to reckon with."""
-        most = self.stated / LEAST_SHARE
-        return min(most, max(self.stated / MOST_SHARE, self.measured))
+        most = self.stated / MIN_RATE_RATIO
+        return min(most, max(self.stated / MAX_RATE_RATIO, self.measured))
--- a/src/bergamotmast/policy/retries.py
+++ b/src/bergamotmast/policy/retries.py
@@ -30,10 +30,10 @@
 FAILURES_TO_EJECT = 3
 """Failures in a row that eject an upstream."""
 
-FIRST_EJECTION = 5.0
+FIRST_EJECTION_SECONDS = 5.0
 """Seconds of the first ejection; it doubles with each one that follows at once."""
 
-LONGEST_EJECTION = 60.0
+MAX_EJECTION_SECONDS = 60.0
 """Most seconds of one ejection."""
 
 MAX_EJECTED_SHARE = 0.34
@@ -42,7 +42,7 @@
 WARM_UP_SECONDS = 10.0
 """Seconds over which a new or returning upstream gets back its whole share."""
 
-LEAST_WARM_SHARE = 0.2
+MIN_WARM_UP_SHARE = 0.2
 """Share offered at the very start of a warm-up, so that it is tried at all."""
 
 
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Health:
+class UpstreamHealth:
     """What an entry knows of one upstream's failures.
 
     :param warm_from: when its present warm-up began; a point in time.
@@ -92,10 +92,10 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.health: dict[str, Health] = {}
+        self.health: dict[str, UpstreamHealth] = {}
         self.started_at: float | None = None
 
-    def see(self, names: list[str], now: float) -> None:
+    def observe(self, names: list[str], now: float) -> None:
         """Note the upstreams that could be chosen now.
 
         What was there when the entry itself started is taken as warm: else a whole
@@ -107,7 +107,9 @@
         for name in names:
             health = self.health.get(name)
             if health is None:
-                self.health[name] = Health(self.started_at if first else now, now)
+                self.health[name] = UpstreamHealth(
+                    self.started_at if first else now, now
+                )
                 continue
             if now - health.seen_at > WARM_UP_SECONDS:
                 health.warm_from = now
@@ -116,11 +118,13 @@
             self._forget(now)
 
     def _forget(self, now: float) -> None:
-        old = [n for n, h in self.health.items() if now - h.seen_at > LONGEST_EJECTION]
+        old = [
+            n for n, h in self.health.items() if now - h.seen_at > MAX_EJECTION_SECONDS
+        ]
         for name in old:
             del self.health[name]
 
-    def fit(self, names: list[str], now: float) -> list[str]:
+    def eligible(self, names: list[str], now: float) -> list[str]:
         """Return the upstreams that may be given this request, never none."""
         ejected = [n for n in names if self.health[n].ejected_until > now]
         allowed = int(len(names) * MAX_EJECTED_SHARE)
@@ -138,7 +142,7 @@
         age = now - health.warm_from
         if age >= WARM_UP_SECONDS:
             return True
-        return self.rng.random() < max(LEAST_WARM_SHARE, age / WARM_UP_SECONDS)
+        return self.rng.random() < max(MIN_WARM_UP_SHARE, age / WARM_UP_SECONDS)
 
     def succeeded(self, name: str) -> None:
         """Note an attempt that ended well."""
@@ -155,7 +159,9 @@
         health.failures += 1
         if health.failures < FAILURES_TO_EJECT:
             return
-        seconds = min(LONGEST_EJECTION, FIRST_EJECTION * 2**health.ejections)
+        seconds = min(
+            MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**health.ejections
+        )
         health.ejected_until = now + seconds
         health.warm_from = now + seconds
         health.ejections = min(health.ejections + 1, 8)
--- a/src/bergamotmast/policy/retry_window.py
+++ b/src/bergamotmast/policy/retry_window.py
@@ -1,18 +1,18 @@
 """How many requests may be sent a second time, of those that came lately.
 
-Load pattern: an upstream dies or fails part of its requests, and everything that met
-it wants to go elsewhere at once.
+Load pattern: an upstream dies or fails part of its requests, and everything that met it
+wants to go elsewhere at once.
 
 Without it: second sends multiply the load just when capacity is missing.
 
 Thresholds: the operators allow all entries together a share of the requests and a few
 more, over any window of :data:`WINDOW_SECONDS`. Counted are the requests of that
 window, of the one before it or of the one that began half a window earlier, whichever
-has most. Each entry keeps to :data:`KEPT_SHARE` of that share of its own requests, in
-its last window and in each that began since, and to its part of the few, so that the
-fleet as a whole keeps to the budget however the traffic is spread. Only half of the few
-are given out: an entry that starts again has a part that grows, beside what its last
-life spent.
+has most. Each entry keeps to :data:`USED_LIMIT_SHARE` of that share of its own
+requests, in its last window and in each that began since, and to its part of the few,
+so that the fleet as a whole keeps to the budget however the traffic is spread. Only
+half of the few are given out: an entry that starts again has a part that grows, beside
+what its last life spent.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 HALF_SLOTS = WINDOW_SLOTS // 2
 
-KEPT_SHARE = 0.9
+USED_LIMIT_SHARE = 0.9
 """Part of the operators' share that is used: they count a request as it is sent, an
 entry as it arrives."""
 
-FREE_SHARE = 0.5
+USED_FREE_SHARE = 0.5
 """Part of the operators' few that is given out."""
 
 
@@ -52,17 +52,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RetryAccount:
+class RetryWindowState:
     """What decides whether a second send may be made.
 
     :param requests: callers' requests of the last window.
-    :param repeats: second sends of the last window.
-    :param room: second sends that may be made now.
+    :param retries: second sends of the last window.
+    :param available: second sends that may be made now.
     """
 
     requests: int
-    repeats: int
-    room: float
+    retries: int
+    available: float
 
 
 class SlotCounts:
@@ -99,7 +99,7 @@
     def __init__(self, limits: RetryLimits) -> None:
         self.limits = limits
         self.requests = SlotCounts(2 * WINDOW_SLOTS + 1)
-        self.repeats = SlotCounts(WINDOW_SLOTS + 1)
+        self.retries = SlotCounts(WINDOW_SLOTS + 1)
 
     def on_request(self, now: float) -> None:
         """Count a caller's request."""
@@ -112,26 +112,26 @@
         """
         if not self.has_room(part, now):
             return False
-        self.repeats.add(now)
+        self.retries.add(now)
         return True
 
     def has_room(self, part: float, now: float) -> bool:
         """Return whether a second send may be made."""
-        return self.account(part, now).room >= 1.0
+        return self.account(part, now).available >= 1.0
 
-    def account(self, part: float, now: float) -> RetryAccount:
+    def account(self, part: float, now: float) -> RetryWindowState:
         """Return what is counted now."""
         requests = self.requests.totals(now)
-        repeats = self.repeats.totals(now)
-        earned = self.limits.share * KEPT_SHARE
-        own = earned * requests[WINDOW_SLOTS] - repeats[-1]
+        retries = self.retries.totals(now)
+        earned = self.limits.share * USED_LIMIT_SHARE
+        own = earned * requests[WINDOW_SLOTS] - retries[-1]
         others = (
-            earned * _counted_requests(requests, slots) - repeats[slots]
-            for slots in range(1, len(repeats))
+            earned * _counted_requests(requests, slots) - retries[slots]
+            for slots in range(1, len(retries))
         )
-        free = self.limits.free * FREE_SHARE * part
-        room = free + min(own, *others)
-        return RetryAccount(requests[WINDOW_SLOTS], repeats[-1], room)
+        free = self.limits.free * USED_FREE_SHARE * part
+        available = free + min(own, *others)
+        return RetryWindowState(requests[WINDOW_SLOTS], retries[-1], available)
 
 
 def _counted_requests(totals: list[int], slots: int) -> int:
--- a/src/bergamotmast/policy/routing.py
+++ b/src/bergamotmast/policy/routing.py
@@ -8,12 +8,12 @@
 request counts as one.
 
 Thresholds: the picture is the last report, with this entry's own work since. Only
-:data:`CHOICES` upstreams of each role, drawn at random, are compared: two already
-remove most of the imbalance of a random choice, and more would bring herding back.
-:data:`ZONE_SECONDS` is the round trip between availability zones: it decides among
-equals and never outweighs a queue. An upstream whose attempts take longer than
-predicted, compared with its neighbours, has its times multiplied by that ratio, up to
-:data:`MOST_SLOWNESS`.
+:data:`SAMPLED_PER_ROLE` upstreams of each role, drawn at random, are compared: two
+already remove most of the imbalance of a random choice, and more would bring herding
+back. :data:`ZONE_ROUND_TRIP_SECONDS` is the round trip between availability zones: it
+decides among equals and never outweighs a queue. An upstream whose attempts take longer
+than predicted, compared with its neighbours, has its times multiplied by that ratio, up
+to :data:`MAX_SLOWDOWN`.
 """
 
 from __future__ import annotations
@@ -29,29 +29,29 @@
 from ..model import SideReport
 from .interfaces import Candidate
 
-CHOICES = 2
+SAMPLED_PER_ROLE = 2
 """Upstreams of each role compared for one request, beside those believed to hold its
 prefix."""
 
-ZONE_SECONDS = 0.002
+ZONE_ROUND_TRIP_SECONDS = 0.002
 """Round trip to another availability zone."""
 
 HANDOFF_SECONDS = 0.05
 """Exporting and importing a KV cache and offering the second stage."""
 
-LEAST_STAGED_TOKENS = 8
+MIN_STAGED_TOKENS = 8
 """Shortest predicted answer that is worth a stage of its own."""
 
-SPEED_WEIGHT = 0.1
+SLOWDOWN_WEIGHT = 0.1
 """Weight of one attempt in an upstream's ratio of measured to predicted time."""
 
-MOST_SLOWNESS = 8.0
+MAX_SLOWDOWN = 8.0
 """Largest ratio believed."""
 
-EMPTY_SHARE = 0.5
+EMPTY_BATCH_SHARE = 0.5
 """Time between tokens with an empty batch, as a share of that with a full one."""
 
-BUSY_WEIGHT = 2.0
+UPSTREAM_TIME_WEIGHT = 2.0
 """Weight of the upstream's time against the caller's.
 
 Where both are short the caller's wait decides; under load the time an unfitting role
@@ -78,10 +78,10 @@
     @property
     def score(self) -> float:
         """What is compared: the caller's time, and the time taken from others."""
-        return self.total + BUSY_WEIGHT * self.busy
+        return self.total + UPSTREAM_TIME_WEIGHT * self.busy
 
 
-class SpeedBook:
+class SlowdownTracker:
     """Ratio of measured to predicted time for each upstream, against its peers."""
 
     def __init__(self) -> None:
@@ -89,21 +89,21 @@
 
     def learn(self, name: str, measured: float, predicted: float) -> None:
         """Take in one attempt's times, in seconds."""
-        ratio = min(MOST_SLOWNESS, (measured + 0.02) / (predicted + 0.02))
+        ratio = min(MAX_SLOWDOWN, (measured + 0.02) / (predicted + 0.02))
         old = self.ratios.get(name, 1.0)
-        self.ratios[name] = old + SPEED_WEIGHT * (ratio - old)
+        self.ratios[name] = old + SLOWDOWN_WEIGHT * (ratio - old)
 
     def keep(self, names: cabc.Collection[str]) -> None:
         """Forget upstreams that are gone."""
         for name in [n for n in self.ratios if n not in names]:
             del self.ratios[name]
 
-    def slowness(self, name: str) -> float:
+    def slowdown(self, name: str) -> float:
         """Return how many times slower than its peers an upstream is, at least 1."""
         if name not in self.ratios:
             return 1.0
         usual = statistics.median(self.ratios.values())
-        return min(MOST_SLOWNESS, max(1.0, self.ratios[name] / max(usual, _TINY)))
+        return min(MAX_SLOWDOWN, max(1.0, self.ratios[name] / max(usual, _TINY)))
 
 
 def wait_seconds(
@@ -141,7 +141,7 @@
     full = report.max_streams / max(report.decode_rate, _TINY)
     active = max(report.running + report.queued, candidate.own_running) + 1
     filled = min(1.0, active / report.max_streams)
-    return full * (EMPTY_SHARE + (1.0 - EMPTY_SHARE) * filled)
+    return full * (EMPTY_BATCH_SHARE + (1.0 - EMPTY_BATCH_SHARE) * filled)
 
 
 class Router:
@@ -152,11 +152,13 @@
     :param choices: how many are compared.
     """
 
-    def __init__(self, rng: random.Random, zone: str, choices: int = CHOICES) -> None:
+    def __init__(
+        self, rng: random.Random, zone: str, choices: int = SAMPLED_PER_ROLE
+    ) -> None:
         self.rng = rng
         self.zone = zone
         self.choices = choices
-        self.speeds = SpeedBook()
+        self.slowdowns = SlowdownTracker()
 
     def sample(
         self, candidates: cabc.Sequence[Candidate], favoured: cabc.Collection[str] = ()
@@ -183,13 +185,13 @@
         """Predict one stage of this work at one upstream with a report."""
         report = candidate.report
         assert report is not None
-        slowness = self.speeds.slowness(candidate.name)
+        slowdown = self.slowdowns.slowdown(candidate.name)
         wait = wait_seconds(candidate, report, priority, now)
         prefill = max(0, work.prefill - cached) / max(report.prefill_rate, _TINY)
-        first = (wait + prefill) * slowness
+        first = (wait + prefill) * slowdown
         if candidate.zone != self.zone:
-            first += ZONE_SECONDS
-        per_token = token_seconds(candidate, report) * slowness
+            first += ZONE_ROUND_TRIP_SECONDS
+        per_token = token_seconds(candidate, report) * slowdown
         busy = prefill + work.decode / max(report.decode_rate, _TINY)
         return Estimate(candidate, first, first + work.decode * per_token, busy)
 
--- a/src/bergamotmast/policy/shifting.py
+++ b/src/bergamotmast/policy/shifting.py
@@ -1,21 +1,22 @@
 """Whether one engine of a group changes its role now.
 
-Load pattern: the share of prompt tokens swings, within minutes or over half a day,
-and sometimes to and fro faster than a change pays back.
+Load pattern: the share of prompt tokens swings, within minutes or over half a day, and
+sometimes to and fro faster than a change pays back.
 
 Without it: a group split for appraisals refuses the checks while its decode engines
 idle; or, shifted at each threshold crossed, engines spend the swing changing roles and
 are gone just when the work is there.
 
 Thresholds: a change is made only where the work it is predicted to win pays back what
-the engine's absence loses within :data:`LONGEST_PAYBACK`, for the demand of the last
-:data:`FAST_SECONDS` and of the last :data:`SLOW_SECONDS` alike, and only after that
-wish has lasted as long as the payback itself (:data:`LEAST_HOLD` at least): a swing
-that turns back sooner never gets its change. Changes are paced by a token bucket, an
-engine keeps a role for :data:`DWELL_SECONDS`, one change runs at a time in a group,
-and the last engine of a role stays. Where more than :data:`MOST_STALE_SHARE` of the
-reports are older than :data:`STALE_SECONDS`, nothing is changed: during an outage the
-last known mix is as good as any guess, and a change made on it can't be seen to work.
+the engine's absence loses within :data:`MAX_PAYBACK_SECONDS`, for the demand of the
+last :data:`SHORT_TERM_SECONDS` and of the last :data:`LONG_TERM_SECONDS` alike, and
+only after that wish has lasted as long as the payback itself (:data:`MIN_HOLD_SECONDS`
+at least): a swing that turns back sooner never gets its change. Changes are paced by a
+token bucket, an engine keeps a role for :data:`MIN_DWELL_SECONDS`, one change runs at a
+time in a group, and the last engine of a role stays. Where more than
+:data:`MAX_STALE_SHARE` of the reports are older than :data:`STALE_SECONDS`, nothing is
+changed: during an outage the last known mix is as good as any guess, and a change made
+on it can't be seen to work.
 """
 
 from __future__ import annotations
@@ -29,32 +30,32 @@
 from .demand import Demand
 from .demand import DemandMeter
 from .interfaces import EngineView
-from .interfaces import FleetPicture
+from .interfaces import GroupSnapshot
 from .interfaces import RoleChange
 
-FAST_SECONDS = 10.0
+SHORT_TERM_SECONDS = 10.0
 """Time constant of the demand that must want a change."""
 
-SLOW_SECONDS = 45.0
+LONG_TERM_SECONDS = 45.0
 """Time constant of the demand that must want the same change."""
 
-LEAST_SEEN = 0.6
+MIN_DEMAND_WEIGHT = 0.6
 """Weight of the slow demand below which nothing is changed.
 
 A planner that has just begun knows the last seconds only, and would take half a swing
 for the whole; after the time constant it has seen the other half.
 """
 
-LONGEST_PAYBACK = 60.0
+MAX_PAYBACK_SECONDS = 60.0
 """Seconds within which a change must win what it loses."""
 
-LEAST_HOLD = 10.0
+MIN_HOLD_SECONDS = 10.0
 """Seconds a wish must last at least."""
 
-DWELL_SECONDS = 60.0
+MIN_DWELL_SECONDS = 60.0
 """Seconds an engine keeps a role at least."""
 
-BUCKET_SECONDS = 45.0
+BUCKET_REFILL_SECONDS = 45.0
 """Seconds in which one more change is allowed."""
 
 BUCKET_SIZE = 2.0
@@ -63,10 +64,10 @@
 STALE_SECONDS = 8.0
 """Age beyond which a report says nothing about the mix."""
 
-MOST_STALE_SHARE = 0.25
+MAX_STALE_SHARE = 0.25
 """Share of stale reports above which roles are frozen."""
 
-LEAST_GAIN = 0.03
+MIN_GAIN = 0.03
 """Share of the demand that a change must win at least; less is within the error."""
 
 DRAIN_FACTOR = 2.0
@@ -77,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class WantedChange:
     """The change wanted since a point in time."""
 
     source: Role
@@ -103,10 +104,10 @@
     """What the controller remembers of one group."""
 
     def __init__(self) -> None:
-        self.fast = DemandMeter(FAST_SECONDS)
-        self.slow = DemandMeter(SLOW_SECONDS)
+        self.short_term = DemandMeter(SHORT_TERM_SECONDS)
+        self.long_term = DemandMeter(LONG_TERM_SECONDS)
         self.rates = RoleRates()
-        self.wish: Wish | None = None
+        self.wanted_change: WantedChange | None = None
         self.bucket = BUCKET_SIZE
         self.refilled_at: float | None = None
         self.changed_at: dict[str, float] = {}
@@ -114,7 +115,7 @@
     def refill(self, now: float) -> None:
         """Let the token bucket follow the clock."""
         if self.refilled_at is not None:
-            earned = (now - self.refilled_at) / BUCKET_SECONDS
+            earned = (now - self.refilled_at) / BUCKET_REFILL_SECONDS
             self.bucket = min(BUCKET_SIZE, self.bucket + earned)
         self.refilled_at = now
 
@@ -125,42 +126,42 @@
     def __init__(self) -> None:
         self.groups: dict[str, GroupState] = {}
 
-    def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
+    def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
         """Return the one change to begin now, or ``None``."""
-        state = self.groups.setdefault(picture.group, GroupState())
+        state = self.groups.setdefault(snapshot.group, GroupState())
         state.refill(now)
-        fresh = [e for e in picture.engines if _fresh(e, now)]
-        for meter in (state.fast, state.slow):
+        fresh = [e for e in snapshot.engines if _fresh(e, now)]
+        for meter in (state.short_term, state.long_term):
             meter.observe(fresh, now)
         state.rates.observe(fresh)
-        if self._frozen(picture, fresh) or state.slow.weight < LEAST_SEEN:
-            state.wish = None
+        if self._frozen(snapshot, fresh) or state.long_term.weight < MIN_DEMAND_WEIGHT:
+            state.wanted_change = None
             return None
-        gain = self._best(picture, state)
+        gain = self._best(snapshot, state)
         if not self._lasting(state, gain, now):
             return None
         assert gain is not None
-        return self._begin(picture, state, gain, now)
+        return self._begin(snapshot, state, gain, now)
 
-    def _frozen(self, picture: FleetPicture, fresh: list[EngineView]) -> bool:
-        engines = picture.engines
+    def _frozen(self, snapshot: GroupSnapshot, fresh: list[EngineView]) -> bool:
+        engines = snapshot.engines
         if not engines or any(e.changing for e in engines):
             return True
-        return len(engines) - len(fresh) > MOST_STALE_SHARE * len(engines)
+        return len(engines) - len(fresh) > MAX_STALE_SHARE * len(engines)
 
-    def _best(self, picture: FleetPicture, state: GroupState) -> Gain | None:
+    def _best(self, snapshot: GroupSnapshot, state: GroupState) -> Gain | None:
         """Return the change that wins most by the fast and the slow demand alike."""
-        counts = role_counts(picture)
+        counts = role_counts(snapshot)
         best: Gain | None = None
-        for source, target in possible_changes(picture, counts):
+        for source, target in possible_changes(snapshot, counts):
             gain = min(
                 (
-                    _gain(counts, state.rates, meter.demand(), source, target, picture)
-                    for meter in (state.fast, state.slow)
+                    _gain(counts, state.rates, meter.demand(), source, target, snapshot)
+                    for meter in (state.short_term, state.long_term)
                 ),
                 key=lambda g: g.share,
             )
-            if gain.share < LEAST_GAIN or gain.payback > LONGEST_PAYBACK:
+            if gain.share < MIN_GAIN or gain.payback > MAX_PAYBACK_SECONDS:
                 continue
             if best is None or gain.share > best.share:
                 best = gain
@@ -168,56 +169,61 @@
 
     def _lasting(self, state: GroupState, gain: Gain | None, now: float) -> bool:
         if gain is None:
-            state.wish = None
+            state.wanted_change = None
             return False
-        wish = state.wish
-        if wish is None or (wish.source, wish.target) != (gain.source, gain.target):
-            state.wish = wish = Wish(gain.source, gain.target, now)
-        return now - wish.since >= max(LEAST_HOLD, gain.payback)
+        wanted_change = state.wanted_change
+        if wanted_change is None or (wanted_change.source, wanted_change.target) != (
+            gain.source,
+            gain.target,
+        ):
+            state.wanted_change = wanted_change = WantedChange(
+                gain.source, gain.target, now
+            )
+        return now - wanted_change.since >= max(MIN_HOLD_SECONDS, gain.payback)
 
     def _begin(
-        self, picture: FleetPicture, state: GroupState, gain: Gain, now: float
+        self, snapshot: GroupSnapshot, state: GroupState, gain: Gain, now: float
     ) -> RoleChange | None:
         if state.bucket < 1.0:
             return None
-        engine = _least_busy(picture, state, gain.source, now)
+        engine = _least_busy(snapshot, state, gain.source, now)
         if engine is None:
             return None
         state.bucket -= 1.0
-        state.wish = None
-        names = {e.name for e in picture.engines}
+        state.wanted_change = None
+        names = {e.name for e in snapshot.engines}
         kept = {n: at for n, at in state.changed_at.items() if n in names}
         state.changed_at = kept | {engine.name: now}
         reason = f"wins {gain.share:.0%}, pays back in {gain.payback:.0f} s"
         return RoleChange(engine.name, gain.target, reason)
 
 
-def role_counts(picture: FleetPicture) -> dict[Role, int]:
+def role_counts(snapshot: GroupSnapshot) -> dict[Role, int]:
     """Return how many engines the plan gives each role."""
     counts = dict.fromkeys(Role, 0)
-    for engine in picture.engines:
+    for engine in snapshot.engines:
         counts[engine.role] += 1
     return counts
 
 
 def possible_changes(
-    picture: FleetPicture, counts: dict[Role, int]
+    snapshot: GroupSnapshot, counts: dict[Role, int]
 ) -> list[tuple[Role, Role]]:
     """Return the (from, to) changes that bounds and the last of a role allow."""
     changes = []
     for source in Role:
-        bounds = picture.bounds.get(source)
+        bounds = snapshot.bounds.get(source)
         least = max(1, bounds.least if bounds else 0)
         if counts[source] <= least:
             continue
         for target in Role:
-            if target is not source and _room(picture, counts, target):
+            if target is not source and _room(snapshot, counts, target):
                 changes.append((source, target))
     return changes
 
 
-def _room(picture: FleetPicture, counts: dict[Role, int], target: Role) -> bool:
-    bounds = picture.bounds.get(target)
+def _room(snapshot: GroupSnapshot, counts: dict[Role, int], target: Role) -> bool:
+    bounds = snapshot.bounds.get(target)
     if bounds is None or bounds.most is None:
         return True
     return counts[target] < bounds.most
@@ -229,28 +235,28 @@
     demand: Demand,
     source: Role,
     target: Role,
-    picture: FleetPicture,
+    snapshot: GroupSnapshot,
 ) -> Gain:
     without = counts | {source: counts[source] - 1}
     after = without | {target: without[target] + 1}
     served = served_share(counts, rates, demand)
     share = served_share(after, rates, demand) - served
     loss = max(0.0, served - served_share(without, rates, demand))
-    away = picture.change_seconds * DRAIN_FACTOR
+    away = snapshot.change_seconds * DRAIN_FACTOR
     payback = away * (loss + share) / share if share > 0.0 else math.inf
     return Gain(source, target, share, payback)
 
 
 def _least_busy(
-    picture: FleetPicture, state: GroupState, role: Role, now: float
+    snapshot: GroupSnapshot, state: GroupState, role: Role, now: float
 ) -> EngineView | None:
     """Return the engine of a role whose change moves the least work."""
     able = [
         e
-        for e in picture.engines
+        for e in snapshot.engines
         if e.role is role
         and e.report is not None
-        and now - state.changed_at.get(e.name, -math.inf) >= DWELL_SECONDS
+        and now - state.changed_at.get(e.name, -math.inf) >= MIN_DWELL_SECONDS
     ]
     return min(able, key=lambda e: (_decode_left(e), e.name), default=None)
 
--- a/src/bergamotmast/policy/last_requests.py
+++ b/src/bergamotmast/policy/shutdown_admission.py
@@ -7,21 +7,22 @@
 leaves callers to closed ports, and one that takes everything cuts off what it can't
 finish.
 
-Thresholds: until :attr:`End.routed_until` everything is taken, since the balancer can't
-know yet. After that a request is taken if its caller would leave before the process
-ends, so that it has its whole time; any other is told at once when to come back.
+Thresholds: until :attr:`ShutdownWindow.routed_until` everything is taken, since the
+balancer can't know yet. After that a request is taken if its caller would leave before
+the process ends, so that it has its whole time; any other is told at once when to come
+back.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-RETURN_SECONDS = 0.5
+SHUTDOWN_RETRY_SECONDS = 0.5
 """Refused callers come back no sooner: a restarted entry takes about a second."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class ShutdownWindow:
     """How an entry ends; points on the event loop's clock.
 
     :param routed_until: so long the balancer may send new callers.
@@ -32,6 +33,6 @@
     end_by: float
 
 
-def is_taken(end: End, deadline: float, now: float) -> bool:
+def is_admitted(end: ShutdownWindow, deadline: float, now: float) -> bool:
     """Return whether a request with a deadline is still let in."""
     return now <= end.routed_until or deadline <= end.end_by
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -27,18 +27,18 @@
 from ..model import Cost
 from ..model import Priority
 from ..model import Role
-from .admission import DOOR_SLACK
-from .admission import too_late_for_side
-from .cost import still_to_come
+from .admission import SIDE_SLACK
+from .admission import exceeds_side_deadline
+from .cost import remaining_output_tokens
 from .interfaces import QueueItem
 from .interfaces import UpstreamSpeed
-from .measured import PrefillMeter
-from .measured import StepMeter
-from .queueing import OWED_SHARE
-from .queueing import PATIENCE
-from .queueing import Ahead
+from .queueing import LOWER_PRIORITY_SHARE
+from .queueing import MIN_WAITED_SHARE
 from .queueing import FairQueue
 from .queueing import Rates
+from .queueing import WorkAhead
+from .rate_meters import PrefillMeter
+from .rate_meters import StepMeter
 from .size_shares import SizedPrompt
 from .size_shares import SizeShares
 
@@ -51,13 +51,13 @@
 Counted together, waiting appraisals would turn away checks that could start at once.
 """
 
-LEAST_QUEUE = 32
+MIN_QUEUE_ITEMS = 32
 """Waiting items allowed even with a small batch."""
 
-LEAST_SHARED_BATCH = 4
+MIN_RESERVING_BATCH = 4
 """Batches smaller than this have no place to keep free."""
 
-FASTEST_SHARE = 0.5
+EMPTY_BATCH_SHARE = 0.5
 """Time between tokens with an empty batch, as a share of that with a full one."""
 
 DEFAULT_RATES = Rates(1000.0, 100.0)
@@ -70,32 +70,34 @@
 
     :param fair: whether tenants share; else all items form one lane.
     :param slack: share of the time left that the prediction at the door may take.
-    :param owed_share: share of started work owed to lower priorities.
-    :param patience: share of its allowed wait that an item waits before it is owed.
+    :param lower_priority_share: share of started work owed to lower priorities.
+    :param min_waited_share: share of its allowed wait that an item waits before it is
+        owed.
     :param reserved: share of the batch that each priority leaves free.
     :param kv_reserved: share of KV memory alone; ``None`` for the same. A check needs a
         place of its own, but hardly any memory.
-    :param measures: whether rates are measured; else the stated ones count.
-    :param sees_memory: whether waits are predicted by memory and measured steps too.
+    :param uses_measured_rates: whether rates are measured; else the stated ones count.
+    :param predicts_by_memory: whether waits are predicted by memory and measured steps
+        too.
     :param window_by_priority: whether only prefills of the same or a higher priority
         count against the prefill window.
     :param size_shares: whether large prompts go first while too few are served.
     """
 
     fair: bool = True
-    slack: float = DOOR_SLACK
-    owed_share: float = OWED_SHARE
-    patience: float = PATIENCE
+    slack: float = SIDE_SLACK
+    lower_priority_share: float = LOWER_PRIORITY_SHARE
+    min_waited_share: float = MIN_WAITED_SHARE
     reserved: tuple[float, float, float] = (0.0, 0.1, 0.25)
     kv_reserved: tuple[float, float, float] | None = (0.0, 0.02, 0.05)
-    measures: bool = True
-    sees_memory: bool = True
+    uses_measured_rates: bool = True
+    predicts_by_memory: bool = True
     window_by_priority: bool = True
     size_shares: bool = True
 
 
 @dataclasses.dataclass(slots=True)
-class Started:
+class StartedItem:
     """An item handed to the upstream.
 
     :param window: priority whose limits it was started under.
@@ -132,19 +134,19 @@
         self.queue = FairQueue(
             DEFAULT_RATES,
             self.tuning.fair,
-            self.tuning.owed_share,
-            self.tuning.patience,
+            self.tuning.lower_priority_share,
+            self.tuning.min_waited_share,
         )
-        self.started: dict[str, Started] = {}
+        self.started: dict[str, StartedItem] = {}
         self.max_streams = 1
         self.kv_capacity = 1
         self.role: Role | None = None
         self.kv_promised = 0
-        self.prefill_ahead = dict.fromkeys(Priority, 0)
+        self.unfinished_prefill = dict.fromkeys(Priority, 0)
         self.prefill_meter = PrefillMeter(DEFAULT_RATES.prefill)
         self.step_meter = StepMeter(1.0 / DEFAULT_RATES.decode)
         self.size_shares = SizeShares()
-        self.sized: dict[str, SizedPrompt] = {}
+        self.sized_prompts: dict[str, SizedPrompt] = {}
 
     def configure(
         self,
@@ -171,7 +173,7 @@
 
     def prefill_rate(self) -> float:
         """Return prompt tokens a second, as measured while there was work."""
-        if self.tuning.measures:
+        if self.tuning.uses_measured_rates:
             return self.prefill_meter.rate()
         return self.queue.rates.prefill
 
@@ -179,34 +181,36 @@
         """Queue an item and return ``OK``, or refuse it at once with a code."""
         if not self.tuning.size_shares or item.cost.prefill == 0:
             return self._admit(item, now)
-        sized = self.size_shares.begin(item.request_class, item.cost.prefill)
+        sized_prompts = self.size_shares.begin(item.request_class, item.cost.prefill)
         code = self._admit(item, now)
-        if code is ResultCode.DEADLINE_UNREACHABLE and sized.claim():
+        if code is ResultCode.DEADLINE_UNREACHABLE and sized_prompts.claim():
             code = self._admit(dataclasses.replace(item, goes_first=True), now)
         if code is ResultCode.OK:
-            self.sized[item.attempt] = sized
+            self.sized_prompts[item.attempt] = sized_prompts
         else:
-            sized.end(served=False)
+            sized_prompts.end(served=False)
         return code
 
     def _end_sized(self, attempt: str, *, served: bool) -> None:
         """Account for a prompt whose first token came, or that has ended without."""
-        sized = self.sized.pop(attempt, None)
-        if sized is not None:
-            sized.end(served=served)
+        sized_prompts = self.sized_prompts.pop(attempt, None)
+        if sized_prompts is not None:
+            sized_prompts.end(served=served)
 
     def _admit(self, item: QueueItem, now: float) -> ResultCode:
-        room = max(LEAST_QUEUE, QUEUE_BATCHES * self.max_streams)
+        room = max(MIN_QUEUE_ITEMS, QUEUE_BATCHES * self.max_streams)
         if self.queue.count(item.priority) >= room:
             return ResultCode.QUEUE_FULL
         if self.role is not None and kv_tokens(item) > self.kv_capacity:
             return ResultCode.DEADLINE_UNREACHABLE
         slack = self.tuning.slack
         first = self._first_token_seconds(item)
-        if not item.resumed and too_late_for_side(first, item.start_by - now, slack):
+        if not item.resumed and exceeds_side_deadline(
+            first, item.start_by - now, slack
+        ):
             return ResultCode.DEADLINE_UNREACHABLE
         total = first + self._decode_seconds(item.cost.decode)
-        if too_late_for_side(total, item.deadline - now, slack):
+        if exceeds_side_deadline(total, item.deadline - now, slack):
             return ResultCode.DEADLINE_UNREACHABLE
         self.queue.add(item)
         return ResultCode.OK
@@ -222,10 +226,10 @@
         An engine takes prefills by priority, so those of a lower one are not.
         """
         if not self.tuning.window_by_priority:
-            return sum(self.prefill_ahead.values())
-        return sum(n for p, n in self.prefill_ahead.items() if p <= priority)
+            return sum(self.unfinished_prefill.values())
+        return sum(n for p, n in self.unfinished_prefill.items() if p <= priority)
 
-    def _slot_seconds(self, priority: Priority, ahead: Ahead) -> float:
+    def _slot_seconds(self, priority: Priority, ahead: WorkAhead) -> float:
         """Return the wait until the batch has a place left by all the work ahead."""
         places = self._places(priority)
         missing = ahead.count + 1 - places + len(self.started)
@@ -242,23 +246,23 @@
         would be taken in that then waits past its deadline.
         """
         places = self._slots(priority)
-        if not self.tuning.sees_memory or not self.started or self.role is None:
+        if not self.tuning.predicts_by_memory or not self.started or self.role is None:
             return places
         mean = max(1.0, self.kv_promised / len(self.started))
         return max(1, min(places, int(self._usable_kv(priority) / mean)))
 
     def _decode_rate(self, places: int) -> float:
         """Return output tokens a second with so many answers at once."""
-        if not self.tuning.sees_memory:
+        if not self.tuning.predicts_by_memory:
             return self.queue.rates.decode
         return min(self.queue.rates.decode, places / self.step_meter.seconds())
 
     def _decode_seconds(self, tokens: int) -> float:
-        if self.tuning.measures:
+        if self.tuning.uses_measured_rates:
             return (tokens - 1) * self.step_meter.seconds()
         filled = (len(self.started) + len(self.queue) + 1) / self.max_streams
         full = self.max_streams / self.queue.rates.decode
-        fullness = FASTEST_SHARE + (1.0 - FASTEST_SHARE) * min(1.0, filled)
+        fullness = EMPTY_BATCH_SHARE + (1.0 - EMPTY_BATCH_SHARE) * min(1.0, filled)
         return tokens * full * fullness
 
     def _reserved(self, priority: Priority) -> float:
@@ -266,7 +270,7 @@
 
     def _slots(self, priority: Priority) -> int:
         reserved = self._reserved(priority)
-        if reserved == 0.0 or self.max_streams < LEAST_SHARED_BATCH:
+        if reserved == 0.0 or self.max_streams < MIN_RESERVING_BATCH:
             return self.max_streams
         return self.max_streams - max(1, int(self.max_streams * reserved))
 
@@ -296,7 +300,7 @@
         """
         if item.priority is Priority.INTERACTIVE:
             return item.priority
-        owed = self.queue.is_owed(item.priority, now)
+        owed = self.queue.is_entitled(item.priority, now)
         return Priority.INTERACTIVE if owed else item.priority
 
     def _fits(self, item: QueueItem, lane: Priority) -> bool:
@@ -318,9 +322,9 @@
 
     def _start(self, item: QueueItem, lane: Priority, now: float) -> None:
         self.queue.take(item)
-        self.started[item.attempt] = Started(item, lane)
+        self.started[item.attempt] = StartedItem(item, lane)
         self.kv_promised += kv_tokens(item)
-        self.prefill_ahead[lane] += item.cost.prefill
+        self.unfinished_prefill[lane] += item.cost.prefill
         if item.cost.prefill:
             self.prefill_meter.begin(now)
 
@@ -342,9 +346,9 @@
             self.kv_promised += beyond
             self.queue.charge(started.item, beyond)
 
-    def _end_prefill(self, started: Started, tokens: int, now: float) -> None:
+    def _end_prefill(self, started: StartedItem, tokens: int, now: float) -> None:
         prefill = started.item.cost.prefill
-        self.prefill_ahead[started.window] -= prefill
+        self.unfinished_prefill[started.window] -= prefill
         if prefill:
             self.prefill_meter.end(tokens, now)
 
@@ -378,10 +382,10 @@
         prefill = item.cost.prefill / self.prefill_rate()
         if not item.resumed and now + prefill > item.start_by:
             return True
-        if self.tuning.measures:
+        if self.tuning.uses_measured_rates:
             step = self.step_meter.seconds()
         else:
-            step = FASTEST_SHARE * self.max_streams / self.queue.rates.decode
+            step = EMPTY_BATCH_SHARE * self.max_streams / self.queue.rates.decode
         return now + prefill + (item.cost.decode - 1) * step > item.deadline
 
     def waiting(self) -> int:
@@ -396,7 +400,8 @@
     def running_decode(self) -> int:
         """Return the predicted output tokens still to come of started items."""
         return sum(
-            still_to_come(s.item.cost.decode, s.produced) for s in self.started.values()
+            remaining_output_tokens(s.item.cost.decode, s.produced)
+            for s in self.started.values()
         )
 
     def kv_free(self) -> float:
@@ -405,12 +410,12 @@
 
     def speed(self) -> UpstreamSpeed:
         """Return how fast the upstream is now."""
-        if not self.tuning.measures:
+        if not self.tuning.uses_measured_rates:
             return UpstreamSpeed(self.prefill_rate())
         waits = tuple(self._wait(priority) for priority in Priority)
         return UpstreamSpeed(self.prefill_rate(), waits, self.step_meter.seconds())
 
     def _wait(self, priority: Priority) -> float:
-        ahead = self.queue.up_to(priority)
+        ahead = self.queue.work_up_to(priority)
         prefill = self._window_used(priority) + ahead.prefill
         return prefill / self.prefill_rate() + self._slot_seconds(priority, ahead)
--- a/src/bergamotmast/policy/size_bands.py
+++ b/src/bergamotmast/policy/size_classes.py
@@ -17,17 +17,17 @@
 
 _T = t.TypeVar("_T")
 
-WINDOW_SIZES = 256
+SIZE_SAMPLES = 256
 """Sizes that are remembered of each class."""
 
-MOST_CLASSES = 100
+MAX_REQUEST_CLASSES = 100
 """Classes that are followed; the one used least lately is forgotten."""
 
-FEWEST_SIZES = 10
+MIN_SIZE_SAMPLES = 10
 """Sizes below which no prompt is among the largest tenth."""
 
 
-class SizeBand(enum.StrEnum):
+class SizeClass(enum.StrEnum):
     """Where a prompt stands among those of its class."""
 
     LARGEST = "largest"
@@ -35,11 +35,11 @@
     REST = "rest"
 
 
-BAND_SHARES = {SizeBand.LARGEST: 0.1, SizeBand.LARGE: 0.2}
+SIZE_CLASS_SHARES = {SizeClass.LARGEST: 0.1, SizeClass.LARGE: 0.2}
 """Shares of a class's prompts that are in the upper bands."""
 
-LARGEST_SHARE = BAND_SHARES[SizeBand.LARGEST]
-BOTH_SHARES = LARGEST_SHARE + BAND_SHARES[SizeBand.LARGE]
+LARGEST_SHARE = SIZE_CLASS_SHARES[SizeClass.LARGEST]
+LARGE_SHARE = LARGEST_SHARE + SIZE_CLASS_SHARES[SizeClass.LARGE]
 
 
 class RecentSizes:
@@ -53,30 +53,30 @@
         self.latest: collections.deque[int] = collections.deque()
         self.ordered: list[int] = []
 
-    def observe(self, size: int) -> SizeBand:
+    def observe(self, size: int) -> SizeClass:
         """Remember a prompt and return its band.
 
         :param size: prompt tokens.
         """
-        if len(self.latest) == WINDOW_SIZES:
+        if len(self.latest) == SIZE_SAMPLES:
             oldest = self.latest.popleft()
             del self.ordered[bisect.bisect_left(self.ordered, oldest)]
         self.latest.append(size)
         bisect.insort(self.ordered, size)
         return self._band(size)
 
-    def _band(self, size: int) -> SizeBand:
+    def _band(self, size: int) -> SizeClass:
         count = len(self.ordered)
-        if count < FEWEST_SIZES:
-            return SizeBand.REST
+        if count < MIN_SIZE_SAMPLES:
+            return SizeClass.REST
         # Prompts of equal size share the lower band.
         at_least = count - bisect.bisect_left(self.ordered, size)
         if at_least <= LARGEST_SHARE * count:
-            return SizeBand.LARGEST
-        return SizeBand.LARGE if at_least <= BOTH_SHARES * count else SizeBand.REST
+            return SizeClass.LARGEST
+        return SizeClass.LARGE if at_least <= LARGE_SHARE * count else SizeClass.REST
 
 
-class LatestClasses(t.Generic[_T]):
+class RequestClassTable(t.Generic[_T]):
     """Something kept for each class, of a bounded number of classes.
 
     :param make: makes it for a class that is new.
@@ -91,18 +91,18 @@
         if name not in self.classes:
             self.classes[name] = self.make()
         self.classes.move_to_end(name)
-        if len(self.classes) > MOST_CLASSES:
+        if len(self.classes) > MAX_REQUEST_CLASSES:
             self.classes.popitem(last=False)
         return self.classes[name]
 
 
-class ClassSizes(LatestClasses[RecentSizes]):
+class RequestClassSizes(RequestClassTable[RecentSizes]):
     """The latest prompt sizes of each class."""
 
     def __init__(self) -> None:
         super().__init__(RecentSizes)
 
-    def observe(self, name: str, size: int) -> SizeBand:
+    def observe(self, name: str, size: int) -> SizeClass:
         """Remember a prompt of a class and return its band.
 
         :param size: prompt tokens.
--- a/src/bergamotmast/policy/subset.py
+++ b/src/bergamotmast/policy/subset.py
@@ -30,7 +30,7 @@
 """Share of the places that goes to the entry's own zone first."""
 
 
-def rank(entry: str, upstream: str) -> int:
+def rendezvous_rank(entry: str, upstream: str) -> int:
     """Return an upstream's rank for an entry; higher is kept first."""
     return xxhash.xxh64_intdigest(f"{entry}\0{upstream}".encode())
 
@@ -47,7 +47,9 @@
     """
     if len(members) <= size:
         return frozenset(members)
-    ranked = sorted(members, key=lambda name: rank(entry, name), reverse=True)
+    ranked = sorted(
+        members, key=lambda name: rendezvous_rank(entry, name), reverse=True
+    )
     near = [name for name in ranked if members[name] == zone]
     chosen = near[: int(size * OWN_ZONE_SHARE)]
     taken = frozenset(chosen)
--- a/src/bergamotmast/telemetry.py
+++ b/src/bergamotmast/telemetry.py
@@ -6,7 +6,7 @@
 
 from .errors import ResultCode
 from .model import SideReport
-from .policy.size_bands import SizeBand
+from .policy.size_classes import SizeClass
 
 
 class Telemetry(t.Protocol):
@@ -29,7 +29,7 @@
         ...
 
     def on_sized_end(
-        self, request_class: str, band: SizeBand, code: ResultCode
+        self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Take the end of a request with a prompt of some size."""
         ...
@@ -72,7 +72,7 @@
         """Drop it."""
 
     def on_sized_end(
-        self, request_class: str, band: SizeBand, code: ResultCode
+        self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Drop it."""
 
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -203,7 +203,7 @@
         fleet.settled = True
         # It has served for long: its part of the retry budget has grown.
         fleet.entry_share.on_registered("", -math.inf)
-        fleet.entry_share.on_heard(asyncio.get_running_loop().time())
+        fleet.entry_share.on_store_reply(asyncio.get_running_loop().time())
         if document != {}:
             entry.put("op/config", document or config())
         for replica in replicas:
--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -25,7 +25,7 @@
 from bergamotmast.direct.second_sends import SecondSends
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.headers import PlatformDialect
-from bergamotmast.policy.decisions import ALL
+from bergamotmast.policy.decisions import ALL_DECISIONS
 from bergamotmast.policy.decisions import Decisions
 from bergamotmast.policy.retry_window import RetryLimits
 from bergamotmast.ports import KeyValue
@@ -254,7 +254,7 @@
         readers: int,
         answering: int,
         rng: random.Random,
-        decisions: Decisions = ALL,
+        decisions: Decisions = ALL_DECISIONS,
     ) -> None:
         self.rng = rng
         stages = ["prefill"] * readers + ["decode"] * answering
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,11 +7,11 @@
 import pytest
 
 from bergamotmast.model import Role
-from bergamotmast.policy.decisions import ALL
+from bergamotmast.policy.decisions import ALL_DECISIONS
 from bergamotmast.policy.decisions import DECISION_NAMES
 from bergamotmast.policy.decisions import Decisions
-from bergamotmast.policy.direct_placement import place
-from bergamotmast.policy.direct_placement import priority_of
+from bergamotmast.policy.direct_placement import place_prompt
+from bergamotmast.policy.direct_placement import prefill_priority
 from test_direct_policy import LONG
 from test_direct_policy import TIGHT
 from test_direct_policy import view
@@ -19,7 +19,9 @@
 
 @pytest.mark.parametrize("name", sorted(DECISION_NAMES))
 def test_one_is_switched_off_and_the_rest_stay(name):
-    assert Decisions.without([name]) == dataclasses.replace(ALL, **{name: False})
+    assert Decisions.without([name]) == dataclasses.replace(
+        ALL_DECISIONS, **{name: False}
+    )
 
 
 def test_an_unknown_one_is_named():
@@ -29,12 +31,12 @@
 
 def test_without_packing_a_long_prompt_takes_the_free_engine():
     engines = [view("a", wait=0.1), view("b"), view("d", Role.DECODE)]
-    long = [dataclasses.replace(e, read=LONG) for e in engines]
+    long = [dataclasses.replace(e, prefill_seconds=LONG) for e in engines]
     off = Decisions.without(["packing"])
-    assert place(long, 0.8, TIGHT).prefill == "a"
-    assert place(long, 0.8, TIGHT, off).prefill == "b"
+    assert place_prompt(long, 0.8, TIGHT).prefill_engine == "a"
+    assert place_prompt(long, 0.8, TIGHT, off).prefill_engine == "b"
 
 
 def test_without_size_priority_all_of_a_rank_are_alike():
     off = Decisions.without(["size_priority"])
-    assert priority_of(1, 100, off) == priority_of(1, 90_000, off)
+    assert prefill_priority(1, 100, off) == prefill_priority(1, 90_000, off)
--- a/tests/test_direct_ending.py
+++ b/tests/test_direct_ending.py
@@ -7,7 +7,7 @@
 import signal
 
 from bergamotmast.direct import fleet as fleet_module
-from bergamotmast.policy.last_requests import End
+from bergamotmast.policy.shutdown_admission import ShutdownWindow
 from direct_support import config
 from direct_support import engine
 from direct_support import read_answer
@@ -145,7 +145,7 @@
         await asyncio.sleep(0.2)
         assert not waiting.done()
         now = asyncio.get_running_loop().time()
-        entry.core.context.time_limits.begin(End(now, now + 0.1))
+        entry.core.context.time_limits.begin(ShutdownWindow(now, now + 0.1))
         got = await asyncio.wait_for(waiting, 1)
     assert got.status == 503
     assert float(got.headers["retry-after"]) > 0
@@ -162,7 +162,7 @@
         streaming = asyncio.create_task(entry.ask("/talk/x"))
         await asyncio.sleep(0.3)
         now = asyncio.get_running_loop().time()
-        entry.core.context.time_limits.begin(End(now, now + 0.1))
+        entry.core.context.time_limits.begin(ShutdownWindow(now, now + 0.1))
         got = await asyncio.wait_for(streaming, 1)
     assert got.status == 200
     assert got.body.count(b"id:") >= 3
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -35,7 +35,7 @@
 from bergamotmast.platform.store import PlatformStore
 from bergamotmast.platform.store import no_pause
 from bergamotmast.platform.store import store_session
-from bergamotmast.policy.entry_share import LEAST_ENTRIES
+from bergamotmast.policy.entry_share import MIN_ENTRIES
 from bergamotmast.policy.watch_pause import MAX_PAUSE_SECONDS
 from bergamotmast.policy.watch_pause import MAX_WATCH_CALLS_PER_SECOND
 from bergamotmast.policy.watch_pause import watch_pause
@@ -162,10 +162,10 @@
         store.put("servers/i-1", entry(born=1000))
         await until(lambda: names(fleet) == {"i-1"})
         placing = Placing(fleet, "entry-1", "zone-a", random.Random(1))
-        placing.plain_book(fleet.members("plain", 0.0)[0]).running = 5
+        placing.plain_load(fleet.members("plain", 0.0)[0]).running = 5
         store.put("servers/i-1", entry(born=2000))
         await until(lambda: fleet.members("plain", 0.0)[0].boot == "2000")
-        assert placing.plain_book(fleet.members("plain", 0.0)[0]).running == 0
+        assert placing.plain_load(fleet.members("plain", 0.0)[0]).running == 0
         assert len(placing.plain) == 1
 
 
@@ -363,7 +363,7 @@
         await refuse_watches_until_read(store)
         await until(lambda: key not in fleet.entries, seconds=4.0)
         now = asyncio.get_running_loop().time()
-        assert fleet.entry_share.entries(fleet.entries, now) == LEAST_ENTRIES
+        assert fleet.entry_share.entries(fleet.entries, now) == MIN_ENTRIES
 
 
 async def test_store_reads_all_pages():
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -12,55 +12,60 @@
 
 from bergamotmast.model import Role
 from bergamotmast.policy import direct_placement
-from bergamotmast.policy.direct_placement import DIRECT_ANSWERS
-from bergamotmast.policy.direct_placement import DIRECT_SHARE
-from bergamotmast.policy.direct_placement import LONG_SHARE
-from bergamotmast.policy.direct_placement import EngineView
-from bergamotmast.policy.direct_placement import answer_priority
-from bergamotmast.policy.direct_placement import place
-from bergamotmast.policy.direct_placement import priority_of
-from bergamotmast.policy.direct_refusal import FIRST_SHARE
-from bergamotmast.policy.direct_refusal import is_hopeless
+from bergamotmast.policy.direct_placement import DECODE_ENGINE_PREFILL_SHARE
+from bergamotmast.policy.direct_placement import LONG_PROMPT_SHARE
+from bergamotmast.policy.direct_placement import MAX_DECODES_BESIDE_PREFILL
+from bergamotmast.policy.direct_placement import EngineCandidate
+from bergamotmast.policy.direct_placement import decode_priority
+from bergamotmast.policy.direct_placement import place_prompt
+from bergamotmast.policy.direct_placement import prefill_priority
+from bergamotmast.policy.direct_refusal import GOES_FIRST_SHARE
+from bergamotmast.policy.direct_refusal import is_unreachable
 from bergamotmast.policy.direct_roles import HOLD_SECONDS
 from bergamotmast.policy.direct_roles import SETTLE_SECONDS
 from bergamotmast.policy.direct_roles import EngineRole
 from bergamotmast.policy.direct_roles import MixMeter
 from bergamotmast.policy.direct_roles import RoleController
-from bergamotmast.policy.direct_roles import wanted_answering
-from bergamotmast.policy.engine_book import FORGET_SECONDS
-from bergamotmast.policy.engine_book import LEAST_LEFT
-from bergamotmast.policy.engine_book import MOST_URGENT
-from bergamotmast.policy.engine_book import SILENT_SECONDS
-from bergamotmast.policy.engine_book import SLOW_SECONDS
-from bergamotmast.policy.engine_book import URGENT_SECONDS
-from bergamotmast.policy.engine_book import EngineBook
-from bergamotmast.policy.plain_choice import EJECTED_SECONDS
-from bergamotmast.policy.plain_choice import FAILURES_TO_EJECT
-from bergamotmast.policy.plain_choice import PlainBook
-from bergamotmast.policy.plain_choice import PlainView
-from bergamotmast.policy.plain_choice import choose_plain
-from bergamotmast.policy.prefix_memory import PrefixMemory
-from bergamotmast.policy.read_model import READING_GUESS
+from bergamotmast.policy.direct_roles import wanted_decode_engines
+from bergamotmast.policy.engine_load import MAX_URGENT_SHARE
+from bergamotmast.policy.engine_load import MIN_REMAINING_SHARE
+from bergamotmast.policy.engine_load import PENDING_TTL_SECONDS
+from bergamotmast.policy.engine_load import SLOWDOWN_DECAY_SECONDS
+from bergamotmast.policy.engine_load import UNRESPONSIVE_SECONDS
+from bergamotmast.policy.engine_load import URGENT_LOAD_SECONDS
+from bergamotmast.policy.engine_load import EngineLoadTracker
+from bergamotmast.policy.plain_placement import EJECTION_SECONDS
+from bergamotmast.policy.plain_placement import FAILURES_TO_EJECT
+from bergamotmast.policy.plain_placement import PlainCandidate
+from bergamotmast.policy.plain_placement import PlainUpstreamLoad
+from bergamotmast.policy.plain_placement import choose_plain_upstream
+from bergamotmast.policy.prefill_model import PREFILL_ENGINE_PRIOR
+from bergamotmast.policy.prefix_cache import PrefixCacheModel
 from bergamotmast.policy.retry_window import WINDOW_SECONDS
 from bergamotmast.policy.retry_window import RetryLimits
 from bergamotmast.policy.retry_window import RetryWindow
 
 
-def read_seconds(tokens: int, cached: int = 0) -> float:
+def predicted_seconds(tokens: int, cached: int = 0) -> float:
     """Return how long an engine of the first guess reads a prompt."""
-    return READING_GUESS.occupied(tokens, cached)
+    return PREFILL_ENGINE_PRIOR.occupied_seconds(tokens, cached)
 
 
-def view(name: str, role: Role = Role.PREFILL, **more) -> EngineView:
-    values = {"wait": 0.0, "read": 0.01, "slow": 1.0, "answers": 0.0} | more
-    return EngineView(name, role, True, **values)
+def view(name: str, role: Role = Role.PREFILL, **more) -> EngineCandidate:
+    values = {
+        "wait": 0.0,
+        "prefill_seconds": 0.01,
+        "slowdown": 1.0,
+        "running_decodes": 0.0,
+    } | more
+    return EngineCandidate(name, role, True, **values)
 
 
 TIGHT = 0.25
 """Seconds: the tightest objective of a group."""
 
-LONG = LONG_SHARE * TIGHT
-TOO_LONG = DIRECT_SHARE * TIGHT + 0.001
+LONG = LONG_PROMPT_SHARE * TIGHT
+TOO_LONG = DECODE_ENGINE_PREFILL_SHARE * TIGHT + 0.001
 """Seconds that an answering engine would read for, just over what it may."""
 
 
@@ -68,54 +73,64 @@
     engines = [
         view("a", wait=0.18),
         view("b", wait=0.002),
-        view("d", Role.DECODE, read=TOO_LONG),
+        view("d", Role.DECODE, prefill_seconds=TOO_LONG),
     ]
-    chosen = place(engines, TIGHT, TIGHT)
+    chosen = place_prompt(engines, TIGHT, TIGHT)
     assert chosen is not None
-    assert (chosen.prefill, chosen.answer) == ("b", "d")
+    assert (chosen.prefill_engine, chosen.decode_engine) == ("b", "d")
 
 
 def test_long_prompt_leaves_the_free_engine_free():
     """One engine has long prompts already, one is free, and the objective allows it."""
     engines = [view("a", wait=0.1), view("b"), view("d", Role.DECODE)]
-    long = [dataclasses.replace(e, read=LONG) for e in engines]
-    assert place(long, 0.8, TIGHT).prefill == "a"
-    assert place(long, 0.2, TIGHT).prefill == "b"
+    long = [dataclasses.replace(e, prefill_seconds=LONG) for e in engines]
+    assert place_prompt(long, 0.8, TIGHT).prefill_engine == "a"
+    assert place_prompt(long, 0.2, TIGHT).prefill_engine == "b"
 
 
 def test_answering_engine_reads_short_prompts_only_while_it_has_time():
     busy = view("a", wait=0.4)
-    idle, full = view("d", Role.DECODE), view("d", Role.DECODE, answers=40.0)
-    assert place([busy, idle], TIGHT, TIGHT).prefill is None
-    assert full.answers > DIRECT_ANSWERS
-    assert place([busy, full], TIGHT, TIGHT).prefill == "a"
-    long = [dataclasses.replace(e, read=TOO_LONG) for e in (busy, idle)]
-    assert place(long, TIGHT, TIGHT).prefill == "a"
+    idle, full = view("d", Role.DECODE), view("d", Role.DECODE, running_decodes=40.0)
+    assert place_prompt([busy, idle], TIGHT, TIGHT).prefill_engine is None
+    assert full.running_decodes > MAX_DECODES_BESIDE_PREFILL
+    assert place_prompt([busy, full], TIGHT, TIGHT).prefill_engine == "a"
+    long = [dataclasses.replace(e, prefill_seconds=TOO_LONG) for e in (busy, idle)]
+    assert place_prompt(long, TIGHT, TIGHT).prefill_engine == "a"
 
 
 def test_what_an_answering_engine_may_read_follows_the_tightest_objective():
     """The same prompt holds up answers that must begin within 0.25 s, or within 2 s."""
-    busy, idle = view("a", wait=0.4, read=0.1), view("d", Role.DECODE, read=0.2)
-    assert place([busy, idle], 2.0, 0.25).prefill == "a"
-    assert place([busy, idle], 2.0, 2.0).prefill is None
+    busy, idle = (
+        view("a", wait=0.4, prefill_seconds=0.1),
+        view("d", Role.DECODE, prefill_seconds=0.2),
+    )
+    assert place_prompt([busy, idle], 2.0, 0.25).prefill_engine == "a"
+    assert place_prompt([busy, idle], 2.0, 2.0).prefill_engine is None
 
 
 def test_without_a_reading_engine_the_answering_ones_read_all():
-    chosen = place([view("d", Role.DECODE, read=0.4, answers=60.0)], TIGHT, TIGHT)
-    assert (chosen.prefill, chosen.answer) == (None, "d")
-    assert place([view("a")], TIGHT, TIGHT) is None
-    assert place([], TIGHT, TIGHT) is None
+    chosen = place_prompt(
+        [view("d", Role.DECODE, prefill_seconds=0.4, running_decodes=60.0)],
+        TIGHT,
+        TIGHT,
+    )
+    assert (chosen.prefill_engine, chosen.decode_engine) == (None, "d")
+    assert place_prompt([view("a")], TIGHT, TIGHT) is None
+    assert place_prompt([], TIGHT, TIGHT) is None
 
 
 def test_slow_engine_is_avoided():
-    engines = [view("a", slow=5.0, read=0.04), view("b", wait=0.04, read=0.04)]
-    engines.append(view("d", Role.DECODE, read=TOO_LONG))
-    assert place(engines, TIGHT, TIGHT).prefill == "b"
+    engines = [
+        view("a", slowdown=5.0, prefill_seconds=0.04),
+        view("b", wait=0.04, prefill_seconds=0.04),
+    ]
+    engines.append(view("d", Role.DECODE, prefill_seconds=TOO_LONG))
+    assert place_prompt(engines, TIGHT, TIGHT).prefill_engine == "b"
 
 
 def test_priorities_keep_the_order_of_ranks_and_sizes():
     ranks = [
-        [priority_of(rank, tokens) for tokens in (100, 3000, 6000, 12_000, 50_000)]
+        [prefill_priority(rank, tokens) for tokens in (100, 3000, 6000, 12_000, 50_000)]
         for rank in (0, 1, 2, 7)
     ]
     for lower, higher in itertools.pairwise(ranks[:3]):
@@ -128,27 +143,27 @@
 
 def test_prompt_that_goes_first_passes_its_rank_and_no_more_urgent_one():
     for rank in (1, 2, 7):
-        first = priority_of(rank, 50_000, goes_first=True)
-        assert first < min(priority_of(rank, tokens) for tokens in (100, 50_000))
-        assert first > priority_of(rank - 1 if rank < 3 else 1, 100)
+        first = prefill_priority(rank, 50_000, goes_first=True)
+        assert first < min(prefill_priority(rank, tokens) for tokens in (100, 50_000))
+        assert first > prefill_priority(rank - 1 if rank < 3 else 1, 100)
 
 
 def test_prompt_that_goes_first_does_not_pass_for_a_burst():
     """One long prompt would have all others refused for the second that it takes."""
-    book = EngineBook(470_000)
+    book = EngineLoadTracker(470_000)
     book.begin(("e", 1), 1.0, 4, 0.0, goes_first=True)
     assert book.expected_wait(9, 0.0) == pytest.approx(book.wait(9, 0.0))
 
 
 def test_prompt_that_goes_first_is_refused_unless_it_is_foreseen_well_in_time():
     left = 2.0
-    assert not is_hopeless(1.9, left)
-    assert is_hopeless(1.9, left, goes_first=True)
-    assert not is_hopeless(0.9 * FIRST_SHARE * left, left, goes_first=True)
+    assert not is_unreachable(1.9, left)
+    assert is_unreachable(1.9, left, goes_first=True)
+    assert not is_unreachable(0.9 * GOES_FIRST_SHARE * left, left, goes_first=True)
 
 
 def test_book_waits_for_the_prompt_under_way_and_what_is_more_urgent():
-    book = EngineBook(100_000)
+    book = EngineLoadTracker(100_000)
     book.begin(("e", 1), 0.2, 7, 0.0)
     book.begin(("e", 2), 0.08, 7, 0.01)
     book.begin(("f", 1), 0.02, 2, 0.02)
@@ -156,7 +171,7 @@
     assert book.wait(2, 0.1) == pytest.approx(0.12)
     assert book.wait(9, 0.1) == pytest.approx(0.2)
     # Overdue: something was before it that nobody told of.
-    assert book.wait(0, 0.5) == pytest.approx(0.2 * LEAST_LEFT)
+    assert book.wait(0, 0.5) == pytest.approx(0.2 * MIN_REMAINING_SHARE)
     book.end(("e", 1), 0.6)
     # The more urgent one is next, whichever came first.
     assert book.current == ("f", 1)
@@ -164,32 +179,32 @@
 
 def test_long_prompts_take_more_than_their_share():
     """50,000 tokens: taken for done too soon, their engine is sent short prompts."""
-    assert read_seconds(50_000) > 1.3 * 50 * read_seconds(1_000)
-    assert read_seconds(1_000, cached=20_000) > read_seconds(1_000)
+    assert predicted_seconds(50_000) > 1.3 * 50 * predicted_seconds(1_000)
+    assert predicted_seconds(1_000, cached=20_000) > predicted_seconds(1_000)
 
 
 def test_book_forgets_work_whose_end_was_never_heard_of():
     """A peer died, or its datagram was lost: the engine must not look busy for ever."""
-    book = EngineBook(100_000)
+    book = EngineLoadTracker(100_000)
     book.begin(("peer", 1), 1.4, 0, 0.0)
     assert book.wait(0, 0.1) > 0
-    assert book.wait(0, FORGET_SECONDS + 0.1) == 0
-    assert book.reading == {}
+    assert book.wait(0, PENDING_TTL_SECONDS + 0.1) == 0
+    assert book.pending_prefills == {}
 
 
 def test_slowness_shows_and_fades():
-    book = EngineBook(100_000)
+    book = EngineLoadTracker(100_000)
     for number in range(6):
-        book.measure(0.05, 0.5, number * 0.1)
-    assert book.slow(0.5) > 4
-    assert book.slow(0.5 + 5 * SLOW_SECONDS) < 1.2
-    book.measure(0.05, 0.05, 1.0)
-    assert book.slow(1.0) == pytest.approx(1.0)
+        book.observe_slowdown(0.05, 0.5, number * 0.1)
+    assert book.slowdown(0.5) > 4
+    assert book.slowdown(0.5 + 5 * SLOWDOWN_DECAY_SECONDS) < 1.2
+    book.observe_slowdown(0.05, 0.05, 1.0)
+    assert book.slowdown(1.0) == pytest.approx(1.0)
 
 
 def test_overtaken_work_is_marked():
     """Its time would say more of the urgent work than of the engine."""
-    book = EngineBook(100_000)
+    book = EngineLoadTracker(100_000)
     book.begin(("e", 1), 0.1, 7, 0.0)
     book.begin(("e", 2), 0.01, 0, 0.01)
     assert not book.end(("e", 2), 0.2).overtaken
@@ -198,21 +213,21 @@
 
 
 def test_silence_allows_for_the_prompt_under_way():
-    book = EngineBook(100_000)
-    assert book.silent_at(5.0, 5.0) == pytest.approx(5.0 + SILENT_SECONDS)
+    book = EngineLoadTracker(100_000)
+    assert book.unresponsive_at(5.0, 5.0) == pytest.approx(5.0 + UNRESPONSIVE_SECONDS)
     book.begin(("e", 1), 1.4, 7, 5.0)
-    assert book.silent_at(5.0, 5.0) > 5.0 + SILENT_SECONDS + 1.0
-    book.heard_at = 6.0
-    assert book.silent_at(5.0, 6.0) > 6.0 + SILENT_SECONDS
+    assert book.unresponsive_at(5.0, 5.0) > 5.0 + UNRESPONSIVE_SECONDS + 1.0
+    book.last_reply_at = 6.0
+    assert book.unresponsive_at(5.0, 6.0) > 6.0 + UNRESPONSIVE_SECONDS
 
 
 def test_prefix_memory_counts_only_an_unbroken_beginning():
-    memory = PrefixMemory(1_000)
+    memory = PrefixCacheModel(1_000)
     memory.store([(1, 400), (2, 300)])
-    assert memory.cached([(1, 400), (3, 50), (2, 300)]) == 400
-    assert memory.cached([(2, 300)]) == 300
+    assert memory.expected_cached_tokens([(1, 400), (3, 50), (2, 300)]) == 400
+    assert memory.expected_cached_tokens([(2, 300)]) == 300
     memory.store([(4, 600)])
-    assert memory.cached([(1, 400)]) == 0
+    assert memory.expected_cached_tokens([(1, 400)]) == 0
     assert memory.total <= 1_000
 
 
@@ -246,25 +261,27 @@
 
 
 def test_plain_upstream_that_fails_is_left_out_and_comes_back():
-    book = PlainBook()
+    book = PlainUpstreamLoad()
     for _ in range(FAILURES_TO_EJECT):
         book.failed(1.0)
     assert book.is_ejected(1.0)
-    assert not book.is_ejected(1.0 + EJECTED_SECONDS)
+    assert not book.is_ejected(1.0 + EJECTION_SECONDS)
     views = [
-        PlainView("a", True, 6, 0.0, book.is_ejected(1.0)),
-        PlainView("b", True, 6, 5.0),
+        PlainCandidate("a", True, 6, 0.0, book.is_ejected(1.0)),
+        PlainCandidate("b", True, 6, 5.0),
     ]
     rng = random.Random(1)
-    assert {choose_plain(views, rng) for _ in range(20)} == {"b"}
-    assert choose_plain(views[:1], rng) == "a"
-    assert choose_plain([], rng) is None
+    assert {choose_plain_upstream(views, rng) for _ in range(20)} == {"b"}
+    assert choose_plain_upstream(views[:1], rng) == "a"
+    assert choose_plain_upstream([], rng) is None
 
 
 def test_plain_calls_spread_by_load():
     rng = random.Random(5)
-    views = [PlainView(str(n), True, 6, load) for n, load in enumerate((0, 0, 6, 6))]
-    chosen = [choose_plain(views, rng) for _ in range(600)]
+    views = [
+        PlainCandidate(str(n), True, 6, load) for n, load in enumerate((0, 0, 6, 6))
+    ]
+    chosen = [choose_plain_upstream(views, rng) for _ in range(600)]
     assert chosen.count("0") + chosen.count("1") > 450
 
 
@@ -273,7 +290,7 @@
     [(1, 0.0, 1), (2, 0.0, 1), (3, 0.9, 2), (5, 0.0, 2), (6, 0.05, 2), (6, 0.5, 5)],
 )
 def test_answering_engines_wanted(engines, share, wanted):
-    assert wanted_answering(engines, share) == wanted
+    assert wanted_decode_engines(engines, share) == wanted
 
 
 def roles(prefill: int, decode: int) -> list[EngineRole]:
@@ -360,7 +377,7 @@
     """
     meter = MixMeter()
     meter.observe(45_000, 2_100, 0.0)
-    assert wanted_answering(25, meter.decode_share) == 3
+    assert wanted_decode_engines(25, meter.decode_share) == 3
 
 
 @dataclasses.dataclass
@@ -375,7 +392,7 @@
     """Engines that read one prompt at a time, the most urgent waiting one next."""
 
     def __init__(self, count: int) -> None:
-        self.books = [EngineBook(400_000) for _ in range(count)]
+        self.books = [EngineLoadTracker(400_000) for _ in range(count)]
         self.waiting = [[] for _ in range(count)]
         self.running = [None] * count
         self.late = {0: 0, 1: 0, 2: 0}
@@ -398,11 +415,11 @@
                     self.start(number, prompt, key, done)
 
     def start(self, number: int, prompt: Prompt, key, now: float) -> None:
-        self.running[number] = (now + read_seconds(prompt.tokens), prompt, key)
+        self.running[number] = (now + predicted_seconds(prompt.tokens), prompt, key)
 
     def send(self, number: int, prompt: Prompt, key) -> None:
-        priority = priority_of(prompt.rank, prompt.tokens)
-        seconds = read_seconds(prompt.tokens)
+        priority = prefill_priority(prompt.rank, prompt.tokens)
+        seconds = predicted_seconds(prompt.tokens)
         self.books[number].begin(key, seconds, priority, prompt.arrives)
         if self.running[number] is None:
             self.start(number, prompt, key, prompt.arrives)
@@ -436,21 +453,23 @@
 
 
 def by_policy(engines: SerialEngines, prompt: Prompt) -> int:
-    priority = priority_of(prompt.rank, prompt.tokens)
+    priority = prefill_priority(prompt.rank, prompt.tokens)
     views = [
-        EngineView(
+        EngineCandidate(
             str(number),
             Role.PREFILL,
             True,
             book.wait(priority, prompt.arrives),
-            read_seconds(prompt.tokens),
+            predicted_seconds(prompt.tokens),
             1.0,
             0.0,
         )
         for number, book in enumerate(engines.books)
     ]
-    answering = view("d", Role.DECODE, answers=99.0)
-    return int(place([*views, answering], prompt.objective, TIGHT).prefill)
+    answering = view("d", Role.DECODE, running_decodes=99.0)
+    return int(
+        place_prompt([*views, answering], prompt.objective, TIGHT).prefill_engine
+    )
 
 
 def by_count(engines: SerialEngines, prompt: Prompt) -> int:
@@ -458,7 +477,7 @@
 
 
 def shortest_wait(engines: SerialEngines, prompt: Prompt) -> int:
-    priority = priority_of(prompt.rank, prompt.tokens)
+    priority = prefill_priority(prompt.rank, prompt.tokens)
     return min(
         range(4),
         key=lambda n: engines.books[n].wait(priority, prompt.arrives),
@@ -483,7 +502,7 @@
     In this replay everything is known at once; packing must not make it worse.
     """
     packed = sum(sum(replay(by_policy, seed).late.values()) for seed in range(6))
-    monkeypatch.setattr(direct_placement, "LONG_SHARE", math.inf)
+    monkeypatch.setattr(direct_placement, "LONG_PROMPT_SHARE", math.inf)
     spread = sum(sum(replay(by_policy, seed).late.values()) for seed in range(6))
     assert packed <= spread * 1.2
 
@@ -511,7 +530,7 @@
     By its place in the queue alone the long one would be let in and left by its caller
     in the queue; foreseen, it is refused at once or read elsewhere.
     """
-    book = EngineBook(470_000)
+    book = EngineLoadTracker(470_000)
     now = 0.0
     while now < 5.0:
         now += every
@@ -527,13 +546,13 @@
 
 
 def test_urgent_load_is_bounded_and_fades():
-    book = EngineBook(470_000)
+    book = EngineLoadTracker(470_000)
     for number in range(100):
         book.begin(("e", number), 0.1, 0, 0.0)
         book.end(("e", number), 0.0)
     book.begin(("e", 100), 0.4, 5, 0.0)
-    assert book.expected_wait(5, 0.0) == pytest.approx(0.4 / (1 - MOST_URGENT))
-    later = 20 * URGENT_SECONDS
+    assert book.expected_wait(5, 0.0) == pytest.approx(0.4 / (1 - MAX_URGENT_SHARE))
+    later = 20 * URGENT_LOAD_SECONDS
     book.begin(("e", 101), 0.4, 5, later)
     assert book.expected_wait(5, later) == pytest.approx(book.wait(5, later), rel=0.01)
 
@@ -575,13 +594,15 @@
         others = [w for w, a in zip(found, arrivals, strict=True) if a[1] == 0]
         return max(checks), max(others)
 
-    before, others_before = waits(lambda rank, prompt, _: priority_of(rank, prompt))
-    after, others_after = waits(answer_priority)
+    before, others_before = waits(
+        lambda rank, prompt, _: prefill_priority(rank, prompt)
+    )
+    after, others_after = waits(decode_priority)
     assert before > 2.0
     assert after < 0.7
     assert others_after < others_before + 0.1
 
 
 def test_answer_of_unknown_length_has_its_prompts_priority():
-    assert answer_priority(2, 12_000, 0) == priority_of(2, 12_000)
-    assert answer_priority(2, 12_000, 5_000) == priority_of(2, 12_000)
+    assert decode_priority(2, 12_000, 0) == prefill_priority(2, 12_000)
+    assert decode_priority(2, 12_000, 5_000) == prefill_priority(2, 12_000)
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -359,7 +359,7 @@
         # Unknown to the entry, the other reader is the worse choice.
         others = entry.fleet.members("llm", asyncio.get_running_loop().time())
         busy = next(member for member in others if member.name == "i-2")
-        book = entry.core.context.placing.engine_book(busy)
+        book = entry.core.context.placing.engine_load(busy)
         book.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
         asking = asyncio.create_task(
             entry.ask("/slow/x", X_Deadline_Ms="60000", **LONG)
@@ -386,7 +386,7 @@
         placing = entry.core.context.placing
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_book(upstream).begin(("peer", 1), 5.0, 0, now)
+            placing.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         began = time.monotonic()
         got = await entry.ask("/talk/x", **LONG)
         assert time.monotonic() - began < 0.2
@@ -411,7 +411,7 @@
         placing = entry.core.context.placing
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_book(upstream).begin(("peer", 1), 5.0, 0, now)
+            placing.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         told = []
         for number in range(8):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **LONG)
--- a/tests/test_entry_share.py
+++ b/tests/test_entry_share.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from bergamotmast.policy.entry_share import GROWTH_SECONDS
-from bergamotmast.policy.entry_share import LEAST_ENTRIES
-from bergamotmast.policy.entry_share import REMEMBERED_SECONDS
+from bergamotmast.policy.entry_share import LAPSED_ENTRY_SECONDS
+from bergamotmast.policy.entry_share import MIN_ENTRIES
+from bergamotmast.policy.entry_share import RAMP_UP_SECONDS
 from bergamotmast.policy.entry_share import EntryShare
 
 NAMES = [f"e{number}" for number in range(8)]
@@ -14,7 +14,7 @@
     share = EntryShare("e0")
     share.on_lapsed("e7", 1.0)
     assert share.entries(NAMES[:7], 1.0) == 8
-    assert share.entries(NAMES[:7], 1.0 + REMEMBERED_SECONDS) == 7
+    assert share.entries(NAMES[:7], 1.0 + LAPSED_ENTRY_SECONDS) == 7
 
 
 def test_an_entry_that_is_back_counts_once():
@@ -25,17 +25,17 @@
 
 
 def test_few_entries_are_taken_for_some():
-    assert EntryShare("e0").entries([], 0.0) == LEAST_ENTRIES
+    assert EntryShare("e0").entries([], 0.0) == MIN_ENTRIES
 
 
 def test_the_part_grows_while_the_store_is_heard():
     share = EntryShare("e0")
-    share.on_heard(1.0)
+    share.on_store_reply(1.0)
     share.on_registered("e1", 1.0)
-    assert share.part(NAMES, 9.0) == 0.0
+    assert share.share(NAMES, 9.0) == 0.0
     share.on_registered("e0", 2.0)
-    share.on_heard(2.0 + GROWTH_SECONDS / 4)
-    assert share.part(NAMES, 90.0) == 1 / 4 / len(NAMES)
+    share.on_store_reply(2.0 + RAMP_UP_SECONDS / 4)
+    assert share.share(NAMES, 90.0) == 1 / 4 / len(NAMES)
     share.on_registered("e0", 90.0)
-    share.on_heard(95.0)
-    assert share.part(NAMES, 95.0) == 1 / len(NAMES)
+    share.on_store_reply(95.0)
+    assert share.share(NAMES, 95.0) == 1 / len(NAMES)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -21,7 +21,7 @@
 from bergamotmast.direct.time_limits import TimeLimits
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
-from bergamotmast.policy.last_requests import End
+from bergamotmast.policy.shutdown_admission import ShutdownWindow
 from bergamotmast.protocol.plan import EnginePlan
 from bergamotmast.protocol.plan import encode_record
 from bergamotmast.protocol.plan import engine_key
@@ -336,7 +336,7 @@
     tasks = [asyncio.create_task(work(seconds)) for seconds in (0.02, 3.0)]
     await asyncio.sleep(0.05)
     now = loop.time()
-    limits.begin(End(now + 0.1, now + 0.2))
+    limits.begin(ShutdownWindow(now + 0.1, now + 0.2))
     outcomes = await asyncio.gather(*tasks, return_exceptions=True)
     assert [type(outcome) for outcome in outcomes] == [TimeoutError, TimeoutError]
     assert loop.time() - now < 1.0
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -5,7 +5,7 @@
 from bergamotmast.adapters.metrics import MAX_TENANTS
 from bergamotmast.adapters.metrics import OpenTelemetryMetrics
 from bergamotmast.errors import ResultCode
-from bergamotmast.policy.size_bands import SizeBand
+from bergamotmast.policy.size_classes import SizeClass
 
 
 def test_series_stay_bounded_whatever_callers_send():
@@ -38,7 +38,7 @@
 )
 def test_ends_are_counted_by_size_of_the_prompt(code, result):
     metrics = OpenTelemetryMetrics("entry-1")
-    metrics.on_sized_end("report", SizeBand.LARGEST, code)
+    metrics.on_sized_end("report", SizeClass.LARGEST, code)
     (line,) = [
         line
         for line in metrics.exposition().decode().splitlines()
--- a/tests/test_policy_entry.py
+++ b/tests/test_policy_entry.py
@@ -105,8 +105,8 @@
         for number in range(3):
             entry.choose(call(number), [candidate(n) for n in "abcdef"], 0.0)
             entry.on_ended(name, call(number), ResultCode.UPSTREAM_FAILED, 0, 0.0)
-    fit = entry.ejector.fit(list("abcdef"), 0.1)
-    assert len(fit) == 4
+    eligible = entry.ejector.eligible(list("abcdef"), 0.1)
+    assert len(eligible) == 4
 
 
 def test_hot_prefix_stays_until_its_upstream_is_busy() -> None:
