--- a/tests/test_policy_queueing.py
+++ b/tests/test_policy_queueing.py
@@ -139,4 +139,4 @@
     assert policy.waiting_cost() == Cost(0, 0)
     assert policy.running_decode() == 0
     assert policy.kv_free() == 1.0
-    assert sum(policy.prefill_ahead.values()) == 0
+    assert sum(policy.unfinished_prefill.values()) == 0
--- a/tests/test_policy_shifting.py
+++ b/tests/test_policy_shifting.py
@@ -10,7 +10,7 @@
 from bergamotmast.model import Role
 from bergamotmast.model import SideReport
 from bergamotmast.policy.interfaces import EngineView
-from bergamotmast.policy.interfaces import FleetPicture
+from bergamotmast.policy.interfaces import GroupSnapshot
 from bergamotmast.policy.interfaces import RoleChange
 from bergamotmast.policy.shifting import PaybackShiftPolicy
 
@@ -51,8 +51,8 @@
             self.offered[0] += prefill
             self.offered[1] += decode
             views = tuple(self.view(n, now) for n in sorted(self.roles))
-            picture = FleetPicture("main", views, self.bounds, 5.0)
-            change = self.policy.decide(picture, float(now))
+            snapshot = GroupSnapshot("main", views, self.bounds, 5.0)
+            change = self.policy.decide(snapshot, float(now))
             if change is not None:
                 self.changes.append((now, change))
                 self.roles[change.engine] = change.role
--- a/tests/test_policy_last_requests.py
+++ b/tests/test_policy_shutdown.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from bergamotmast.policy.direct_refusal import RETURN_SPREAD_SECONDS
+from bergamotmast.policy.direct_refusal import RETRY_JITTER_SECONDS
 from bergamotmast.policy.direct_refusal import retry_after
-from bergamotmast.policy.last_requests import RETURN_SECONDS
-from bergamotmast.policy.last_requests import End
-from bergamotmast.policy.last_requests import is_taken
+from bergamotmast.policy.shutdown_admission import SHUTDOWN_RETRY_SECONDS
+from bergamotmast.policy.shutdown_admission import ShutdownWindow
+from bergamotmast.policy.shutdown_admission import is_admitted
 
-END = End(routed_until=12.6, end_by=17.0)
+END = ShutdownWindow(routed_until=12.6, end_by=17.0)
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
     ],
 )
 def test_a_request_is_taken_if_it_has_its_whole_time(now, deadline, taken):
-    assert is_taken(END, deadline, now) is taken
+    assert is_admitted(END, deadline, now) is taken
 
 
 def test_the_callers_of_three_ending_entries_do_not_return_in_one_moment():
@@ -38,8 +38,8 @@
     spread more than a quarter of them return.
     """
     rng = random.Random(4)
-    told = sorted(retry_after(rng, RETURN_SECONDS) for _ in range(100))
-    assert told[0] >= RETURN_SECONDS
-    assert told[-1] <= RETURN_SECONDS + RETURN_SPREAD_SECONDS
-    tenth = RETURN_SPREAD_SECONDS / 10
+    told = sorted(retry_after(rng, SHUTDOWN_RETRY_SECONDS) for _ in range(100))
+    assert told[0] >= SHUTDOWN_RETRY_SECONDS
+    assert told[-1] <= SHUTDOWN_RETRY_SECONDS + RETRY_JITTER_SECONDS
+    tenth = RETRY_JITTER_SECONDS / 10
     assert max(sum(t <= x < t + tenth for x in told) for t in told) <= 25
--- a/tests/test_read_model.py
+++ b/tests/test_prefill_model.py
@@ -9,12 +9,12 @@
 import pytest
 
 from bergamotmast.model import Role
-from bergamotmast.policy.engine_book import MOST_SLOW
-from bergamotmast.policy.engine_book import EngineBook
-from bergamotmast.policy.read_model import READING_GUESS
-from bergamotmast.policy.read_model import GroupReads
-from bergamotmast.policy.read_model import Pace
-from bergamotmast.policy.read_model import ReadModel
+from bergamotmast.policy.engine_load import MAX_SLOWDOWN
+from bergamotmast.policy.engine_load import EngineLoadTracker
+from bergamotmast.policy.prefill_model import PREFILL_ENGINE_PRIOR
+from bergamotmast.policy.prefill_model import EngineTimeRatio
+from bergamotmast.policy.prefill_model import GroupPrefillTimes
+from bergamotmast.policy.prefill_model import PrefillTimeModel
 
 READS = 48
 WITHIN = 1.25
@@ -81,7 +81,7 @@
     turned away though there would be time.
     """
     make, rng = MAKES[name], random.Random(seed)
-    model = ReadModel(READING_GUESS)
+    model = PrefillTimeModel(PREFILL_ENGINE_PRIOR)
     for tokens, cached in prompts(rng, READS):
         model.learn(tokens, cached, disturbed(rng, make.seconds(tokens, cached)))
     for tokens, cached in ((1_000, 0), (4_000, 13_000), (15_000, 0), (45_000, 0)):
@@ -91,47 +91,47 @@
 
 def test_engines_of_one_group_have_each_their_pace():
     """Two of four engines take 1.5 times as long: no read of theirs shows the rest."""
-    rng, group = random.Random(1), GroupReads()
+    rng, group = random.Random(1), GroupPrefillTimes()
     paces = [1.0, 1.5, 1.0, 1.5]
-    books = [EngineBook(500_000, group) for _ in paces]
+    books = [EngineLoadTracker(500_000, group) for _ in paces]
     make = Make(30_000)
     for _ in range(READS):
-        for pace, book in zip(paces, books, strict=True):
+        for time_ratio, book in zip(paces, books, strict=True):
             ((tokens, cached),) = prompts(rng, 1)
-            book.learn(tokens, cached, pace * make.seconds(tokens, cached))
-    for pace, book in zip(paces, books, strict=True):
-        ratio = book.read_seconds(9_000, 0) / (pace * make.seconds(9_000, 0))
+            book.learn(tokens, cached, time_ratio * make.seconds(tokens, cached))
+    for time_ratio, book in zip(paces, books, strict=True):
+        ratio = book.prefill_seconds(9_000, 0) / (time_ratio * make.seconds(9_000, 0))
         assert 1 / WITHIN < ratio < WITHIN
 
 
 def test_roles_are_learned_apart():
-    group = GroupReads()
-    book = EngineBook(500_000, group)
+    group = GroupPrefillTimes()
+    book = EngineLoadTracker(500_000, group)
     book.role = Role.MIXED
     for tokens, cached in prompts(random.Random(2), READS):
         book.learn(tokens, cached, 4 * Make(20_000).seconds(tokens, cached))
-    assert group.reading.times == READING_GUESS
-    assert book.read_seconds(5_000, 0) > 3 * Make(20_000).seconds(5_000, 0)
+    assert group.prefill_engines.times == PREFILL_ENGINE_PRIOR
+    assert book.prefill_seconds(5_000, 0) > 3 * Make(20_000).seconds(5_000, 0)
 
 
 def test_a_few_odd_reads_change_little():
     """One prompt that waited for a second leaves its engine as good as before."""
-    pace = Pace()
+    time_ratio = EngineTimeRatio()
     for _ in range(10):
-        pace.learn(0.1, 0.1)
-    pace.learn(0.1, 1.1)
-    assert pace.factor < 1.2
+        time_ratio.learn(0.1, 0.1)
+    time_ratio.learn(0.1, 1.1)
+    assert time_ratio.factor < 1.2
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
 def test_what_can_not_be_is_left_out(seconds):
-    model, pace = ReadModel(READING_GUESS), Pace()
+    model, time_ratio = PrefillTimeModel(PREFILL_ENGINE_PRIOR), EngineTimeRatio()
     for _ in range(READS):
         model.learn(1_000, 0, seconds)
         model.learn(0, 0, 1.0)
-        pace.learn(0.1, seconds)
-    assert model.times == READING_GUESS
-    assert pace.factor == 1.0
+        time_ratio.learn(0.1, seconds)
+    assert model.times == PREFILL_ENGINE_PRIOR
+    assert time_ratio.factor == 1.0
 
 
 def test_the_longest_prompt_under_way_is_found_out():
@@ -141,7 +141,7 @@
     then, and an urgent one that has just come. Taken for the present one, the urgent
     one seems to be read in a moment, and so does each that comes after it.
     """
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     book.begin(("a", 1), 0.1, 5, 0.0)
     book.begin(("a", 2), 1.0, 9, 0.05)
     book.begin(("b", 1), 0.03, 0, 0.095)
@@ -152,7 +152,7 @@
 
 def test_a_present_prompt_that_takes_too_long_is_another_one():
     """The guess was wrong, and nothing ends that would tell: its own time tells."""
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     book.begin(("a", 1), 0.03, 0, 0.0)
     book.begin(("a", 2), 1.0, 9, 0.01)
     assert book.current == ("a", 1)
@@ -162,7 +162,7 @@
 
 def test_the_end_of_any_prompt_turns_the_engine_to_the_next():
     """It was not thought to be under way: what was thought so is not, either."""
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     book.begin(("a", 1), 0.5, 5, 0.0)
     book.begin(("a", 2), 0.2, 3, 0.01)
     book.begin(("a", 3), 0.4, 4, 0.02)
@@ -172,7 +172,7 @@
 
 
 def test_a_caller_that_leaves_says_nothing_of_the_present_prompt():
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     book.begin(("a", 1), 0.5, 5, 0.0)
     book.begin(("a", 2), 0.2, 6, 0.01)
     book.end(("a", 2), 0.25, done=False)
@@ -181,7 +181,7 @@
 
 
 def test_slowness_stays_bounded():
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     for number in range(200):
-        book.measure(0.01, 100.0, number * 0.01)
-    assert book.slow(2.0) <= MOST_SLOW
+        book.observe_slowdown(0.01, 100.0, number * 0.01)
+    assert book.slowdown(2.0) <= MAX_SLOWDOWN
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -79,7 +79,7 @@
     async def serve(self, seconds: float) -> None:
         """Let time pass in which the store is heard."""
         await asyncio.sleep(seconds)
-        self.fleet.entry_share.on_heard(asyncio.get_running_loop().time())
+        self.fleet.entry_share.on_store_reply(asyncio.get_running_loop().time())
 
     def send_all(self) -> int:
         """Send again as often as the budget lets, as if every engine failed."""
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from bergamotmast.settings import declarations
 from bergamotmast.settings import load_settings
 
-ALL = (KeyValueSettings, EntrySettings, SideSettings)
+ALL_DECISIONS = (KeyValueSettings, EntrySettings, SideSettings)
 
 REQUIRED = {
     "BERGAMOTMAST_NAME": "engine-1",
@@ -35,7 +35,7 @@
     return load_settings(settings, parser.parse_args(flags), environment)
 
 
-@pytest.mark.parametrize("settings", ALL)
+@pytest.mark.parametrize("settings", ALL_DECISIONS)
 def test_every_default_is_allowed(settings):
     for declaration in declarations(settings):
         if declaration.default is not None:
@@ -47,12 +47,12 @@
 def test_no_setting_is_taken_and_ignored():
     package = pathlib.Path(bergamotmast.__file__).parent
     code = "\n".join(path.read_text() for path in package.rglob("*.py"))
-    for settings in ALL:
+    for settings in ALL_DECISIONS:
         for declaration in declarations(settings):
             assert re.search(rf"\bsettings\.{declaration.field}\b", code), declaration
 
 
-@pytest.mark.parametrize("settings", ALL)
+@pytest.mark.parametrize("settings", ALL_DECISIONS)
 def test_help_shows_every_setting_below_its_group(settings):
     parser = argparse.ArgumentParser()
     add_settings(parser, settings)
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -11,11 +11,11 @@
 from bergamotmast.direct.silence import silence_limit
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.platform.orders import PlatformOrders
-from bergamotmast.policy.engine_book import FORGET_SECONDS
-from bergamotmast.policy.engine_book import OVERDUE_FACTOR
-from bergamotmast.policy.engine_book import SILENT_SECONDS
-from bergamotmast.policy.engine_book import EngineBook
-from bergamotmast.policy.read_model import READING_GUESS
+from bergamotmast.policy.engine_load import OVERDUE_FACTOR
+from bergamotmast.policy.engine_load import PENDING_TTL_SECONDS
+from bergamotmast.policy.engine_load import UNRESPONSIVE_SECONDS
+from bergamotmast.policy.engine_load import EngineLoadTracker
+from bergamotmast.policy.prefill_model import PREFILL_ENGINE_PRIOR
 from bergamotmast.policy.retry_window import RetryLimits
 from direct_support import config
 from direct_support import engine
@@ -206,18 +206,20 @@
     The caller leaves after 2.4 s. Begun anew elsewhere then, it would be read there by
     2.3 s at best, and everything behind it would wait a second longer.
     """
-    book = EngineBook(500_000)
-    book.begin(("e", 1), READING_GUESS.occupied(17_000, 0), 5, 0.0)
-    book.begin(("e", 2), READING_GUESS.occupied(44_000, 0), 8, 0.0)
-    takes = READING_GUESS.occupied(17_000, 0) + READING_GUESS.occupied(44_000, 0)
+    book = EngineLoadTracker(500_000)
+    book.begin(("e", 1), PREFILL_ENGINE_PRIOR.occupied_seconds(17_000, 0), 5, 0.0)
+    book.begin(("e", 2), PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0), 8, 0.0)
+    takes = PREFILL_ENGINE_PRIOR.occupied_seconds(
+        17_000, 0
+    ) + PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0)
     assert book.overdue_at(("e", 2)) == pytest.approx(
-        OVERDUE_FACTOR * takes + SILENT_SECONDS
+        OVERDUE_FACTOR * takes + UNRESPONSIVE_SECONDS
     )
     assert book.overdue_at(("e", 1)) < book.overdue_at(("e", 2))
 
 
 def test_what_overtakes_a_prompt_puts_its_end_off():
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     book.begin(("e", 1), 0.5, 8, 0.0)
     before = book.overdue_at(("e", 1))
     book.begin(("e", 2), 0.3, 2, 0.1)
@@ -225,17 +227,20 @@
 
 
 def test_a_slow_engine_is_given_longer():
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     for number in range(12):
-        book.measure(0.1, 0.3, number * 0.05)
+        book.observe_slowdown(0.1, 0.3, number * 0.05)
     book.begin(("e", 1), 0.5, 8, 0.6)
-    assert book.overdue_at(("e", 1)) > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + SILENT_SECONDS
+    assert (
+        book.overdue_at(("e", 1))
+        > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + UNRESPONSIVE_SECONDS
+    )
 
 
 def test_a_forgotten_prompt_is_overdue():
-    book = EngineBook(500_000)
+    book = EngineLoadTracker(500_000)
     book.begin(("e", 1), 0.5, 8, 0.0)
-    book.wait(9, FORGET_SECONDS + 0.1)
+    book.wait(9, PENDING_TTL_SECONDS + 0.1)
     assert book.overdue_at(("e", 1)) < 0.0
 
 
--- a/tests/test_size_shares.py
+++ b/tests/test_size_shares.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from bergamotmast.policy.size_bands import MOST_CLASSES
-from bergamotmast.policy.size_bands import SizeBand
-from bergamotmast.policy.size_shares import LEAST_SHARE
-from bergamotmast.policy.size_shares import MOST_AHEAD
-from bergamotmast.policy.size_shares import MOST_OWED
+from bergamotmast.policy.size_classes import MAX_REQUEST_CLASSES
+from bergamotmast.policy.size_classes import SizeClass
+from bergamotmast.policy.size_shares import MAX_DEFICIT_PROMPTS
+from bergamotmast.policy.size_shares import MAX_SURPLUS_PROMPTS
+from bergamotmast.policy.size_shares import MIN_SERVED_SHARE
 from bergamotmast.policy.size_shares import SizedPrompt
 from bergamotmast.policy.size_shares import SizeShares
 from bergamotmast.served_shares import LEAST_RATIO
@@ -54,76 +54,76 @@
     return classes
 
 
-@pytest.mark.parametrize("band", [SizeBand.LARGEST, SizeBand.LARGE])
-def test_at_most_one_prompt_goes_first_after_all_were_served(classes, band):
+@pytest.mark.parametrize("size_class", [SizeClass.LARGEST, SizeClass.LARGE])
+def test_at_most_one_prompt_goes_first_after_all_were_served(classes, size_class):
     shares = classes.classes["report"]
-    assert sum(SizedPrompt(shares, band).claim() for _ in range(20)) <= 1
+    assert sum(SizedPrompt(shares, size_class).claim() for _ in range(20)) <= 1
 
 
-@pytest.mark.parametrize("band", [SizeBand.LARGEST, SizeBand.LARGE])
-def test_a_refused_band_gets_half_of_what_its_class_gets(classes, band):
+@pytest.mark.parametrize("size_class", [SizeClass.LARGEST, SizeClass.LARGE])
+def test_a_refused_band_gets_half_of_what_its_class_gets(classes, size_class):
     rng = random.Random(7)
     claims = []
     ends = []
     for _ in range(4_000):
         prompt = sized(classes, rng.randrange(100, 300))
         served = rng.random() < 0.6
-        if prompt.band is band:
+        if prompt.size_class is size_class:
             served = prompt.claim()
             claims.append(served)
         prompt.end(served=served)
         ends.append(served)
     served_of_all = sum(ends) / len(ends)
-    allowed = [part * served_of_all for part in (LEAST_RATIO, LEAST_SHARE + 0.1)]
+    allowed = [part * served_of_all for part in (LEAST_RATIO, MIN_SERVED_SHARE + 0.1)]
     assert allowed[0] <= sum(claims) / len(claims) <= allowed[1]
 
 
 def test_one_debt_lets_one_prompt_go_first(classes):
     shares = classes.classes["report"]
-    shares.owed[SizeBand.LARGEST] = 0.7
-    prompts = [SizedPrompt(shares, SizeBand.LARGEST) for _ in range(5)]
+    shares.deficits[SizeClass.LARGEST] = 0.7
+    prompts = [SizedPrompt(shares, SizeClass.LARGEST) for _ in range(5)]
     assert [prompt.claim() for prompt in prompts] == [True] + [False] * 4
     assert prompts[0].claim()
 
 
 def test_a_prompt_that_went_first_in_vain_is_owed_again(classes):
     shares = classes.classes["report"]
-    shares.owed[SizeBand.LARGEST] = 0.7
-    prompt = SizedPrompt(shares, SizeBand.LARGEST)
+    shares.deficits[SizeClass.LARGEST] = 0.7
+    prompt = SizedPrompt(shares, SizeClass.LARGEST)
     assert prompt.claim()
     prompt.end(served=False)
-    assert shares.owed[SizeBand.LARGEST] == pytest.approx(0.7)
+    assert shares.deficits[SizeClass.LARGEST] == pytest.approx(0.7)
 
 
 def test_an_outage_leaves_no_lasting_debt(classes):
     shares = classes.classes["report"]
     for _ in range(500):
-        SizedPrompt(shares, SizeBand.LARGEST).end(served=False)
-        SizedPrompt(shares, SizeBand.REST).end(served=True)
-    assert shares.owed[SizeBand.LARGEST] == MOST_OWED
+        SizedPrompt(shares, SizeClass.LARGEST).end(served=False)
+        SizedPrompt(shares, SizeClass.REST).end(served=True)
+    assert shares.deficits[SizeClass.LARGEST] == MAX_DEFICIT_PROMPTS
 
 
 def test_what_was_served_in_calm_times_hardly_counts(classes):
     shares = classes.classes["report"]
     for _ in range(100):
-        SizedPrompt(shares, SizeBand.LARGEST).end(served=True)
-    least = MOST_AHEAD / (LEAST_SHARE * 0.1)
+        SizedPrompt(shares, SizeClass.LARGEST).end(served=True)
+    least = MAX_SURPLUS_PROMPTS / (MIN_SERVED_SHARE * 0.1)
     for _ in range(int(least) + 2):
-        SizedPrompt(shares, SizeBand.REST).end(served=True)
-    assert SizedPrompt(shares, SizeBand.LARGEST).claim()
+        SizedPrompt(shares, SizeClass.REST).end(served=True)
+    assert SizedPrompt(shares, SizeClass.LARGEST).claim()
 
 
 def test_nothing_is_owed_where_nothing_of_a_class_is_served(classes):
     shares = classes.classes["report"]
-    shares.owed[SizeBand.LARGEST] = 0.0
+    shares.deficits[SizeClass.LARGEST] = 0.0
     for _ in range(100):
-        prompt = SizedPrompt(shares, SizeBand.LARGEST)
+        prompt = SizedPrompt(shares, SizeClass.LARGEST)
         assert not prompt.claim()
         prompt.end(served=False)
 
 
 def test_accounts_are_bounded_whatever_the_configuration_names():
     classes = SizeShares()
-    for number in range(10 * MOST_CLASSES):
+    for number in range(10 * MAX_REQUEST_CLASSES):
         classes.begin(f"class-{number}", 1).end(served=True)
-    assert len(classes.classes) == MOST_CLASSES
+    assert len(classes.classes) == MAX_REQUEST_CLASSES
