--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry without its sockets: what is let in, where it goes, how it is answered."""
+"""Transport-independent core of an entry: admission, routing and request lifecycle."""
 
 from __future__ import annotations
 
@@ -36,21 +36,26 @@
 
 logger = logging.getLogger(__name__)
 
-SHUTDOWN_NOTICE = 5.0
-"""Seconds that the platform's balancer is given to notice that an entry leaves."""
+READINESS_DRAIN_SECONDS = 5.0
+"""Seconds for which an entry that shuts down still serves new requests.
+
+The platform's load balancer needs this time to see that the entry is not ready.
+"""
 
 
 class EntryCore:
-    """One entry process without its sockets.
+    """Runs the requests of one entry process, without its sockets.
 
     :param name: name of the entry.
     :param zone: its availability zone.
-    :param incarnation: random for each start.
+    :param incarnation: random identifier of this start of the process.
     :param dialer: opens connections to sides.
-    :param policy: what is let in and where it goes.
+    :param instance_list: the platform's list of instances.
+    :param policy: decides on admission, routing and retries.
     :param holder: the configuration in force.
-    :param claims: claims of calls that run at most once.
+    :param claims: claims on idempotency keys, for calls that run at most once.
     :param rng: seeded source of jitter.
+    :param telemetry: receives metrics; none are recorded without it.
     """
 
     def __init__(
@@ -82,56 +87,57 @@
         self.in_flight = 0
         self.sizes = RequestClassSizes()
         self.placements: set[Placement] = set()
-        self._attempts = itertools.count(1)
-        self._hellos = itertools.count(1)
+        self._attempt_counter = itertools.count(1)
+        self._hello_counter = itertools.count(1)
         self._idle = asyncio.Event()
         self._idle.set()
 
     async def run(self) -> None:
-        """Keep connections to the sides until cancelled."""
+        """Maintain sessions with the sides until cancelled."""
         await self.membership.run()
 
-    async def close(self, notice: float = SHUTDOWN_NOTICE) -> None:
-        """Stop being ready, serve on for a while, then until the last answer is out.
+    async def close(self, drain_seconds: float = READINESS_DRAIN_SECONDS) -> None:
+        """Shut down gracefully: report not ready, then drain the requests in flight.
 
-        The balancer sends callers here until it has seen that the entry is not ready;
-        refusing at once would turn them away for a planned change.
+        The load balancer sends callers here until it has seen that the entry is not
+        ready. Refusing them at once would make a planned change fail their requests.
 
-        :param notice: seconds that the balancer is given.
+        :param drain_seconds: seconds for which new requests are still served.
         """
         self.closing = True
-        await asyncio.sleep(notice)
+        await asyncio.sleep(drain_seconds)
         self.refusing = True
         await self._idle.wait()
 
-    def end_requests(self) -> None:
-        """Let all requests in flight end now: each caller hears what is known of it.
+    def abort_requests(self) -> None:
+        """End all requests in flight now, each with the outcome that is known of it.
 
-        One that waits is "not run", one that runs ran, any other is "unknown".
+        A waiting request ends as "not run", a running one as "ran", and any other as
+        "unknown".
         """
         self.refusing = True
         for placement in self.placements:
-            placement.end()
+            placement.abort()
 
     @property
     def is_ready(self) -> bool:
-        """Whether the platform's balancer should send callers here."""
+        """Whether the platform's load balancer should send callers here."""
         if self.closing or self.holder.generation == 0:
             return False
         return any(peer.is_ready for peer in self.membership.peers.values())
 
     async def submit_model(self, call: ModelCall) -> cabc.AsyncGenerator[TokenChunk]:
-        """Yield the answer's chunks, in order and without gaps.
+        """Run a model request and yield its chunks, in order and without gaps.
 
-        :raises RequestError: if it ends without its whole answer.
+        :raises RequestError: if the request ends before its answer is complete.
         """
-        self._check_open()
+        self._require_open()
         if not self.holder.selection.knows_model(call.model):
             raise RequestError(
                 ResultCode.UNKNOWN_MODEL, f"No selector carries model {call.model!r}."
             )
         run = ModelRun(self, call)
-        with self._counted(call, run.placement):
+        with self._track_request(call, run.placement):
             chunks = run.chunks()
             async with contextlib.aclosing(chunks):
                 last = 0.0
@@ -140,19 +146,19 @@
                     yield chunk
 
     async def submit_service(self, call: ServiceCall) -> ServiceAnswer:
-        """Return the whole answer of a plain service.
+        """Run a call of a plain service and return its answer.
 
-        :raises RequestError: if it ends without one.
+        :raises RequestError: if the call ends without an answer.
         """
-        self._check_open()
+        self._require_open()
         run = ServiceRun(self, call)
-        with self._counted(call, run.placement):
+        with self._track_request(call, run.placement):
             return await run.answer()
 
-    # What a run asks of its entry
+    # Called by the runs of requests (see EntryContext)
 
     def candidates(self, call: ModelCall | ServiceCall) -> list[Candidate]:
-        """Return the upstreams that may be offered a call now."""
+        """Return the upstreams that a call may be offered to now."""
         allowed = self.holder.selection.upstreams(call)
         wanted = frozenset(wanted_names(call.model)) if _is_model(call) else None
         return [
@@ -161,11 +167,14 @@
             if name in allowed
             and peer.is_ready
             and not self.membership.is_leaving(name)
-            and (wanted is None or _carries(peer, wanted))
+            and (wanted is None or _serves_models(peer, wanted))
         ]
 
-    def reconnecting(self, call: ModelCall | ServiceCall) -> bool:
-        """Return whether an upstream for a call may have a session again soon."""
+    def has_reconnecting_upstream(self, call: ModelCall | ServiceCall) -> bool:
+        """Return whether an upstream for a call lost its session just now.
+
+        Such a session may be open again soon; see :attr:`Peer.reconnect_by`.
+        """
         now = asyncio.get_running_loop().time()
         allowed = self.holder.selection.upstreams(call)
         return any(
@@ -175,15 +184,15 @@
         )
 
     def peer(self, name: str) -> Peer:
-        """Return the peer of an upstream that was a candidate."""
+        """Return the connection to an upstream that was a candidate."""
         return self.membership.peers[name]
 
     def new_attempt_name(self) -> str:
-        """Return a name unique over the life of the system."""
-        return f"{self.incarnation}-{next(self._attempts)}"
+        """Return a name for an attempt, unique over the life of the system."""
+        return f"{self.incarnation}-{next(self._attempt_counter)}"
 
     def tenant_weight(self, tenant: str) -> float:
-        """Return a tenant's weight in the configuration in force."""
+        """Return a tenant's fair-queueing weight; 1.0 if none is configured."""
         configured = self.holder.current.tenants.get(tenant)
         return configured.weight if configured is not None else 1.0
 
@@ -194,12 +203,12 @@
             info=info,
             dialer=self.dialer,
             holder=self.holder,
-            counters=self._hellos,
+            counters=self._hello_counter,
             interval=interval,
             telemetry=self.telemetry,
         )
 
-    def _check_open(self) -> None:
+    def _require_open(self) -> None:
         if self.refusing:
             raise RequestError(ResultCode.SHUTTING_DOWN, retry_after=1.0)
 
@@ -215,10 +224,10 @@
         return now
 
     @contextlib.contextmanager
-    def _counted(
+    def _track_request(
         self, call: ModelCall | ServiceCall, placement: Placement
     ) -> cabc.Iterator[None]:
-        """Count a request in flight and measure its end."""
+        """Track a request while it is in flight and report how it ended."""
         self.in_flight += 1
         self.placements.add(placement)
         self._idle.clear()
@@ -245,7 +254,7 @@
     return isinstance(call, ModelCall)
 
 
-def _carries(peer: Peer, wanted: frozenset[str]) -> bool:
+def _serves_models(peer: Peer, wanted: frozenset[str]) -> bool:
     report = peer.report
     if report is None:
         return False
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -17,7 +17,7 @@
     "message",
     [
         messages.Welcome(1, "engine-1", "s", "i", 1, 7),
-        messages.ReportBeat("s", 1, 7, REPORT),
+        messages.ReportHeartbeat("s", 1, 7, REPORT),
         messages.Chunk("a", 0, 1, "x", "", 0, ""),
     ],
 )
@@ -51,7 +51,7 @@
         messages.Credit("s", "a", -1),
     ],
 )
-def test_numbers_that_would_upset_a_side_are_refused(message):
+def test_invalid_numbers_in_messages_to_a_side_are_refused(message):
     with pytest.raises(msgspec.ValidationError):
         messages.decode_to_side(messages.encode(message))
 
@@ -62,12 +62,12 @@
         messages.Refused("a", 201, math.inf),
         replace(CHUNK, tokens=-1),
         replace(CHUNK, index=-1),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, max_streams=0)),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, decode_rate=math.nan)),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, prefill_rate=-1.0)),
-        messages.ReportBeat("s", 1, 7, replace(REPORT, kv_free=math.nan)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, max_streams=0)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, decode_rate=math.nan)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, prefill_rate=-1.0)),
+        messages.ReportHeartbeat("s", 1, 7, replace(REPORT, kv_free=math.nan)),
     ],
 )
-def test_numbers_that_would_upset_an_entry_are_refused(message):
+def test_invalid_numbers_in_messages_to_an_entry_are_refused(message):
     with pytest.raises(msgspec.ValidationError):
         messages.decode_to_entry(messages.encode(message))
