--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -259,7 +259,7 @@
     ) -> None:
         """Refuse an offer.
 
-        Refusals for load, which have codes from 200 to 299, tell the caller when to retry.
+        Refusals for load, which have codes from 200 to 299, name a delay for a retry.
         """
         self._record(offer, "refused")
         retry_after = RETRY_AFTER_FULL if 200 <= code < 300 else 0.0
