--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -103,7 +103,7 @@
             await asyncio.sleep(0.005)
 
 
-class HeadReader(Replica):
+class HeaderOnlyReplica(Replica):
     """A replica that refuses each request by its head and never reads a body."""
 
     def __init__(self, name: str, body: bytes) -> None:
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -94,7 +94,7 @@
         ({"generation": -1}, "generation: a generation counts edits"),
     ],
 )
-def test_each_problem_names_its_place(changes, expected):
+def test_each_problem_names_its_location(changes, expected):
     document = msgspec.structs.replace(BASE, **changes)
     shown = [problem.show() for problem in find_problems(document)]
     assert any(expected in line for line in shown), shown
@@ -112,7 +112,7 @@
     ]
 
 
-def test_a_key_for_a_selector_that_is_not_there_is_a_warning():
+def test_a_key_for_a_missing_selector_is_a_warning():
     key = AdminKey(team="t", digest=DIGEST, groups=("man",))
     document = msgspec.structs.replace(BASE, admin_keys=(key,))
     check_configuration(document)
--- a/tests/test_config_command.py
+++ b/tests/test_config_command.py
@@ -51,7 +51,7 @@
     return await arguments.action(arguments)
 
 
-async def test_the_life_of_a_configuration(service, path, capsys):
+async def test_apply_label_show_and_history(service, path, capsys):
     await run("apply", path, "--author", "ana")
     assert "+ labels[engine-1]" in capsys.readouterr().out
     await run("label", "engine-1", "tier=new", "--author", "rui")
@@ -70,7 +70,7 @@
     assert json.loads(capsys.readouterr().out)["author"] == "rui"
 
 
-async def test_what_was_shown_can_be_edited_and_applied(service, path, capsys):
+async def test_shown_configuration_can_be_edited_and_applied(service, path, capsys):
     await run("apply", path)
     capsys.readouterr()
     await run("show")
@@ -83,7 +83,9 @@
         await run("apply", path)
 
 
-async def test_a_label_that_takes_an_upstream_out_of_every_group(service, path, capsys):
+async def test_label_that_removes_an_upstream_from_every_group_warns(
+    service, path, capsys
+):
     # A typing error in a label takes an engine out of service. The edit is allowed,
     # and the operator is told at once.
     await run("apply", path)
@@ -100,7 +102,7 @@
     assert not service.store.items
 
 
-async def test_a_file_without_a_generation_does_not_overwrite_unasked(service, path):
+async def test_file_without_a_generation_needs_an_explicit_base(service, path):
     # A file without a generation would replace whatever others wrote meanwhile. The
     # operator has to say which generation was edited, or that it shall be replaced.
     await run("apply", path)
@@ -111,7 +113,7 @@
     assert await run("apply", path, "--latest") == 0
 
 
-async def test_labels_go_on_top_of_an_edit_that_came_first(service, path, monkeypatch):
+async def test_label_edit_is_rebased_on_a_concurrent_edit(service, path, monkeypatch):
     # Another operator's edit is accepted between reading and proposing. A change of
     # one upstream's labels is put on top of it; neither edit is lost.
     await run("apply", path)
--- a/tests/test_config_delta.py
+++ b/tests/test_config_delta.py
@@ -33,7 +33,7 @@
     assert apply_delta(b"", make_delta(b"", new)) == new
 
 
-def test_a_delta_holds_what_changed_only():
+def test_delta_contains_only_the_changes():
     labels = {f"engine-{number}": {"pool": "main"} for number in range(600)}
     before = Configuration(generation=1, labels=labels)
     after = Configuration(
@@ -43,6 +43,6 @@
     assert delta == b'{"generation":2,"labels":{"engine-7":{"pool":"other"}}}'
 
 
-def test_what_is_no_object_is_refused():
+def test_delta_that_is_not_an_object_is_rejected():
     with pytest.raises(msgspec.DecodeError):
         apply_delta(b"{}", b"[]")
--- a/tests/test_config_diff.py
+++ b/tests/test_config_diff.py
@@ -10,7 +10,7 @@
 TWO = Selector(name="two", group="pool=two")
 
 
-def test_the_order_of_selectors_and_the_generation_are_no_change():
+def test_selector_order_and_generation_are_ignored():
     before = Configuration(generation=1, selectors=(ONE, TWO))
     assert diff(before, Configuration(generation=2, selectors=(TWO, ONE))) == ()
 
--- a/tests/test_config_file.py
+++ b/tests/test_config_file.py
@@ -43,7 +43,7 @@
     assert [r.repeatable for r in configuration.routes.values()].count(False) == 1
 
 
-def test_what_is_dumped_is_the_same_when_read():
+def test_dumped_configuration_is_parsed_unchanged():
     configuration = load_configuration(EXAMPLES / "trindade" / "config.yaml")
     assert parse_configuration(dump_yaml(configuration).encode(), "x") == configuration
     as_json = encode_configuration(configuration)
@@ -107,7 +107,7 @@
         parse_configuration(data, "c.json")
 
 
-def test_a_file_that_can_not_be_read(tmp_path):
+def test_unreadable_file(tmp_path):
     with pytest.raises(ConfigError, match="No such file"):
         load_configuration(tmp_path / "none.yaml")
 
--- a/tests/test_config_holder.py
+++ b/tests/test_config_holder.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.looptime
-async def test_an_older_document_is_refused_wherever_it_comes_from():
+async def test_older_document_is_rejected_from_any_source():
     # An operator sees generation 2 in force; the key-value service is restored from a
     # backup and serves generation 1 again. The process must stay at 2.
     history = MemoryHistory()
@@ -52,7 +52,7 @@
     assert (await waiter).generation == 5
 
 
-def test_an_earlier_version_takes_what_a_later_one_writes():
+def test_earlier_version_decodes_documents_of_a_later_one():
     # A later version has a field more and its operator does not use it. Processes of
     # this version, which refuse fields they don't know, must still take the document.
     class Later(Configuration, frozen=True):
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_peer_is_asked_only_where_the_service_does_not_bring_the_edit():
+async def test_peer_is_asked_only_if_the_service_does_not_deliver_the_edit():
     # Every process hears of an edit from many peers at once. If it asked each, one
     # edit would carry the whole document over every session.
     holder = ConfigHolder("entry-1", MemoryHistory())
--- a/tests/test_config_over_http.py
+++ b/tests/test_config_over_http.py
@@ -20,7 +20,7 @@
 
 EXAMPLE = pathlib.Path(__file__).parent.parent / "examples/trindade/config.yaml"
 
-WITHIN_SECONDS = 18.0
+MAX_DELIVERY_SECONDS = 18.0
 
 
 async def run(*words: str) -> None:
@@ -52,7 +52,7 @@
     url = await server.__aenter__()
     monkeypatch.setenv("BERGAMOTMAST_KEY_VALUE_URL", url)
     async with watching(url, "entry-1") as holder:
-        async with asyncio.timeout(WITHIN_SECONDS):
+        async with asyncio.timeout(MAX_DELIVERY_SECONDS):
             await run("apply", str(EXAMPLE))
             await holder.wait_for_newer(0)
             await run("label", "engine-3", "state=draining")
@@ -62,7 +62,7 @@
             await run("label", "engine-3", "state=active")
         port = int(url.rpartition(":")[2])
         async with serving(KeyValueFront(standin).application(), port=port):
-            async with asyncio.timeout(WITHIN_SECONDS):
+            async with asyncio.timeout(MAX_DELIVERY_SECONDS):
                 await run("label", "engine-3", "state=active")
                 await holder.wait_for_newer(2)
             capsys.readouterr()
--- a/tests/test_config_permissions.py
+++ b/tests/test_config_permissions.py
@@ -48,7 +48,7 @@
         (msgspec.structs.replace(BASE, admin_keys=(KEY,)), "change admin_keys"),
     ],
 )
-def test_a_limited_key_reaches_no_further_than_its_selectors(after, reason):
+def test_limited_key_can_not_edit_beyond_its_selectors(after, reason):
     # A team tries to take another team's upstreams by a label or a wider expression,
     # to change another's selector, or to give itself rights. All are refused.
     with pytest.raises(RequestError) as caught:
@@ -69,7 +69,7 @@
         without_selector(BASE, "ours"),
     ],
 )
-def test_a_limited_key_may_change_what_is_its_own(after):
+def test_limited_key_can_edit_its_own_selectors_and_upstreams(after):
     require_edit_allowed(KEY, BASE, after)
 
 
@@ -94,11 +94,11 @@
 
 
 @pytest.mark.parametrize("word", ["pool", "-", "=x", "pool=", ""])
-def test_what_is_no_label_change(word):
+def test_invalid_label_change(word):
     with pytest.raises(ConfigError, match="neither label=value nor label-"):
         parse_label_changes([word])
 
 
-def test_removing_a_selector_that_is_not_there():
+def test_removing_a_missing_selector():
     with pytest.raises(ConfigError, match="did you mean 'ours'"):
         without_selector(BASE, "our")
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -32,7 +32,7 @@
     return ConfigStore(service.client(name), wall_clock=lambda: 1_700_000_000.0)
 
 
-async def test_an_edit_is_current_and_in_the_history():
+async def test_accepted_edit_is_current_and_in_the_history():
     history = MemoryHistory()
     edits = ConfigStore(KeyValueStandIn().client("a"), history, lambda: 5.0)
     first = await edits.propose(labelled(one="main"), 0, "ana", "n1")
@@ -51,7 +51,7 @@
     ]
 
 
-async def test_a_whole_example_is_stored_and_read_again():
+async def test_example_configuration_is_stored_and_read_back():
     example = pathlib.Path(__file__).parent.parent / "examples/trindade/config.yaml"
     edits = store(KeyValueStandIn())
     accepted = await edits.propose(load_configuration(example), 0, "ana", "n1")
@@ -59,7 +59,7 @@
     assert (await edits.history())[0].configuration == accepted
 
 
-async def test_two_operators_at_once():
+async def test_concurrent_proposals_conflict():
     # Two operators read generation 1 and propose at the same moment. One is accepted;
     # the other is told who was first and what differs, and nothing of it is written.
     service = KeyValueStandIn(delay=0.1)
@@ -89,7 +89,7 @@
     assert [r.nonce for r in await store(service).history()] == ["n1"]
 
 
-async def test_a_lost_reply_of_an_edit_that_came_second():
+async def test_a_lost_reply_of_an_edit_that_lost_the_race():
     # The reply of a failed compare-and-swap is lost while another operator has won.
     # The loser must see a conflict, never success.
     service = KeyValueStandIn()
@@ -103,7 +103,7 @@
         await proposal
 
 
-async def test_a_revision_that_a_restored_service_gives_out_again():
+async def test_revision_reissued_by_a_restored_service_conflicts():
     # An operator reads generation 2. The service is restored without it and another
     # operator's edit gets the same generation and the same revision. The first must
     # see a conflict; the other's accepted edit must not be overwritten unseen.
@@ -122,7 +122,7 @@
     assert (await store(service).read()).configuration == other
 
 
-async def test_an_outcome_that_stays_unknown_is_said_to_be():
+async def test_unknown_outcome_is_reported_as_unknown():
     # The service takes the edit, loses the reply and goes down before anything can be
     # read back. The operator must not be told that nothing was written.
     service = KeyValueStandIn(delay=0.2)
@@ -137,7 +137,7 @@
     assert (await store(service).propose(labelled(a="x"), 0, "ana", "n1")).generation
 
 
-async def test_a_service_that_is_down_takes_nothing():
+async def test_proposal_to_an_unavailable_service_fails():
     service = KeyValueStandIn()
     service.down = True
     with pytest.raises(KeyValueUnavailableError):
@@ -161,7 +161,7 @@
     assert records[0].generation == MAX_HISTORY_RECORDS + 3
 
 
-async def test_what_is_no_configuration_is_an_error_with_a_code():
+async def test_invalid_stored_values_raise_coded_errors():
     service = KeyValueStandIn()
     await service.client("x").txn([], [Put(CURRENT_KEY, b"\xff")])
     await service.client("x").txn([], [Put(history_key(1), b"[]")])
--- a/tests/test_config_watch.py
+++ b/tests/test_config_watch.py
@@ -19,7 +19,7 @@
 
 pytestmark = pytest.mark.looptime
 
-WITHIN_SECONDS = 18.0
+MAX_DELIVERY_SECONDS = 18.0
 """Time from an accepted edit to its being in force everywhere."""
 
 
@@ -32,21 +32,21 @@
         self.history = MemoryHistory()
         self.holders: dict[str, ConfigHolder] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.whole_reads = 0
+        self.document_reads = 0
 
     def start(self, *names: str) -> None:
         for name in names:
             holder = self.holders[name] = ConfigHolder(name, self.history)
             kv = self.service.client(name)
             watcher = ConfigWatcher(kv, holder, random.Random(name))
-            self.count_whole_reads(watcher.store)
+            self.count_document_reads(watcher.store)
             self.tasks[name] = asyncio.create_task(watcher.run())
 
-    def count_whole_reads(self, store: ConfigStore) -> None:
+    def count_document_reads(self, store: ConfigStore) -> None:
         read = store.read
 
         async def counted() -> StoredConfiguration:
-            self.whole_reads += 1
+            self.document_reads += 1
             return await read()
 
         store.read = counted
@@ -67,7 +67,7 @@
         """Return the seconds until every process has a generation in force."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        async with asyncio.timeout(WITHIN_SECONDS):
+        async with asyncio.timeout(MAX_DELIVERY_SECONDS):
             for holder in self.holders.values():
                 await holder.wait_for_newer(generation - 1)
         return loop.time() - began
@@ -108,16 +108,16 @@
     assert fleet.service.reads - reads - edits <= 3 * 2 * 2 + 3
 
 
-async def test_an_edit_is_taken_without_reading_the_whole_document(fleet):
+async def test_edit_is_applied_without_reading_the_whole_document(fleet):
     await fleet.in_force(await fleet.edit("main"))
-    whole = fleet.whole_reads
+    whole = fleet.document_reads
     for number in range(5):
         await fleet.in_force(await fleet.edit(f"pool-{number}"))
-    assert fleet.whole_reads == whole
+    assert fleet.document_reads == whole
 
 
 @pytest.mark.parametrize("change", [b'{"labels":{"engine-1":{"pool":"x"}}}', b"["])
-async def test_a_change_that_does_not_lead_to_the_mark_is_not_taken(fleet, change):
+async def test_delta_that_does_not_lead_to_the_digest_key_is_rejected(fleet, change):
     # The change kept for the next generation belongs to another document, as after a
     # restore. Every process must end with what was accepted, read as a whole.
     await fleet.in_force(await fleet.edit("main"))
@@ -129,7 +129,7 @@
     assert fleet.pools() == {"later"}
 
 
-async def test_a_watch_that_silently_stops(fleet):
+async def test_watch_that_stops_without_an_error(fleet):
     # All watches stop without an error and an operator's edit is accepted. Callers
     # would be served by the old rules for ever; the missing signs of life must lead
     # every process to read again.
@@ -140,7 +140,7 @@
     assert await fleet.in_force(await fleet.edit("later")) < 1
 
 
-async def test_a_watch_that_shows_life_and_loses_a_change(fleet):
+async def test_live_watch_that_loses_an_event(fleet):
     # The edit's event never comes although the watch shows signs of life, so that its
     # deadline never passes. The re-read must find the edit.
     await asyncio.sleep(5)
@@ -171,7 +171,7 @@
     fleet.assert_never_older()
 
 
-async def test_a_service_that_comes_back_older(fleet):
+async def test_service_restored_from_an_older_backup(fleet):
     # The service is restored from a backup that lacks the newest edit. No process may
     # go back to the older one, one that starts later must get the newer one, and the
     # next edit must build on it.
@@ -182,7 +182,7 @@
     await asyncio.sleep(60)
     fleet.service.restore(backup)
     fleet.service.down = False
-    await asyncio.sleep(WITHIN_SECONDS)
+    await asyncio.sleep(MAX_DELIVERY_SECONDS)
     assert fleet.pools() == {"new"}
     fleet.start("side-2")
     await asyncio.sleep(1)
@@ -192,16 +192,16 @@
     fleet.assert_never_older()
 
 
-async def test_a_service_that_comes_back_empty(fleet):
+async def test_service_restored_without_a_configuration(fleet):
     # The restored service has nothing at all. Processes give it what is in force.
     empty = fleet.service.snapshot()
     await fleet.in_force(await fleet.edit("main"))
     fleet.service.restore(empty)
-    await asyncio.sleep(WITHIN_SECONDS)
+    await asyncio.sleep(MAX_DELIVERY_SECONDS)
     assert (await fleet.operator.read()).configuration.generation == 1
 
 
-async def test_an_edit_of_a_restored_service_before_it_is_put_right(fleet):
+async def test_edit_of_a_restored_service_before_the_republish(fleet):
     # An operator edits the restored service before any process reads it, so that two
     # documents have one generation. The operator was told that the edit is accepted:
     # it must be in force everywhere, under a generation above both.
@@ -210,12 +210,12 @@
     await fleet.in_force(await fleet.edit("lost"))
     fleet.service.restore(backup)
     assert await fleet.edit("kept") == 2
-    assert await fleet.in_force(3) < WITHIN_SECONDS
+    assert await fleet.in_force(3) < MAX_DELIVERY_SECONDS
     assert fleet.pools() == {"kept"}
     fleet.assert_never_older()
 
 
-async def test_a_stored_document_that_is_none_changes_nothing(fleet):
+async def test_invalid_stored_document_is_ignored(fleet):
     await fleet.in_force(await fleet.edit("main"))
     await fleet.service.client("x").txn([], [Put(CURRENT_KEY, b"{")])
     await asyncio.sleep(30)
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -15,7 +15,7 @@
 from direct_support import serving
 from direct_support import until
 from platform_standin import SIGNATURE
-from platform_standin import HeadReader
+from platform_standin import HeaderOnlyReplica
 from platform_standin import Received
 from platform_standin import Replica
 from platform_standin import answer
@@ -186,7 +186,7 @@
     Its caller must not wait until the rest is written, which may be never; and no
     other call may follow on a connection on which the rest of a body is due.
     """
-    replica = HeadReader("i-1", b"too much")
+    replica = HeaderOnlyReplica("i-1", b"too much")
     document = config(**{"max-body-bytes": 10_000_000})
     async with serving(replica, document=document) as entry:
         async with asyncio.timeout(1.0):
--- a/tests/test_engine_port.py
+++ b/tests/test_engine_port.py
@@ -73,7 +73,7 @@
     assert standin.batch.prefilled == prefilled
 
 
-async def test_refusals_are_not_reached(engine):
+async def test_refusals_raise_not_reached_errors(engine):
     for wanted in (
         dataclasses.replace(request("a"), model="other"),
         dataclasses.replace(request("a"), prompt_tokens=10**9),
@@ -139,7 +139,7 @@
     assert (load.running, load.waiting, load.kv_used) == (0, 0, 0)
 
 
-async def test_an_engine_that_is_not_there():
+async def test_unreachable_engine():
     async with client_session() as session:
         async with serving(EngineFront(EngineStandIn("e")).application()) as url:
             engine = HttpEngine(session, url)
--- a/tests/test_key_value_port.py
+++ b/tests/test_key_value_port.py
@@ -85,7 +85,7 @@
     await watch.aclose()
 
 
-async def test_a_quiet_watch_gives_signs_of_life_until_it_is_silenced(client, standin):
+async def test_idle_watch_sends_keep_alives_until_it_is_silenced(client, standin):
     watch = client.watch("", 0)
     assert await anext(watch) is None
     while standin.waiting_watches == 0:
@@ -111,7 +111,7 @@
         await anext(client.watch("", 0))
 
 
-async def test_a_cut_and_a_compacted_start(client, standin):
+async def test_partitioned_client_and_compacted_start_revision(client, standin):
     await client.txn([], [Put("k", b"1")])
     standin.compact()
     with pytest.raises(KeyValueUnavailableError):
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -12,10 +12,10 @@
 
 PACKAGE = pathlib.Path(headers.__file__).resolve().parent.parent
 PLATFORM = PACKAGE / "platform"
-ROOTS = {"direct_daemon.py"}
+COMPOSITION_ROOTS = {"direct_daemon.py"}
 """The composition root, which alone imports the folder."""
 
-MOST_LINES = 900
+MAX_LINES = 900
 """Length of the whole folder: it holds names, formats and calls."""
 
 
@@ -38,18 +38,18 @@
 OWN_PROTOCOLS = ("standins", "adapters", "bench")
 """Where the product's own protocols may use such words."""
 
-UNAWARE = [
+INDEPENDENT = [
     path for path in OUTSIDE if path.relative_to(PACKAGE).parts[0] not in OWN_PROTOCOLS
 ]
 
 
-@pytest.mark.parametrize("path", UNAWARE, ids=lambda path: path.stem)
-def test_no_name_of_the_platform_outside_its_folder(path):
+@pytest.mark.parametrize("path", INDEPENDENT, ids=lambda path: path.stem)
+def test_platform_names_occur_only_in_its_package(path):
     found = NAMES.findall(path.read_text())
     assert found == []
 
 
-def test_only_the_composition_root_imports_it():
+def test_only_the_composition_root_imports_the_platform():
     importers = set()
     for path in OUTSIDE:
         for node in ast.walk(ast.parse(path.read_text())):
@@ -57,12 +57,12 @@
                 module = node.module or ""
                 if node.level and module.split(".")[0] == "platform":
                     importers.add(path.name)
-    assert importers == ROOTS
+    assert importers == COMPOSITION_ROOTS
 
 
-def test_it_stays_small_and_decides_nothing():
+def test_platform_stays_small_and_imports_no_policy():
     lines = sum(len(path.read_text().splitlines()) for path in sources(PLATFORM))
-    assert lines < MOST_LINES
+    assert lines < MAX_LINES
     for path in sources(PLATFORM):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom):
--- a/tests/test_small_ports.py
+++ b/tests/test_small_ports.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "PUT", "DELETE"])
-async def test_a_lost_reply_is_not_asked_for_again(reach, method):
+async def test_call_with_a_lost_reply_is_not_retried(reach, method):
     # The service runs the call and its connection breaks before the reply. The caller
     # must hear that the outcome is unknown; HTTP libraries tend to send GET, PUT and
     # DELETE a second time of their own accord, which would run the call twice.
@@ -97,7 +97,7 @@
     assert standin.executions == {"r-1": 1}
 
 
-async def test_a_service_that_crashes_loses_the_replies_it_owes(reach):
+async def test_crash_of_a_service_loses_its_pending_replies(reach):
     standin = ServiceStandIn("s", seconds=60)
     service = await reach(standin, service_application, HttpService)
     task = asyncio.create_task(service.call(call()))
@@ -112,7 +112,7 @@
     assert standin.executions == {"r-1": 2}
 
 
-async def test_deadline_and_reach_over_http():
+async def test_deadline_and_unreachable_service_over_http():
     standin = ServiceStandIn("s", seconds=60)
     async with client_session() as session:
         async with serving(service_application(standin)) as url:
--- a/tests/test_zeromq.py
+++ b/tests/test_zeromq.py
@@ -24,7 +24,7 @@
     created.destroy(linger=0)
 
 
-async def handed_over(link, frame):
+async def send_when_connected(link, frame):
     """Send as soon as the connection is up."""
     async with asyncio.timeout(20):
         while True:
@@ -38,7 +38,7 @@
     address = free_address()
     listener = ZmqListener(context, address, None)
     link = ZmqDialer(context, None).dial(address)
-    await handed_over(link, b"question")
+    await send_when_connected(link, b"question")
     peer, frame = await listener.receive()
     assert frame == b"question"
     await listener.send(peer, b"answer")
@@ -51,12 +51,12 @@
     address = free_address()
     listener = ZmqListener(context, address, None)
     link = ZmqDialer(context, None).dial(address)
-    await handed_over(link, b"hello")
+    await send_when_connected(link, b"hello")
     peer, _ = await listener.receive()
     return listener, link, peer
 
 
-async def test_a_burst_arrives_in_order_and_lets_others_run(context):
+async def test_burst_arrives_in_order_and_lets_other_tasks_run(context):
     # A side sends more than one wake-up takes. The entry's other tasks run meanwhile,
     # or a busy side would keep it from writing to its callers.
     listener, link, peer = await connected(context)
@@ -86,7 +86,7 @@
     listener.close()
 
 
-async def test_a_frame_is_seen_although_a_send_took_its_news(context):
+async def test_frame_whose_event_a_send_consumed_is_received(context):
     # An entry waits for a side. A frame comes while the entry is busy, and then the
     # entry sends: ZeroMQ's descriptor is silent now, although a frame is there.
     listener, link, peer = await connected(context)
@@ -101,7 +101,7 @@
     listener.close()
 
 
-async def test_closing_a_link_ends_who_waits_for_it(context):
+async def test_closing_a_link_cancels_the_waiting_task(context):
     listener, link, _ = await connected(context)
     waiting = asyncio.create_task(link.receive())
     await asyncio.sleep(0.05)
@@ -111,7 +111,7 @@
     listener.close()
 
 
-async def test_an_offer_to_nobody_is_known_not_to_be_handed_over(context):
+async def test_send_without_a_listener_fails(context):
     # Nothing listens: the send must fail at once, or the frame would be delivered to
     # whoever listens there minutes later.
     link = ZmqDialer(context, None).dial(free_address())
@@ -128,7 +128,7 @@
     listener.close()
 
 
-async def test_a_second_side_for_one_slot_can_not_start(context):
+async def test_second_listener_on_an_address_fails(context):
     # A side is stopped and a replacement starts for the same slot. The stopped one
     # still holds the address, so the new one fails instead of giving orders.
     address = free_address()
@@ -138,16 +138,16 @@
     listener.close()
 
 
-def curve_pair():
+def new_key_pair():
     return zmq.curve_keypair()
 
 
-async def test_a_peer_without_an_allowed_key_gets_in_nowhere(context):
+async def test_peer_without_an_allowed_key_can_not_connect(context):
     # Three entries dial a side: one with an allowed key, one with a key of its own,
     # one without any. Only frames of the first arrive.
-    side_public, side_secret = curve_pair()
-    entry_public, entry_secret = curve_pair()
-    other_public, other_secret = curve_pair()
+    side_public, side_secret = new_key_pair()
+    entry_public, entry_secret = new_key_pair()
+    other_public, other_secret = new_key_pair()
     address = free_address()
     side_keys = CurveKeys(side_public, side_secret, b"", frozenset({entry_public}))
     listener = ZmqListener(context, address, side_keys)
@@ -158,7 +158,7 @@
     links = [dialer.dial(address) for dialer in strangers]
     entry_keys = CurveKeys(entry_public, entry_secret, side_public)
     friend = ZmqDialer(context, entry_keys).dial(address)
-    await handed_over(friend, b"friend")
+    await send_when_connected(friend, b"friend")
     for link in links:
         with pytest.raises(NotReachedError):
             await link.send(b"stranger")
@@ -171,14 +171,14 @@
     listener.close()
 
 
-async def test_the_last_answers_of_a_side_go_out_before_its_process_ends():
+async def test_last_answers_are_sent_before_the_process_ends():
     # A side hands over its last answers, closes its address and ends: closing the
     # context drops what open sockets hold, but waits for what a closed one has left.
     address = free_address()
     side, entry = zmq.asyncio.Context(), zmq.asyncio.Context()
     listener = ZmqListener(side, address, None)
     link = ZmqDialer(entry, None).dial(address)
-    await handed_over(link, b"hello")
+    await send_when_connected(link, b"hello")
     peer, _ = await listener.receive()
     answers = [b"%d" % i + bytes(20_000) for i in range(20)]
     for frame in answers:
