--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -192,7 +192,7 @@
     """The side's end of all its connections.
 
     The address is bound exclusively: a second process for the same slot fails to
-    start while the first one, even if it is stopped, still holds the port.
+    start while the first one, even if it is suspended, still holds the port.
 
     :param address: ``host:port``; port 0 binds a free port, which the attribute
         ``address`` then names.
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform: a store and replicas, over real sockets, with faults."""
+"""Stand-ins for the platform: a store and replicas on real sockets, with faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass
 class Received:
-    """A request as a replica got it."""
+    """A request as a replica received it."""
 
     method: str
     target: str
@@ -38,10 +38,10 @@
 
 
 class Replica:
-    """A replica that answers what its script says, byte for byte.
+    """A replica whose script writes its answers byte for byte.
 
-    :param received: all requests read whole.
-    :param closed: ids of requests whose connection was closed by the other end.
+    :param received: all requests that were read completely.
+    :param closed: ids of requests whose connection the peer closed.
     """
 
     def __init__(self, name: str, script: Script, **entry: t.Any) -> None:
@@ -58,7 +58,7 @@
         return await self.listen(0)
 
     async def listen(self, port: int) -> Replica:
-        """Serve at a port; 0 for any."""
+        """Serve on a port; 0 for any free one."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", port, backlog=512
         )
@@ -104,7 +104,7 @@
 
 
 class HeaderOnlyReplica(Replica):
-    """A replica that refuses each request by its head and never reads a body."""
+    """A replica that rejects each request by its headers and never reads a body."""
 
     def __init__(self, name: str, body: bytes) -> None:
         super().__init__(name, answer(400, body))
@@ -124,7 +124,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> Received | None:
-    """Read a request up to its body; ``None`` at the end of the connection."""
+    """Read a request's line and headers; ``None`` at the end of the connection."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -140,7 +140,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> Received | None:
-    """Read one request with a length; ``None`` at the end of the connection."""
+    """Read one request with a known length; ``None`` at the end of the connection."""
     received = await read_head(reader)
     if received is not None:
         length = int(received.headers.get("content-length", "0"))
@@ -149,7 +149,7 @@
 
 
 def head(status: int, request_id: str, *lines: str) -> bytes:
-    """Return status line and headers of a signed answer."""
+    """Return the status line and headers of a signed answer."""
     text = "\r\n".join(
         (
             f"HTTP/1.1 {status} Word",
@@ -162,14 +162,14 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection; closing alone would end it in good order."""
+    """Reset a connection; closing it would end it gracefully."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 def answer(status: int = 200, body: bytes = b"fine", *lines: str) -> Script:
-    """Return the script of a replica that gives one whole answer."""
+    """Return the script of a replica that sends one complete answer."""
 
     async def script(
         replica: Replica, received: Received, writer: asyncio.StreamWriter
@@ -182,7 +182,7 @@
 
 
 def not_run(status: int = 503) -> Script:
-    """Return the script of a replica that refuses and says that nothing ran."""
+    """Return the script of a replica that rejects requests as not executed."""
 
     async def script(
         replica: Replica, received: Received, writer: asyncio.StreamWriter
@@ -197,7 +197,7 @@
 
 
 def hang() -> Script:
-    """Return the script of a replica that reads and never answers."""
+    """Return the script of a replica that reads requests and never answers."""
 
     async def script(
         replica: Replica, received: Received, writer: asyncio.StreamWriter
@@ -230,11 +230,14 @@
 
 @dataclasses.dataclass
 class EngineScript:
-    """An engine: reads prompts, streams events, takes orders.
+    """Script of an engine that prefills prompts and streams events.
 
     :param last: number of the last event of each stream.
-    :param break_after: break the connection after this event, within the next.
+    :param break_after: reset the connection within the event after this one; 0 never.
     :param pause: seconds before each event.
+    :param prefill_seconds: duration of a prefill.
+    :param handles: transfer handles of all prefills.
+    :param freed: transfer handles that were released.
     """
 
     last: int = 4
@@ -290,10 +293,10 @@
 class Store:
     """The platform's store, in memory.
 
-    :param outage: status that every call gets while it is set.
-    :param compacted: revision below which watches get 410.
-    :param silent: whether watches hear nothing and never end.
-    :param lose_replies: how many of the next writes are done and not answered.
+    :param outage: status returned to all calls while it is not 0.
+    :param compacted: revision below which watches return status 410.
+    :param silent: whether watches neither return changes nor end.
+    :param lose_replies: how many of the next writes take effect but get no reply.
     :param era: number of restores, sent in all answers; ``None`` to omit the header.
     :param next_read_era: era sent once instead, with the next answer to a read.
     :param silent_connections: connections on which requests are no longer answered.
@@ -342,7 +345,7 @@
         await self.runner.cleanup()
 
     def put(self, key: str, value: object, lease: int = 0) -> None:
-        """Write a key as the operator or a replica does."""
+        """Write a key, as an operator or a replica does."""
         self.revision += 1
         self._put(key, value, lease)
 
@@ -368,7 +371,7 @@
         self._note({"key": key, "revision": self.revision, "tombstone": True})
 
     def end_lease(self, lease: int) -> None:
-        """Let a lease lapse with its keys."""
+        """End a lease and delete its keys."""
         self.leases.pop(lease, None)
         for key in [k for k, item in self.items.items() if item["lease"] == lease]:
             self.remove(key)
@@ -479,7 +482,7 @@
         for put in body["puts"]:
             if put["lease"] and put["lease"] not in self.leases:
                 return web.Response(status=404)
-        # All that one call writes is one change.
+        # All writes of one transaction share one revision.
         self.revision += 1
         for put in body["puts"]:
             self._put(put["key"], base64.b64decode(put["value"]), put["lease"])
--- a/tests/test_config_check.py
+++ b/tests/test_config_check.py
@@ -137,8 +137,8 @@
     ],
 )
 def test_contradictions_name_both_selectors_and_the_engine(fields, reason):
-    # Two selectors ask for different things of one engine. The edit is refused and
-    # the operator is told which two, of which engine, and why.
+    # Two selectors have conflicting demands on one engine. The edit is rejected with an
+    # error that names both selectors, the engine and the reason.
     main = msgspec.structs.replace(
         BASE.selectors[0], roles={Role.MIXED: RoleBounds(least=1)}
     )
--- a/tests/test_config_command.py
+++ b/tests/test_config_command.py
@@ -86,8 +86,8 @@
 async def test_label_that_removes_an_upstream_from_every_group_warns(
     service, path, capsys
 ):
-    # A typing error in a label takes an engine out of service. The edit is allowed,
-    # and the operator is told at once.
+    # A typo in a label takes an engine out of service. The edit is accepted, and the
+    # command prints warnings at once.
     await run("apply", path)
     capsys.readouterr()
     await run("label", "engine-1", "pool=mian")
@@ -103,8 +103,8 @@
 
 
 async def test_file_without_a_generation_needs_an_explicit_base(service, path):
-    # A file without a generation would replace whatever others wrote meanwhile. The
-    # operator has to say which generation was edited, or that it shall be replaced.
+    # A file without a generation would overwrite edits made in the meantime. The
+    # operator must name the edited generation, or ask for the latest to be replaced.
     await run("apply", path)
     with pytest.raises(SettingError, match="--against"):
         await run("apply", path)
@@ -114,8 +114,8 @@
 
 
 async def test_label_edit_is_rebased_on_a_concurrent_edit(service, path, monkeypatch):
-    # Another operator's edit is accepted between reading and proposing. A change of
-    # one upstream's labels is put on top of it; neither edit is lost.
+    # Another operator's edit is accepted between read and proposal. A change of one
+    # upstream's labels is applied on top of it; neither edit is lost.
     await run("apply", path)
     propose = ConfigStore.propose
 
--- a/tests/test_config_holder.py
+++ b/tests/test_config_holder.py
@@ -28,8 +28,8 @@
 
 @pytest.mark.looptime
 async def test_older_document_is_rejected_from_any_source():
-    # An operator sees generation 2 in force; the key-value service is restored from a
-    # backup and serves generation 1 again. The process must stay at 2.
+    # Generation 2 is in force when the key-value service is restored from a backup and
+    # serves generation 1 again. The process must stay at 2.
     history = MemoryHistory()
     holder = ConfigHolder("entry-1", history)
     assert holder.offer(document(2))
@@ -53,8 +53,8 @@
 
 
 def test_earlier_version_decodes_documents_of_a_later_one():
-    # A later version has a field more and its operator does not use it. Processes of
-    # this version, which refuse fields they don't know, must still take the document.
+    # A later version has an additional field that its operator does not use. Processes
+    # of this version, which reject unknown fields, must still accept the document.
     class Later(Configuration, frozen=True):
         quotas: dict[str, int] = {}
 
@@ -98,8 +98,8 @@
 @example(b"[" * 100_000)
 @example(b'{"generation":' + b"9" * 5000 + b"}")
 def test_any_bytes_from_a_peer_are_taken_or_refused_whole(data):
-    # A peer or the service hands over damaged bytes. The process must refuse them
-    # with one kind of error and stay with what it has, never half-way between.
+    # A peer or the service sends corrupted bytes. The process must reject them with one
+    # type of error and keep its configuration, never a partly updated one.
     holder = ConfigHolder("entry-1", NullHistory())
 
     async def offer() -> None:
@@ -115,8 +115,8 @@
 
 @pytest.mark.looptime
 async def test_peer_is_asked_only_if_the_service_does_not_deliver_the_edit():
-    # Every process hears of an edit from many peers at once. If it asked each, one
-    # edit would carry the whole document over every session.
+    # A process learns of an edit from many peers at once. If it asked each of them, one
+    # edit would send the whole document over every session.
     holder = ConfigHolder("entry-1", MemoryHistory())
     assert holder.should_pull(3)
     assert not holder.should_pull(3)
--- a/tests/test_config_over_http.py
+++ b/tests/test_config_over_http.py
@@ -45,8 +45,8 @@
 
 async def test_edits_over_real_sockets_are_in_force_within_seconds(monkeypatch, capsys):
     # An operator applies a file and drains an engine with the command; the service
-    # goes away, comes back at the same address, and is edited again. Each edit must
-    # be in force within seconds.
+    # stops, restarts at the same address, and is edited again. Each edit must be in
+    # force within seconds.
     standin = KeyValueStandIn()
     server = serving(KeyValueFront(standin).application())
     url = await server.__aenter__()
--- a/tests/test_config_permissions.py
+++ b/tests/test_config_permissions.py
@@ -49,8 +49,8 @@
     ],
 )
 def test_limited_key_can_not_edit_beyond_its_selectors(after, reason):
-    # A team tries to take another team's upstreams by a label or a wider expression,
-    # to change another's selector, or to give itself rights. All are refused.
+    # A team tries to take another team's upstreams by a label or a wider expression, to
+    # change another team's selector, or to grant itself permissions. All are rejected.
     with pytest.raises(RequestError) as caught:
         require_edit_allowed(KEY, BASE, after)
     assert caught.value.code is ResultCode.FORBIDDEN
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -60,8 +60,8 @@
 
 
 async def test_concurrent_proposals_conflict():
-    # Two operators read generation 1 and propose at the same moment. One is accepted;
-    # the other is told who was first and what differs, and nothing of it is written.
+    # Two operators read generation 1 and propose at the same time. One is accepted; the
+    # other gets an error that names the author and the differences, and writes nothing.
     service = KeyValueStandIn(delay=0.1)
     await store(service).propose(labelled(one="main"), 0, "ana", "n0")
     results = await asyncio.gather(
@@ -80,8 +80,8 @@
 
 @pytest.mark.parametrize("losses", [1, 2, MAX_WRITE_ATTEMPTS - 1])
 async def test_a_lost_reply_of_an_edit_that_took_effect(losses):
-    # The service takes the edit and its reply is lost, also when it is sent again.
-    # The operator must see success, and the edit must be there once.
+    # The service applies the edit, but its reply and those of retries are lost. The
+    # operator must see success, and the edit must be recorded once.
     service = KeyValueStandIn()
     service.lose_next_reply(count=losses)
     accepted = await store(service).propose(labelled(one="main"), 0, "ana", "n1")
@@ -90,8 +90,8 @@
 
 
 async def test_a_lost_reply_of_an_edit_that_lost_the_race():
-    # The reply of a failed compare-and-swap is lost while another operator has won.
-    # The loser must see a conflict, never success.
+    # The reply of a failed compare-and-swap is lost after another operator's edit was
+    # accepted. The operator must see a conflict, never success.
     service = KeyValueStandIn()
     slow = store(service, "slow")
     service.delays["slow"] = 1.0
@@ -104,9 +104,9 @@
 
 
 async def test_revision_reissued_by_a_restored_service_conflicts():
-    # An operator reads generation 2. The service is restored without it and another
+    # An operator reads generation 2. The service is restored without it, and another
     # operator's edit gets the same generation and the same revision. The first must
-    # see a conflict; the other's accepted edit must not be overwritten unseen.
+    # see a conflict; the accepted edit must not be overwritten unnoticed.
     service = KeyValueStandIn()
     await store(service).propose(labelled(a="one"), 0, "ana", "n1")
     backup = service.snapshot()
@@ -123,8 +123,8 @@
 
 
 async def test_unknown_outcome_is_reported_as_unknown():
-    # The service takes the edit, loses the reply and goes down before anything can be
-    # read back. The operator must not be told that nothing was written.
+    # The service applies the edit, loses the reply and goes down before anything can be
+    # read back. The error must not say that nothing was written.
     service = KeyValueStandIn(delay=0.2)
     proposal = asyncio.create_task(
         store(service).propose(labelled(a="x"), 0, "ana", "n1")
--- a/tests/test_config_watch.py
+++ b/tests/test_config_watch.py
@@ -20,7 +20,7 @@
 pytestmark = pytest.mark.looptime
 
 MAX_DELIVERY_SECONDS = 18.0
-"""Time from an accepted edit to its being in force everywhere."""
+"""Maximum time until an accepted edit is in force in all processes."""
 
 
 class Fleet:
@@ -64,7 +64,7 @@
         return accepted.generation
 
     async def in_force(self, generation: int) -> float:
-        """Return the seconds until every process has a generation in force."""
+        """Wait until a generation is in force in all processes; return the seconds."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         async with asyncio.timeout(MAX_DELIVERY_SECONDS):
@@ -118,8 +118,8 @@
 
 @pytest.mark.parametrize("change", [b'{"labels":{"engine-1":{"pool":"x"}}}', b"["])
 async def test_delta_that_does_not_lead_to_the_digest_key_is_rejected(fleet, change):
-    # The change kept for the next generation belongs to another document, as after a
-    # restore. Every process must end with what was accepted, read as a whole.
+    # The delta stored for the next generation belongs to another document, as after a
+    # restore. Every process must read the accepted document as a whole.
     await fleet.in_force(await fleet.edit("main"))
     for name in fleet.holders:
         fleet.service.delays[name] = 0.2
@@ -130,9 +130,8 @@
 
 
 async def test_watch_that_stops_without_an_error(fleet):
-    # All watches stop without an error and an operator's edit is accepted. Callers
-    # would be served by the old rules for ever; the missing signs of life must lead
-    # every process to read again.
+    # All watches stop without an error, and an edit is accepted. The old rules would
+    # apply forever; missing keep-alives must make every process read again.
     await asyncio.sleep(5)
     fleet.service.silence_watches()
     await fleet.in_force(await fleet.edit("main"))
@@ -141,8 +140,8 @@
 
 
 async def test_live_watch_that_loses_an_event(fleet):
-    # The edit's event never comes although the watch shows signs of life, so that its
-    # deadline never passes. The re-read must find the edit.
+    # The watch loses an edit's event but sends keep-alives, so that it never times out.
+    # The periodic re-read must find the edit.
     await asyncio.sleep(5)
     for watch in fleet.service._watches:
         watch.prefix = "/elsewhere/"
@@ -151,9 +150,9 @@
 
 
 async def test_a_long_outage_with_instances_replaced(fleet):
-    # The service is down for ten minutes. Processes go on with what they have; one
-    # that starts meanwhile learns it from a peer, as its sessions do; when the service
-    # is back the next edit is in force everywhere, and the tries were few.
+    # The service is down for ten minutes. Processes keep their configuration; one that
+    # starts meanwhile gets it from a peer, as over its sessions. After the outage the
+    # next edit is in force everywhere, and there were few attempts to read.
     await fleet.in_force(await fleet.edit("main"))
     fleet.service.down = True
     await asyncio.sleep(300)
@@ -172,9 +171,9 @@
 
 
 async def test_service_restored_from_an_older_backup(fleet):
-    # The service is restored from a backup that lacks the newest edit. No process may
-    # go back to the older one, one that starts later must get the newer one, and the
-    # next edit must build on it.
+    # The service is restored from a backup without the newest edit. No process may
+    # revert to the older generation, a process that starts later must get the newer
+    # one, and the next edit must build on it.
     await fleet.in_force(await fleet.edit("old"))
     backup = fleet.service.snapshot()
     await fleet.in_force(await fleet.edit("new"))
@@ -193,7 +192,7 @@
 
 
 async def test_service_restored_without_a_configuration(fleet):
-    # The restored service has nothing at all. Processes give it what is in force.
+    # The restored service is empty. Processes write the document in force to it.
     empty = fleet.service.snapshot()
     await fleet.in_force(await fleet.edit("main"))
     fleet.service.restore(empty)
@@ -203,8 +202,8 @@
 
 async def test_edit_of_a_restored_service_before_the_republish(fleet):
     # An operator edits the restored service before any process reads it, so that two
-    # documents have one generation. The operator was told that the edit is accepted:
-    # it must be in force everywhere, under a generation above both.
+    # documents have the same generation. The edit was reported as accepted: it must be
+    # in force everywhere, under a generation above both.
     await fleet.in_force(await fleet.edit("old"))
     backup = fleet.service.snapshot()
     await fleet.in_force(await fleet.edit("lost"))
--- a/tests/test_engine_port.py
+++ b/tests/test_engine_port.py
@@ -1,4 +1,4 @@
-"""The engine port, in process and over HTTP, on a real clock."""
+"""The engine port in process and over HTTP, in real time."""
 
 from __future__ import annotations
 
--- a/tests/test_key_value_port.py
+++ b/tests/test_key_value_port.py
@@ -1,4 +1,4 @@
-"""The key-value port, in process and over HTTP, on a real clock."""
+"""The key-value port in process and over HTTP, in real time."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def next_event(watch):
-    """Return the next change, past any signs of life."""
+    """Return the next change, skipping keep-alives."""
     while (event := await anext(watch)) is None:
         pass
     return event
@@ -131,8 +131,8 @@
 
 
 async def test_timeouts_and_a_stopped_server(monkeypatch):
-    # Reads that get no answer are unavailable. A write that was sent may take effect
-    # after its caller gave up; one that was never sent may not.
+    # A read without an answer is reported as unavailable. A write that was sent may
+    # still take effect after a timeout; one that was never sent may not.
     monkeypatch.setattr(key_value_http, "CALL_SECONDS", 0.5)
     standin = KeyValueStandIn(delay=2.0)
     async with client_session() as session:
--- a/tests/test_memory_network.py
+++ b/tests/test_memory_network.py
@@ -7,8 +7,8 @@
 
 @pytest.mark.looptime
 async def test_frames_sent_at_one_instant_arrive_in_order():
-    # Many frames leave within one instant, as a burst of a socket does. They arrive at
-    # one instant too, and must come out in the order in which they were sent.
+    # Many frames are sent at one instant of virtual time, as in a socket's burst. They
+    # are due at one instant too, and must be received in the order of sending.
     network = MemoryNetwork()
     listener = network.listen("side")
     link = network.dial("side")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,8 +9,8 @@
 
 
 def test_series_stay_bounded_whatever_callers_send():
-    # A thousand tenants call one process. Their series must not grow with them: the
-    # first ones keep their own, the others share one.
+    # A thousand tenants call one process. The number of series must not grow with them:
+    # the first tenants have their own series, and the others share one.
     metrics = OpenTelemetryMetrics("entry-1")
     for number in range(1000):
         metrics.on_first_token(f"tenant-{number}", "check", 0.2)
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in one folder, and nothing decides there."""
+"""Platform names occur in one package only, which makes no decisions."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 PACKAGE = pathlib.Path(headers.__file__).resolve().parent.parent
 PLATFORM = PACKAGE / "platform"
 COMPOSITION_ROOTS = {"direct_daemon.py"}
-"""The composition root, which alone imports the folder."""
+"""Modules that may import the package."""
 
 MAX_LINES = 900
-"""Length of the whole folder: it holds names, formats and calls."""
+"""Upper bound on the package's lines: it holds names, formats and calls only."""
 
 
 def sources(folder: pathlib.Path) -> list[pathlib.Path]:
@@ -36,7 +36,7 @@
 
 
 OWN_PROTOCOLS = ("standins", "adapters", "bench")
-"""Where the product's own protocols may use such words."""
+"""Packages whose own protocols may use the same words."""
 
 INDEPENDENT = [
     path for path in OUTSIDE if path.relative_to(PACKAGE).parts[0] not in OWN_PROTOCOLS
--- a/tests/test_small_ports.py
+++ b/tests/test_small_ports.py
@@ -1,4 +1,4 @@
-"""Plain service, instance list and weight store, in process and over HTTP."""
+"""The ports of services, instance list and weight store, in process and over HTTP."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @pytest.fixture(params=["in process", "over HTTP"])
 async def reach(request):
-    """Return a function that gives a stand-in's port."""
+    """Return a function that returns the port of a stand-in."""
     if request.param == "in process":
         yield lambda standin, application, adapter: _direct(standin)
         return
@@ -86,9 +86,9 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST", "PUT", "DELETE"])
 async def test_call_with_a_lost_reply_is_not_retried(reach, method):
-    # The service runs the call and its connection breaks before the reply. The caller
-    # must hear that the outcome is unknown; HTTP libraries tend to send GET, PUT and
-    # DELETE a second time of their own accord, which would run the call twice.
+    # The service runs the call, and its connection breaks before the reply. The outcome
+    # must be reported as unknown; HTTP libraries tend to retry GET, PUT and DELETE by
+    # themselves, which would run the call twice.
     standin = ServiceStandIn("s")
     standin.lost_replies = 1
     service = await reach(standin, service_application, HttpService)
--- a/tests/test_zeromq.py
+++ b/tests/test_zeromq.py
@@ -1,4 +1,4 @@
-"""Real sockets: the behaviour of ZeroMQ that the protocol relies on."""
+"""Behaviour of ZeroMQ on real sockets that the protocol relies on."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def send_when_connected(link, frame):
-    """Send as soon as the connection is up."""
+    """Send a frame as soon as the connection is established."""
     async with asyncio.timeout(20):
         while True:
             try:
@@ -57,8 +57,8 @@
 
 
 async def test_burst_arrives_in_order_and_lets_other_tasks_run(context):
-    # A side sends more than one wake-up takes. The entry's other tasks run meanwhile,
-    # or a busy side would keep it from writing to its callers.
+    # A side sends more frames than one wake-up receives. The entry's other tasks must
+    # run meanwhile, or a busy side would keep it from writing to its callers.
     listener, link, peer = await connected(context)
     expected = [b"%d" % i for i in range(3 * MAX_FRAMES_PER_TURN)]
     await listener.send(peer, *expected[:MAX_FRAMES_PER_TURN])
@@ -87,8 +87,8 @@
 
 
 async def test_frame_whose_event_a_send_consumed_is_received(context):
-    # An entry waits for a side. A frame comes while the entry is busy, and then the
-    # entry sends: ZeroMQ's descriptor is silent now, although a frame is there.
+    # An entry waits for a side. A frame arrives while the entry is busy, which then
+    # sends one itself: ZeroMQ's descriptor is not readable although a frame is there.
     listener, link, peer = await connected(context)
     answer = asyncio.create_task(link.receive())
     await asyncio.sleep(0.05)
@@ -112,8 +112,8 @@
 
 
 async def test_send_without_a_listener_fails(context):
-    # Nothing listens: the send must fail at once, or the frame would be delivered to
-    # whoever listens there minutes later.
+    # Nothing listens at the address: the send must fail at once, or the frame would be
+    # delivered to a listener that binds it minutes later.
     link = ZmqDialer(context, None).dial(free_address())
     with pytest.raises(NotReachedError):
         await link.send(b"offer")
@@ -129,8 +129,8 @@
 
 
 async def test_second_listener_on_an_address_fails(context):
-    # A side is stopped and a replacement starts for the same slot. The stopped one
-    # still holds the address, so the new one fails instead of giving orders.
+    # A side is suspended, and a replacement starts for the same slot. The first one
+    # still holds the address, so the second fails to start and sends no orders.
     address = free_address()
     listener = ZmqListener(context, address, None)
     with pytest.raises(OSError, match="can't listen"):
@@ -143,8 +143,8 @@
 
 
 async def test_peer_without_an_allowed_key_can_not_connect(context):
-    # Three entries dial a side: one with an allowed key, one with a key of its own,
-    # one without any. Only frames of the first arrive.
+    # Three entries dial a side: one with an allowed key, one with an unknown key, one
+    # without a key. Only frames of the first arrive.
     side_public, side_secret = new_key_pair()
     entry_public, entry_secret = new_key_pair()
     other_public, other_secret = new_key_pair()
@@ -172,8 +172,8 @@
 
 
 async def test_last_answers_are_sent_before_the_process_ends():
-    # A side hands over its last answers, closes its address and ends: closing the
-    # context drops what open sockets hold, but waits for what a closed one has left.
+    # A side queues its last answers, closes its listener and ends: closing the context
+    # drops the queues of open sockets, but waits for those of closed ones.
     address = free_address()
     side, entry = zmq.asyncio.Context(), zmq.asyncio.Context()
     listener = ZmqListener(side, address, None)
