--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -110,7 +110,7 @@
 class OpenTelemetryMetrics:
     """Metrics of one process.
 
-    :param process: name of the process, a label of every series.
+    :param process: name of the process.
     """
 
     def __init__(self, process: str) -> None:
--- a/src/bergamotmast/adapters/upstream_http.py
+++ b/src/bergamotmast/adapters/upstream_http.py
@@ -103,7 +103,7 @@
                 # An endless body would exhaust memory, and the kernel would kill the
                 # process with all of its running requests.
                 raise ReplyLostError(
-                    f"a body of more than {MAX_REPLY_BODY_BYTES} bytes"
+                    f"the reply's body exceeds {MAX_REPLY_BODY_BYTES} bytes"
                 )
         return bytes(body)
 
@@ -121,7 +121,11 @@
         """
         body = self.response.content
         if not body.is_eof() and body.exception() is None:
-            body.set_exception(aiohttp.ClientPayloadError("the body breaks off"))
+            body.set_exception(
+                aiohttp.ClientPayloadError(
+                    "the connection closed before the end of the body"
+                )
+            )
 
     def _raise_if_reset(self) -> None:
         """Raise for a body without a length whose connection was reset.
@@ -132,7 +136,7 @@
         if self.unframed and self.closed is not None and self.closed.done():
             error = self.closed.exception()
             if error is not None:
-                raise ReplyLostError(f"an unframed reply was cut off: {error}")
+                raise ReplyLostError(f"a reply without a length was reset: {error}")
 
 
 def _end_of_connection(
--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -152,7 +152,7 @@
         try:
             self.socket.send(frame, _NOBLOCK)
         except zmq.ZMQError as error:
-            raise NotReachedError(f"not handed over: {error}") from error
+            raise NotReachedError(f"frame not queued: {error}") from error
         finally:
             self.frame_waiter.after_send()
 
@@ -253,7 +253,7 @@
                 self.socket.send(frame, _NOBLOCK | _SNDMORE)
             self.socket.send(frames[-1], _NOBLOCK)
         except zmq.ZMQError as error:
-            raise NotReachedError(f"not handed over: {error}") from error
+            raise NotReachedError(f"frame not queued: {error}") from error
         finally:
             self.frame_waiter.after_send()
 
