--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -83,17 +83,17 @@
                 answer = asyncio.create_task(
                     t.cast(t.Any, self.script(self, received, writer))
                 )
-                gone = asyncio.create_task(self._watch_close(reader))
+                disconnected = asyncio.create_task(self._watch_close(reader))
                 done, _ = await asyncio.wait(
-                    {answer, gone}, return_when=asyncio.FIRST_COMPLETED
+                    {answer, disconnected}, return_when=asyncio.FIRST_COMPLETED
                 )
                 if answer not in done:
                     self.closed.append(received.request_id)
                     answer.cancel()
                     break
-                gone.cancel()
+                disconnected.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await gone
+                    await disconnected
                 if writer.is_closing():
                     break
         writer.close()
--- a/tests/test_zeromq.py
+++ b/tests/test_zeromq.py
@@ -151,14 +151,14 @@
     address = free_address()
     side_keys = CurveKeys(side_public, side_secret, b"", frozenset({entry_public}))
     listener = ZmqListener(context, address, side_keys)
-    strangers = [
+    rejected_dialers = [
         ZmqDialer(context, CurveKeys(other_public, other_secret, side_public)),
         ZmqDialer(context, None),
     ]
-    links = [dialer.dial(address) for dialer in strangers]
+    links = [dialer.dial(address) for dialer in rejected_dialers]
     entry_keys = CurveKeys(entry_public, entry_secret, side_public)
-    friend = ZmqDialer(context, entry_keys).dial(address)
-    await send_when_connected(friend, b"friend")
+    allowed_link = ZmqDialer(context, entry_keys).dial(address)
+    await send_when_connected(allowed_link, b"friend")
     for link in links:
         with pytest.raises(NotReachedError):
             await link.send(b"stranger")
@@ -166,7 +166,7 @@
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.3):
             await listener.receive()
-    for link in [*links, friend]:
+    for link in [*links, allowed_link]:
         link.close()
     listener.close()
 
