--- a/src/bergamotmast/policy/baselines.py
+++ b/src/bergamotmast/policy/baselines.py
@@ -141,9 +141,7 @@
 
 
 class FifoSidePolicy:
-    """First in, first out, as many at once as the batch holds; expired items are
-    dropped.
-    """
+    """First in, first out, as many at once as the batch holds."""
 
     def __init__(self) -> None:
         self.queue: dict[str, QueueItem] = {}
--- a/src/bergamotmast/policy/capacity.py
+++ b/src/bergamotmast/policy/capacity.py
@@ -20,7 +20,7 @@
 RATE_EWMA_WEIGHT = 0.2
 """Weight of one report in the moving average of a role's rates."""
 
-_STEPS = 24
+_BISECTION_STEPS = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
     low, high = 0.0, 1.0
     if _fits(1.0, counts, rates, demand):
         return 1.0
-    for _ in range(_STEPS):
+    for _ in range(_BISECTION_STEPS):
         middle = (low + high) / 2.0
         if _fits(middle, counts, rates, demand):
             low = middle
--- a/src/bergamotmast/policy/decisions.py
+++ b/src/bergamotmast/policy/decisions.py
@@ -66,7 +66,7 @@
         """
         off = set(names)
         if unknown := off - DECISION_NAMES:
-            raise ValueError(f"no decision: {', '.join(sorted(unknown))}")
+            raise ValueError(f"unknown decision: {', '.join(sorted(unknown))}")
         return cls(**{name: name not in off for name in DECISION_NAMES})
 
 
--- a/src/bergamotmast/policy/demand.py
+++ b/src/bergamotmast/policy/demand.py
@@ -31,7 +31,7 @@
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self.counted: dict[str, tuple[int, int]] = {}
+        self.last_counters: dict[str, tuple[int, int]] = {}
         self.observed_at: float | None = None
         self.prefill = 0.0
         self.decode = 0.0
@@ -45,18 +45,18 @@
         """
         prefill, decode = 0, 0
         for engine in engines:
-            more = self._more(engine)
+            more = self._increase(engine)
             prefill += more[0]
             decode += more[1]
         if self.observed_at is not None and now > self.observed_at:
             self._smooth(prefill, decode, now - self.observed_at)
         self.observed_at = now
 
-    def _more(self, engine: EngineView) -> tuple[int, int]:
+    def _increase(self, engine: EngineView) -> tuple[int, int]:
         assert engine.report is not None
         count = (engine.report.offered_prefill, engine.report.offered_decode)
-        last = self.counted.get(engine.name)
-        self.counted[engine.name] = count
+        last = self.last_counters.get(engine.name)
+        self.last_counters[engine.name] = count
         if last is None:
             return (0, 0)
         if count[0] < last[0] or count[1] < last[1]:
--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -149,7 +149,7 @@
 def decode_priority(
     rank: int,
     prompt_tokens: int,
-    most_outputs: int,
+    max_output_tokens: int,
     decisions: Decisions = ALL_DECISIONS,
 ) -> int:
     """Return the engine priority of an answer whose prompt is prefilled, 0 to 9.
@@ -158,9 +158,9 @@
     places are taken, and an answer of a few tokens would wait behind those that take
     seconds. Short answers go first: they hold a place for a twentieth of the time.
 
-    :param most_outputs: upper bound of the output tokens; 0 if unknown.
+    :param max_output_tokens: upper bound of the output tokens; 0 if unknown.
     """
-    is_short = 0 < most_outputs <= SHORT_ANSWER_TOKENS
+    is_short = 0 < max_output_tokens <= SHORT_ANSWER_TOKENS
     if is_short and decisions.short_answers_first:
         return 0
     return prefill_priority(rank, prompt_tokens, decisions)
@@ -182,59 +182,63 @@
 def place_prompt(
     engines: t.Sequence[EngineCandidate],
     objective: float,
-    tightest: float,
+    min_objective: float,
     decisions: Decisions = ALL_DECISIONS,
 ) -> Placement | None:
     """Return the engines to use, or ``None`` if no decode engine is available.
 
     :param objective: time to first token objective, in seconds.
-    :param tightest: tightest objective among all routes of the group, in seconds.
+    :param min_objective: tightest objective among all routes of the group, in seconds.
     """
-    direct_seconds = (
-        DECODE_ENGINE_PREFILL_SHARE * tightest if decisions.direct_reading else 0.0
+    max_direct_seconds = (
+        DECODE_ENGINE_PREFILL_SHARE * min_objective if decisions.direct_reading else 0.0
     )
-    answering = choose_decode_engine(engines)
-    if answering is None:
+    decode_candidate = choose_decode_engine(engines)
+    if decode_candidate is None:
         return None
-    ways = [
+    options = [
         (_first_token(engine), engine)
         for engine in engines
         if engine.role is Role.PREFILL
     ]
-    ways += [
+    options += [
         (_first_token(engine), engine)
         for engine in engines
         if engine.role is not Role.PREFILL
-        and (not ways or _may_read(engine, direct_seconds))
+        and (not options or _may_prefill_at(engine, max_direct_seconds))
     ]
-    seconds, engine = min(ways, key=lambda way: (_cost(*way), *_tie_break_key(way[1])))
-    if decisions.packing and engine.prefill_seconds >= LONG_PROMPT_SHARE * tightest:
-        seconds, engine = _packed(ways, objective) or (seconds, engine)
+    seconds, engine = min(
+        options, key=lambda option: (_cost(*option), *_tie_break_key(option[1]))
+    )
+    if (
+        decisions.packing
+        and engine.prefill_seconds >= LONG_PROMPT_SHARE * min_objective
+    ):
+        seconds, engine = _packed(options, objective) or (seconds, engine)
     if engine.role is Role.PREFILL:
-        return Placement(engine.name, answering.name, seconds, engine)
+        return Placement(engine.name, decode_candidate.name, seconds, engine)
     return Placement(None, engine.name, seconds, engine)
 
 
-def _may_read(engine: EngineCandidate, most_seconds: float) -> bool:
+def _may_prefill_at(engine: EngineCandidate, max_seconds: float) -> bool:
     """Return whether a decode engine may prefill although there are prefill engines."""
     return (
         engine.running_decodes <= MAX_DECODES_BESIDE_PREFILL
-        and engine.prefill_seconds <= most_seconds
+        and engine.prefill_seconds <= max_seconds
     )
 
 
 def _packed(
-    ways: t.Sequence[tuple[float, EngineCandidate]], objective: float
+    options: t.Sequence[tuple[float, EngineCandidate]], objective: float
 ) -> tuple[float, EngineCandidate] | None:
-    """Return the most loaded prefill engine that still finishes well within the
-    objective.
-    """
+    """Return the most loaded prefill engine well within the objective."""
     able = [
-        way
-        for way in ways
-        if way[1].role is Role.PREFILL and way[0] <= objective * PACKING_LIMIT_SHARE
+        option
+        for option in options
+        if option[1].role is Role.PREFILL
+        and option[0] <= objective * PACKING_LIMIT_SHARE
     ]
-    return max(able, key=lambda way: (way[0], way[1].name), default=None)
+    return max(able, key=lambda option: (option[0], option[1].name), default=None)
 
 
 def _first_token(engine: EngineCandidate) -> float:
--- a/src/bergamotmast/policy/direct_roles.py
+++ b/src/bergamotmast/policy/direct_roles.py
@@ -108,7 +108,7 @@
 def wanted_decode_engines(engines: int, decode_share: float) -> int:
     """Return how many of a group's engines should have the decode role."""
     if engines <= 1:
-        # A last engine that only reads ends no request; an answering one reads too.
+        # A single engine must decode: it can also prefill.
         return engines
     least = MIN_DECODE_ENGINES if engines >= 2 * MIN_DECODE_ENGINES else 1
     by_mix = math.ceil(engines * decode_share * DECODE_SAFETY_FACTOR)
@@ -119,8 +119,8 @@
     """Chooses the next engine of one group to change its role."""
 
     def __init__(self) -> None:
-        self.wished = 0
-        self.since: float | None = None
+        self.wanted_sign = 0
+        self.wanted_since: float | None = None
 
     def decide(
         self, engines: t.Sequence[EngineRole], decode_share: float, now: float
@@ -129,29 +129,27 @@
 
         :param engines: all engines of the group except those whose state is unknown.
         """
-        answering = [e for e in engines if e.role is not Role.PREFILL]
-        reading = [e for e in engines if e.role is Role.PREFILL]
-        surplus = len(answering) - wanted_decode_engines(len(engines), decode_share)
+        decoding = [e for e in engines if e.role is not Role.PREFILL]
+        prefilling = [e for e in engines if e.role is Role.PREFILL]
+        surplus = len(decoding) - wanted_decode_engines(len(engines), decode_share)
         if surplus == 0:
-            self.since = None
+            self.wanted_since = None
             return None
         sign = 1 if surplus > 0 else -1
-        if self.since is None or sign != self.wished:
-            self.wished = sign
-            self.since = now
-        # Engines that came or went ask for it, whatever the mix:
-        by_count = (
-            sign * (len(answering) - wanted_decode_engines(len(engines), 0.0)) > 0
-        )
-        wanting = reading if surplus > 0 else answering
-        urgent = all(engine.changing for engine in wanting)
+        if self.wanted_since is None or sign != self.wanted_sign:
+            self.wanted_sign = sign
+            self.wanted_since = now
+        # Whether lost or added engines require the change, whatever the mix:
+        by_count = sign * (len(decoding) - wanted_decode_engines(len(engines), 0.0)) > 0
+        lacking = prefilling if surplus > 0 else decoding
+        urgent = all(engine.changing for engine in lacking)
         hold = SETTLE_SECONDS if by_count else HOLD_SECONDS
-        if not urgent and now - self.since < hold:
+        if not urgent and now - self.wanted_since < hold:
             return None
         if surplus > 0:
-            role, candidates, reason = Role.PREFILL, answering, "reads too little"
+            role, candidates, reason = Role.PREFILL, decoding, "too few prefill engines"
         else:
-            role, candidates, reason = Role.DECODE, reading, "answers too little"
+            role, candidates, reason = Role.DECODE, prefilling, "too few decode engines"
         able = [e for e in candidates if e.may_change and not e.changing]
         if not able:
             return None
--- a/src/bergamotmast/policy/engine_load.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -1,17 +1,17 @@
-"""What one entry knows of each engine's work, its own and what other entries told it.
+"""Load tracker of each engine, from an entry's own requests and other entries' notices.
 
 Load pattern: several entries place prompts on the same few engines, and prompts differ
-in length a hundredfold. An engine reads one prompt at a time to its end and then takes
-the most urgent one that waits.
+in length a hundredfold. An engine prefills one prompt at a time to its end and then
+takes the most urgent one that waits.
 
-Without it: counting requests takes a prompt of fifty thousand tokens, a second of an
-engine's time, for one of five hundred; the short ones behind it miss their objective
-while another engine idles.
+Without it: request counts treat a prompt of fifty thousand tokens, a second of engine
+time, like one of five hundred; the short prompts behind it miss their objective while
+another engine idles.
 
-The book therefore follows each engine as the queue that it is, in seconds that this
-engine takes. What it reads at present decides how long even the most urgent prompt
-waits, and nobody tells it: it is guessed from what was there as the last one ended, and
-guessed anew once that one takes longer than it can.
+The tracker therefore models each engine as a priority queue, in seconds of this
+engine's time. The prefill that is running determines how long even the most urgent
+prompt waits, and no engine reports it. It is inferred from what was queued when the
+last prefill ended, and inferred again if it takes longer than that prompt can.
 """
 
 from __future__ import annotations
@@ -27,64 +27,65 @@
 from .prefix_cache import PrefixCacheModel
 
 MIN_REMAINING_SHARE = 0.3
-"""Part of the present prompt that is always taken to be left: its end has not been
-heard of, and short prompts that nobody tells of may have gone before it."""
+"""Share of the running prefill that is always assumed to remain: its end has not been
+reported, and short prompts without a notice may have preceded it."""
 
 NEXT_PREFILL_LEAD_SECONDS = 0.02
-"""An engine has begun its next prompt by so much before the end of the last is heard
-of. What came later can't be the one that it reads."""
+"""Time by which an engine starts its next prefill before the end of the last one is
+reported. A prompt that arrived later can't be the running one."""
 
 OVERRUN_FACTOR = 1.3
-"""Multiples of its time, beside :data:`NEXT_PREFILL_LEAD_SECONDS`, after which the
-present prompt must be another one than was thought."""
+"""Multiple of its predicted time, besides :data:`NEXT_PREFILL_LEAD_SECONDS`, after
+which the prompt assumed to be running must be another one."""
 
 LOAD_HINT_SECONDS = 2.0
-"""Time constant with which an engine's word on its answers fades: they take a second
-or two, and each new one brings the engine's word anew."""
+"""Time constant with which an engine's reported load decays: answers take a second or
+two, and each reply brings a new report."""
 
 PENDING_TTL_SECONDS = 4.0
-"""Work whose end was never heard of, by a lost notice or a dead entry, is forgotten."""
+"""Time after which a prefill without a reported end is dropped, as its notice was lost
+or its entry failed."""
 
 URGENT_LOAD_SECONDS = 1.0
-"""Time constant with which the load of more urgent prompts is measured: bursts last
-some seconds, and a wait that counts is under two."""
+"""Time constant of the moving average of more urgent prompts: bursts last some seconds,
+and a queueing delay that matters is under two."""
 
 MAX_URGENT_SHARE = 0.75
-"""Bound of that load as a share of the engine's time: the wait is at most four times
-what stands before a prompt."""
+"""Upper bound of that load as a share of engine time. It limits the expected wait to
+four times the work that is queued ahead."""
 
 UNRESPONSIVE_SECONDS = 0.7
-"""An engine that has said nothing for so long, on any of this entry's calls, beside the
-time its present prompt takes, may be gone: callers leave after two seconds, and the
-prompt must be read anew before that."""
+"""Time without a reply on any of this entry's calls, besides the time of the running
+prefill, after which an engine may be lost. Callers time out after two seconds, and the
+prompt must be prefilled again before that."""
 
 UNRESPONSIVE_FACTOR = 2.0
-"""Multiples of that time that are allowed for."""
+"""Multiple of the running prefill's predicted time that is allowed for."""
 
 OVERDUE_FACTOR = 2.0
-"""Multiples of the time predicted for a prompt after which it is overdue at an engine
-that lives: what waits there unknown to this entry seldom doubles it."""
+"""Multiple of a prompt's predicted time after which it is overdue at an engine that
+still replies: work queued there unknown to this entry seldom doubles the time."""
 
 SLOWDOWN_WEIGHT = 0.25
-"""Weight of a new measurement of an engine's slowness, on a log scale."""
+"""Weight of a new measurement in an engine's slowdown factor, on a log scale."""
 
 SLOWDOWN_DECAY_SECONDS = 4.0
-"""Time constant with which a slow engine is taken to be sound again; it is then tried
-with a request or two, which show whether it is."""
+"""Time constant with which a slowdown factor decays to 1. The engine then gets a
+request or two, which show whether it has recovered."""
 
 MAX_SLOWDOWN = 16.0
-"""Bound of the slowness: beyond it an engine gets nothing anyway."""
+"""Upper bound of the slowdown factor; no engine gets work at this factor anyway."""
 
 
 @dataclasses.dataclass(slots=True)
 class PendingPrefill:
-    """One prompt on its way through an engine.
+    """A prompt queued or running at an engine.
 
-    :param seconds: for which it keeps the engine from others.
-    :param priority: the less, the sooner it is read.
-    :param since: when it was sent, or heard of; a point in time.
-    :param due_at: when it should be read; a point in time.
-    :param overtaken: whether something more urgent has come since.
+    :param seconds: engine time that its prefill takes.
+    :param priority: engine priority; lower values are prefilled first.
+    :param since: when it was sent, or its notice received; a point in time.
+    :param due_at: when its prefill should end; a point in time.
+    :param overtaken: whether a more urgent prompt has arrived since.
     """
 
     seconds: float
@@ -95,11 +96,11 @@
 
 
 class UrgentLoad:
-    """How much of an engine's time goes to prompts of each priority, lately.
+    """Recent share of an engine's time that prompts of each priority take.
 
-    A prompt waits for what stands before it and also for more urgent ones that come
-    meanwhile. While bursts of short prompts last, a long one waits three times as long
-    as its place in the queue says.
+    A prompt waits for the work queued ahead of it and for more urgent prompts that
+    arrive meanwhile. During bursts of short prompts, a long one waits three times as
+    long as its place in the queue suggests.
     """
 
     def __init__(self) -> None:
@@ -107,12 +108,12 @@
         self.at = 0.0
 
     def add(self, priority: int, seconds: float, now: float) -> None:
-        """Note a prompt that takes some seconds to read."""
+        """Add a prompt that takes some seconds to prefill."""
         self._fade(now)
         self.seconds[priority] = self.seconds.get(priority, 0.0) + seconds
 
     def share(self, priority: int, now: float) -> float:
-        """Return the share of the engine's time that more urgent prompts take."""
+        """Return the share of engine time that more urgent prompts take."""
         self._fade(now)
         urgent = sum(s for known, s in self.seconds.items() if known < priority)
         return min(MAX_URGENT_SHARE, urgent / URGENT_LOAD_SECONDS)
@@ -124,16 +125,17 @@
 
 
 class EngineLoadTracker:
-    """One engine as this entry knows it.
-
-    :param current: the work that it is thought to read now.
-    :param current_since: when that began; a point in time.
-    :param streams: own answers under way there.
-    :param last_reply_at: when it last said anything to this entry; a point in time.
-    :param cooldown_until: until when it is left alone; a point in time.
-    :param role: that it had when it was last looked at.
-    :param prefill_times: what the engines of its group take to read.
-    :param tie_break: see :class:`~.direct_placement.EngineView`.
+    """Estimated load of one engine.
+
+    :param current: the prompt assumed to be running.
+    :param current_since: when its prefill began; a point in time.
+    :param streams: this entry's answers that the engine is decoding.
+    :param last_reply_at: when this entry last received anything from it; a point in
+        time.
+    :param cooldown_until: end of the cool-down after a failure; a point in time.
+    :param role: its role at the last lookup.
+    :param prefill_times: prefill times of its group's engines.
+    :param tie_break: see :class:`~.direct_placement.EngineCandidate`.
     """
 
     def __init__(
@@ -159,16 +161,16 @@
         self.slowdown_at = 0.0
 
     def occupied_seconds(self, tokens: int, cached: int) -> float:
-        """Return for how many seconds a prompt keeps this engine from others.
+        """Return for how many seconds a prefill keeps the engine from other prompts.
 
-        :param tokens: to read.
-        :param cached: tokens before them that it need not read.
+        :param tokens: prompt tokens that are not cached.
+        :param cached: cached tokens before them.
         """
         times = self.prefill_times.of(self.role).times
         return times.occupied_seconds(tokens, cached) * self.time_ratio.factor
 
     def prefill_seconds(self, tokens: int, cached: int) -> float:
-        """Return how long this engine takes for a prompt that meets no queue."""
+        """Return the predicted time of a prefill without a queue."""
         times = self.prefill_times.of(self.role).times
         return times.seconds(tokens, cached) * self.time_ratio.factor
 
@@ -181,10 +183,11 @@
         *,
         goes_first: bool = False,
     ) -> None:
-        """Note a prompt that waits at the engine from now on.
+        """Add a prompt to the queue of the engine.
 
-        :param goes_first: whether it is more urgent than others of its size. It tells
-            nothing of what comes next, and would pass for a burst of urgent prompts.
+        :param goes_first: whether the prompt precedes the others of its rank. It says
+            nothing about the prompts to come and would be mistaken for a burst of
+            urgent ones.
         """
         slowdown = self.slowdown(now)
         due_at = now + (self.wait(priority, now) + seconds) * slowdown
@@ -196,26 +199,26 @@
         if not goes_first:
             self.urgent.add(priority, seconds, now)
         if self.current is None:
-            self._take_next(now)
+            self._infer_current(now)
 
     def end(
         self, key: PrefillKey, now: float, *, done: bool = True
     ) -> PendingPrefill | None:
-        """Note that a prompt is read, or that its call has ended otherwise.
+        """Remove a prompt that was prefilled or whose call has ended otherwise.
 
-        :param done: whether it was read to its end: the engine reads another one now,
-            whichever was taken for the present one.
+        :param done: whether the prefill completed. If so, the engine has started the
+            next one, whichever prompt was assumed to be running.
         """
         work = self.pending_prefills.pop(key, None)
         self.prefix.settle(key, done=done)
         if work is not None and (done or key == self.current):
-            self._take_next(now - NEXT_PREFILL_LEAD_SECONDS)
+            self._infer_current(now - NEXT_PREFILL_LEAD_SECONDS)
         return work
 
     def wait(self, priority: int, now: float) -> float:
-        """Return the seconds of what is read before a prompt of a priority."""
-        self._forget_old(now)
-        self._guess_again(now)
+        """Return the seconds of work ahead of a prompt of a priority."""
+        self._drop_expired(now)
+        self._revise_current(now)
         seconds = 0.0
         for key, work in self.pending_prefills.items():
             if key == self.current:
@@ -228,22 +231,23 @@
         return seconds
 
     def expected_wait(self, priority: int, now: float) -> float:
-        """Return the seconds until a prompt of a priority is read.
+        """Return the expected queueing delay of a prompt of a priority, in seconds.
 
-        That is what is read before it, and the more urgent that comes meanwhile.
+        It consists of the work ahead and of more urgent prompts that arrive meanwhile.
         """
         return self.wait(priority, now) / (1.0 - self.urgent.share(priority, now))
 
     def slowdown(self, now: float) -> float:
-        """Return how many times slower than usual the engine is taken to be."""
+        """Return the slowdown factor, the ratio of actual to predicted time."""
         age = max(0.0, now - self.slowdown_at)
         return math.exp(self.slowdown_log * math.exp(-age / SLOWDOWN_DECAY_SECONDS))
 
     def observe_slowdown(self, predicted: float, actual: float, now: float) -> None:
-        """Compare a prediction with what the engine took.
+        """Update the slowdown factor from a predicted and an actual time.
 
-        What was faster than predicted counts at once, what was slower by its weight:
-        a queue that nobody told of looks like slowness once, a slow engine each time.
+        A ratio below the present factor counts at once, one above by its weight: a
+        queue unknown to this entry looks like slowness once, a slow engine does each
+        time.
         """
         if predicted <= 0.0 or actual <= 0.0:
             return
@@ -254,26 +258,26 @@
         self.slowdown_at = now
 
     def learn(self, tokens: int, cached: int, seconds: float) -> None:
-        """Take what a read took that met no queue, as far as known."""
+        """Learn from the time of a prefill that met no known queue."""
         model = self.prefill_times.of(self.role)
         self.time_ratio.learn(model.times.seconds(tokens, cached), seconds)
         model.learn(tokens, cached, seconds / self.time_ratio.factor)
 
     def hint(self, running: int, waiting: int, now: float) -> None:
-        """Take an engine's word on its requests, this entry's own included."""
+        """Record the load that the engine reports, own requests included."""
         self.reported_load.update(running, waiting, self.streams, now)
 
     def running_decodes(self, now: float) -> float:
-        """Return how many answers are thought to be under way there."""
+        """Return the estimated number of answers that the engine is decoding."""
         return self.streams + self.reported_load.estimate(now)
 
     def overdue_at(self, key: PrefillKey) -> float:
-        """Return when a prompt is overdue, whatever else its engine does.
+        """Return when a prompt is overdue, even if its engine still replies.
 
-        It is reckoned from what stood before this prompt, its own length and what has
-        overtaken it: a bound for all prompts would take the longest ones, which an
-        engine reads for a second and more, from every engine just before they are read.
-        A prompt that is no longer booked has been forgotten as too old.
+        The limit follows from the work ahead of this prompt, its own length and what
+        has overtaken it. One limit for all prompts would remove the longest ones, whose
+        prefill takes a second or more, just before they are done. A prompt that is no
+        longer tracked has exceeded :data:`PENDING_TTL_SECONDS` and is overdue.
         """
         work = self.pending_prefills.get(key)
         if work is None:
@@ -282,35 +286,37 @@
         return work.since + OVERDUE_FACTOR * expected + UNRESPONSIVE_SECONDS
 
     def unresponsive_at(self, since: float, now: float) -> float:
-        """Return when an engine that stays silent may be gone.
+        """Return when an engine without further replies is taken for lost.
 
-        It may be busy with one prompt all the while, whose time is allowed for.
+        The time of the running prefill is allowed for, as it may keep the engine busy.
 
-        :param since: when the call that waits was sent; a point in time.
+        :param since: when the waiting call was sent; a point in time.
         """
         work = self.pending_prefills.get(self.current) if self.current else None
         seconds = work.seconds if work is not None else 0.0
-        pending_prefills = UNRESPONSIVE_FACTOR * seconds * self.slowdown(now)
-        return max(since, self.last_reply_at) + UNRESPONSIVE_SECONDS + pending_prefills
+        allowed = UNRESPONSIVE_FACTOR * seconds * self.slowdown(now)
+        return max(since, self.last_reply_at) + UNRESPONSIVE_SECONDS + allowed
 
-    def _take_next(self, at: float) -> None:
-        """Guess what the engine reads since a point in time."""
+    def _infer_current(self, at: float) -> None:
+        """Infer the prefill that is running since a point in time."""
         self.current_since = at
-        there = [key for key, work in self.pending_prefills.items() if work.since <= at]
-        if there:
-            self.current = min(there, key=self._order)
+        queued = [
+            key for key, work in self.pending_prefills.items() if work.since <= at
+        ]
+        if queued:
+            self.current = min(queued, key=self._order)
             return
-        # Nothing waited: the engine began with the first that came.
+        # The queue was empty: the engine started the first prompt that arrived.
         self.current = min(self.pending_prefills, key=self._since, default=None)
         if self.current is not None:
             self.current_since = self._since(self.current)
 
-    def _guess_again(self, now: float) -> None:
-        """Take another prompt for the present one if that should long be read.
+    def _revise_current(self, now: float) -> None:
+        """Infer the running prefill again if the assumed one should long be done.
 
-        The engine then reads something longer, which had come before. Left at the
-        guess, it would look as good as free to an urgent prompt for as long as that
-        takes, a second at times, and all of them would be sent there.
+        The engine then runs a longer prompt that arrived earlier. Otherwise it would
+        look almost free to urgent prompts for up to a second, and all of them would be
+        sent there.
         """
         work = self.pending_prefills.get(self.current) if self.current else None
         if work is None:
@@ -318,22 +324,22 @@
         elapsed = (now - self.current_since) / self.slowdown(now)
         if elapsed <= work.seconds * OVERRUN_FACTOR + NEXT_PREFILL_LEAD_SECONDS:
             return
-        begun_by = self.current_since + NEXT_PREFILL_LEAD_SECONDS
+        queued_by = self.current_since + NEXT_PREFILL_LEAD_SECONDS
         longer = [
             key
             for key, other in self.pending_prefills.items()
-            if other.since <= begun_by and other.seconds > elapsed
+            if other.since <= queued_by and other.seconds > elapsed
         ]
         self.current = min(longer, key=self._order, default=self.current)
 
     def _order(self, key: PrefillKey) -> tuple[int, float]:
-        """Return by what the engine chooses its next prompt."""
+        """Return the sort key by which the engine chooses its next prefill."""
         return self.pending_prefills[key].priority, self.pending_prefills[key].since
 
     def _since(self, key: PrefillKey) -> float:
         return self.pending_prefills[key].since
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         limit = now - PENDING_TTL_SECONDS
         old = [key for key, work in self.pending_prefills.items() if work.since < limit]
         for key in old:
--- a/src/bergamotmast/policy/entry_policy.py
+++ b/src/bergamotmast/policy/entry_policy.py
@@ -1,4 +1,4 @@
-"""What is let in at an entry and where it goes: the parts put together."""
+"""Default entry policy: admission, placement, retries and ejection combined."""
 
 from __future__ import annotations
 
@@ -31,24 +31,25 @@
 from .routing import staged_names
 
 MAX_ATTEMPTS = 16384
-"""Attempts remembered until they end; the oldest goes first."""
+"""Attempts tracked until they end; the oldest one is dropped first."""
 
 STALE_SECONDS = 5.0
-"""Age beyond which a report no longer shows that its upstream takes work."""
+"""Age above which a report no longer proves that its upstream accepts work."""
 
 UPSTREAM_FAULTS = frozenset(
     {ResultCode.UPSTREAM_FAILED, ResultCode.OUTCOME_UNKNOWN, ResultCode.NOT_HANDED_OVER}
 )
-"""Ends of an attempt that count against its upstream."""
+"""Result codes of an attempt that count as a failure of its upstream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptPrediction:
-    """What was predicted for an attempt when it was chosen.
+    """Prediction for an attempt at the time it was placed.
 
     :param first_at: predicted first token; a point in time.
-    :param chosen_at: when it was chosen; a point in time.
-    :param resumed: output tokens given before it.
+    :param chosen_at: when the upstream was chosen; a point in time.
+    :param resumed: output tokens that the caller already had.
+    :param prefill_only: whether the attempt ends after the prefill stage.
     """
 
     chosen_at: float
@@ -60,7 +61,7 @@
 class LoadAwareEntryPolicy:
     """The default entry policy.
 
-    :param rng: seeded source of every draw.
+    :param rng: seeded random source.
     :param zone: availability zone of the entry.
     """
 
@@ -87,7 +88,7 @@
         resumed_tokens: int = 0,
         excluded: frozenset[str] = frozenset(),
     ) -> Choice:
-        """Choose an upstream for a call's next attempt."""
+        """Choose an upstream for a call's next attempt, or refuse the call."""
         names = [c.name for c in candidates]
         self.ejector.observe(names, now)
         ready = _ready(candidates, excluded, now)
@@ -126,7 +127,7 @@
             best.first, call.first_token_by - now
         ):
             return self._refuse(late)
-        # Behind a prefill stage comes no other door before the prefill is spent.
+        # No later check can refuse the request before the prefill is spent.
         slack = 1.0 if staged else ENTRY_SLACK
         if exceeds_entry_deadline(best.total, call.deadline - now, slack):
             return self._refuse(best.total - (call.deadline - now))
@@ -142,11 +143,11 @@
         now: float,
         resumed: int,
     ) -> tuple[Estimate, bool]:
-        """Return the best stage, and whether it is a prefill stage only.
+        """Return the best estimate, and whether it is a prefill stage only.
 
-        Where there are engines for both stages, a long answer on one of them alone
-        takes several times as long of that engine, whoever waits there: it is a way
-        out only where the stages would be too late.
+        If both stages have engines of their own, running a long answer on one of them
+        alone takes several times as much of its time, which delays all who wait there.
+        It is only used where the two stages would be too late.
         """
         whole = self._estimates(ready, work, priority, cached, now)
         if resumed:
@@ -169,7 +170,7 @@
         cached: dict[str, int],
         now: float,
     ) -> Estimate | None:
-        """Predict a prefill stage here and a decode stage there."""
+        """Predict a prefill stage and a decode stage at separate engines."""
         prefill_names, decode_names = staged_names(ready)
         first_stage = [c for c in ready if c.name in prefill_names]
         second_stage = [c for c in ready if c.name in decode_names]
@@ -219,13 +220,13 @@
         return self.budget.spend()
 
     def on_admitted(self, call: ModelCall | ServiceCall, now: float) -> None:
-        """Learn that a fresh request was let in."""
+        """Credit the retry budget with a fresh request."""
         self.budget.earn()
 
     def on_first_token(
         self, upstream: str, call: ModelCall, cached_tokens: int, now: float
     ) -> None:
-        """Learn how many prompt tokens an upstream found in its cache."""
+        """Learn the cached tokens and the slowdown of an upstream."""
         attempt = self.attempts.get((call.request_id, upstream))
         if attempt is None:
             return
@@ -245,7 +246,7 @@
         output_tokens: int,
         now: float,
     ) -> None:
-        """Learn how an attempt ended."""
+        """Learn the output length and the upstream's health from a finished attempt."""
         attempt = self.attempts.pop((call.request_id, upstream), None)
         if code in UPSTREAM_FAULTS:
             self.ejector.failed(upstream, now)
@@ -263,13 +264,13 @@
 def _ready(
     candidates: cabc.Sequence[Candidate], excluded: frozenset[str], now: float
 ) -> list[Candidate]:
-    """Return the candidates that take work, with stale reports only if all are."""
-    ready = [c for c in candidates if c.name not in excluded and _takes(c)]
+    """Return the candidates that accept work, preferably with fresh reports."""
+    ready = [c for c in candidates if c.name not in excluded and _accepts_work(c)]
     fresh = [c for c in ready if now - c.reported_at <= STALE_SECONDS]
     return fresh or ready
 
 
-def _takes(candidate: Candidate) -> bool:
+def _accepts_work(candidate: Candidate) -> bool:
     report = candidate.report
     return report is not None and report.readiness is Readiness.READY
 
--- a/src/bergamotmast/policy/interfaces.py
+++ b/src/bergamotmast/policy/interfaces.py
@@ -1,8 +1,8 @@
-"""What the entry, the side and the planner ask of a policy, and in which terms.
+"""Policy interfaces of the entry, the side and the planner, and their data types.
 
-Times are points on the caller's monotonic clock in seconds, handed in with each
-call. Work is counted in tokens: prompt tokens to prefill, output tokens to decode;
-a call of a plain service counts as one token of each.
+Times are seconds on the caller's monotonic clock, passed in with each call. Work is
+counted in tokens: prompt tokens to prefill, output tokens to decode; a call of a plain
+service counts as one token of each.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An upstream as one entry knows it.
+    """An upstream as one entry sees it.
 
-    :param report: the side's last word; ``None`` before the first heartbeat.
-    :param reported_at: when that word arrived.
+    :param report: the side's last report; ``None`` before the first heartbeat.
+    :param reported_at: when that report arrived.
     :param own_running: this entry's attempts there that have not ended.
     :param own_prefill: their prompt tokens not known to be prefilled.
     :param own_decode: their predicted output tokens still to come.
     :param own_since_report: this entry's (prefill, decode) tokens offered there since
-        the last report was made, which the report can't know.
+        the last report was made, which the report can't include.
     """
 
     name: str
@@ -45,13 +45,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """Where an attempt goes.
+    """Placement of an attempt, or its refusal.
 
-    :param upstream: name of the upstream, or ``None`` where the request is refused.
+    :param upstream: name of the upstream, or ``None`` if the request is refused.
     :param code: why it is refused.
-    :param retry_after: seconds after which the caller may come back, if refused.
-    :param prefill_only: end the attempt after the first token, export the KV cache
-        and ask again for a place to decode.
+    :param retry_after: seconds after which the caller may retry, if refused.
+    :param prefill_only: end the attempt after the first token, export the KV cache and
+        place the decode stage separately.
     """
 
     upstream: str | None
@@ -61,7 +61,7 @@
 
 
 class EntryPolicy(t.Protocol):
-    """What is let in at an entry and where it goes."""
+    """Admission and placement of requests at an entry."""
 
     def predict(self, call: ModelCall) -> Cost:
         """Return the predicted work of a whole call."""
@@ -77,8 +77,8 @@
     ) -> Choice:
         """Choose an upstream for a call's next attempt.
 
-        :param resumed_tokens: output tokens the caller already has; above 0 the
-            attempt goes on from there, after a failure or a handoff.
+        :param resumed_tokens: output tokens the caller already has; above 0 the attempt
+            continues from there, after a failure or a handoff.
         :param excluded: upstreams that already refused or failed this call.
         """
         ...
@@ -88,13 +88,13 @@
         ...
 
     def on_admitted(self, call: ModelCall | ServiceCall, now: float) -> None:
-        """Learn that a fresh request was let in."""
+        """Record that a fresh request was admitted."""
         ...
 
     def on_first_token(
         self, upstream: str, call: ModelCall, cached_tokens: int, now: float
     ) -> None:
-        """Learn how many prompt tokens an upstream found in its cache."""
+        """Record how many prompt tokens an upstream found in its cache."""
         ...
 
     def on_ended(
@@ -105,21 +105,21 @@
         output_tokens: int,
         now: float,
     ) -> None:
-        """Learn how an attempt ended."""
+        """Record how an attempt ended."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueItem:
-    """A request waiting at a side.
+    """A request in a side's queue.
 
-    :param cost: predicted work left, in tokens.
-    :param weight: the tenant's weight.
-    :param start_by: latest useful start of a first token; a point in time.
+    :param cost: predicted remaining work, in tokens.
+    :param weight: the tenant's weight in fair queueing.
+    :param start_by: latest useful time of the first token; a point in time.
     :param deadline: latest useful end; a point in time.
     :param arrived_at: when it arrived at the side.
-    :param resumed: whether it goes on from an earlier attempt.
-    :param kv_tokens: KV memory it will hold; 0 for as much as it costs.
+    :param resumed: whether it continues an earlier attempt.
+    :param kv_tokens: KV cache tokens it will hold; 0 for the sum of its cost.
     :param goes_first: whether it starts before others of its tenant and priority.
     """
 
@@ -139,11 +139,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamSpeed:
-    """How fast an upstream is now, as its side policy sees it.
+    """Present speed of an upstream, as its side policy estimates it.
 
     :param prefill_rate: prompt tokens a second.
-    :param waits: predicted seconds until new work of each priority would begin; empty
-        where they are not predicted.
+    :param waits: predicted seconds until new work of each priority would start; empty
+        if they are not predicted.
     :param token_seconds: seconds between the tokens of one answer; 0 if not measured.
     """
 
@@ -153,7 +153,7 @@
 
 
 class SidePolicy(t.Protocol):
-    """What waits at a side, for how long, and what starts next."""
+    """Queueing and scheduling of requests at a side."""
 
     def configure(
         self,
@@ -163,7 +163,7 @@
         decode_rate: float,
         role: Role | None,
     ) -> None:
-        """Learn the upstream's size in its present role."""
+        """Set the upstream's capacity in its present role."""
         ...
 
     def offer(self, item: QueueItem, now: float) -> ResultCode:
@@ -171,27 +171,27 @@
         ...
 
     def next(self, now: float) -> QueueItem | None:
-        """Take the next item to start, or ``None`` if none may start now."""
+        """Remove and return the next item to start; ``None`` if none may start."""
         ...
 
     def on_progress(self, attempt: str, tokens: int, now: float) -> None:
-        """Learn of output tokens of a started item; the first ends its prefill."""
+        """Record output tokens of a started item; the first ends its prefill."""
         ...
 
     def on_ended(self, attempt: str, now: float) -> None:
-        """Learn that a started item ended."""
+        """Record that a started item ended."""
         ...
 
     def withdraw(self, attempt: str) -> bool:
-        """Take a waiting item out; ``False`` if it is not waiting."""
+        """Remove a waiting item; ``False`` if it is not waiting."""
         ...
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
-        """Take out the items that can no longer be answered in time."""
+        """Remove the items that can no longer be answered in time."""
         ...
 
     def waiting(self) -> int:
-        """Return how many items wait."""
+        """Return the number of waiting items."""
         ...
 
     def waiting_cost(self) -> Cost:
@@ -207,20 +207,20 @@
         ...
 
     def speed(self) -> UpstreamSpeed:
-        """Return how fast the upstream is now."""
+        """Return the upstream's present speed."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineView:
-    """One engine as the planner knows it.
+    """One engine as the planner sees it.
 
-    :param report: its side's last word; ``None`` if never heard.
-    :param reported_at: when that word arrived.
-    :param role: the role the plan gives it.
-    :param fresh_until: until when that word may be acted on; ``None`` leaves it to the
+    :param report: its side's last report; ``None`` before the first one.
+    :param reported_at: when that report arrived.
+    :param role: its role in the plan.
+    :param fresh_until: until when the report may be used; ``None`` leaves it to the
         policy.
-    :param changing: whether the plan and the engine differ.
+    :param changing: whether the engine's state differs from the plan.
     """
 
     name: str
@@ -234,10 +234,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupSnapshot:
-    """One group of engines that may stand in for each other.
+    """State of a group of interchangeable engines at one time.
 
-    :param bounds: least and most engines for each role, from the selector.
-    :param change_seconds: how long a role change takes an engine away.
+    :param bounds: minimum and maximum number of engines for each role, from the
+        selector.
+    :param change_seconds: seconds for which a role change takes an engine away.
     """
 
     group: str
@@ -248,7 +249,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleChange:
-    """A role change that the shift policy asks for."""
+    """A role change requested by the shift policy."""
 
     engine: str
     role: Role
@@ -256,8 +257,8 @@
 
 
 class ShiftPolicy(t.Protocol):
-    """How fast the roles of a group follow its mix."""
+    """Decides when the roles of a group follow its mix of work."""
 
     def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
-        """Return the one change to begin now, or ``None``."""
+        """Return the one change to start now, or ``None``."""
         ...
--- a/src/bergamotmast/policy/load_hint.py
+++ b/src/bergamotmast/policy/load_hint.py
@@ -1,4 +1,4 @@
-"""What an upstream says of its load, which counts less as it ages."""
+"""Load that an upstream reports in its replies, with exponential decay."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class DecayingLoadHint:
-    """An upstream's word on the work that others than this entry have given it.
+    """Estimate of the work that others than this entry have at an upstream.
 
-    :param seconds: time constant with which it fades.
+    :param seconds: time constant of the decay.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -17,11 +17,14 @@
         self.at = -math.inf
 
     def update(self, running: int, waiting: int, own: int, now: float) -> None:
-        """Take the upstream's word on all its work, this entry's own included."""
+        """Record the upstream's reported load.
+
+        :param own: this entry's requests, which the report includes.
+        """
         self.reported = max(0, running + waiting - own)
         self.at = now
 
     def estimate(self, now: float) -> float:
-        """Return how much work of others is thought to be there."""
+        """Return the estimated number of requests of others."""
         age = max(0.0, now - self.at)
         return self.reported * math.exp(-age / self.seconds)
--- a/src/bergamotmast/policy/plain_placement.py
+++ b/src/bergamotmast/policy/plain_placement.py
@@ -1,14 +1,14 @@
-"""Which plain upstream takes a call.
+"""Placement of calls on plain upstreams, those that aren't engines.
 
-Load pattern: short calls on few slots, an upstream that slows down or fails a part of
-its calls, callers that come in clumps.
+Load pattern: short calls on few slots, an upstream that slows down or fails part of its
+calls, callers that arrive in bursts.
 
-Without it: calls queue behind a full or failing upstream while others have room.
+Without it: calls queue behind a full or failing upstream while others have free slots.
 
-The less loaded of two candidates drawn at random takes the call, so that entries that
-know little of each other don't all choose the same one. One that has failed
-:data:`FAILURES_TO_EJECT` calls in a row is left out for :data:`EJECTION_SECONDS` as
-long as others are there.
+The less loaded of two random candidates gets the call, so that entries with little
+knowledge of each other don't all choose the same one. An upstream that has failed
+:data:`FAILURES_TO_EJECT` calls in a row is ejected for :data:`EJECTION_SECONDS` while
+others are available.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from .load_hint import DecayingLoadHint
 
 LOAD_HINT_SECONDS = 0.3
-"""Time constant with which a reply's word on load fades."""
+"""Time constant with which an upstream's reported load decays."""
 
 FAILURES_TO_EJECT = 2
-"""Failures in a row that eject an upstream."""
+"""Consecutive failures that eject an upstream."""
 
 EJECTION_SECONDS = 2.0
-"""How long it is left out; a call that tries it then shows whether it is back."""
+"""Time of an ejection; the next call then shows whether the upstream has recovered."""
 
 CROSS_ZONE_LOAD = 0.1
-"""Load that an upstream in another zone counts more, as a share of its slots."""
+"""Load added to an upstream in another zone, as a share of its slots."""
 
 
 class PlainUpstreamLoad:
-    """One plain upstream as this entry knows it."""
+    """Estimated load and health of one plain upstream."""
 
     def __init__(self) -> None:
         self.running = 0
@@ -42,23 +42,23 @@
         self.ejected_until = float("-inf")
 
     def hint(self, running: int, waiting: int, now: float) -> None:
-        """Take an upstream's word on its calls, this entry's own included."""
+        """Record the load that the upstream reports, this entry's calls included."""
         self.reported_load.update(running, waiting, self.running, now)
 
     def load(self, now: float) -> float:
-        """Return how many calls are thought to be there."""
+        """Return the estimated number of running calls."""
         return self.running + self.reported_load.estimate(now)
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether it is left out for now."""
+        """Return whether the upstream is ejected."""
         return now < self.ejected_until
 
     def succeeded(self) -> None:
-        """Note an answer."""
+        """Record an answer."""
         self.failures = 0
 
     def failed(self, now: float) -> None:
-        """Note a call that the upstream failed."""
+        """Record a call that the upstream failed."""
         self.failures += 1
         if self.failures >= FAILURES_TO_EJECT:
             self.ejected_until = now + EJECTION_SECONDS
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainCandidate:
-    """A plain upstream as a choice sees it."""
+    """A plain upstream as a candidate for one call."""
 
     name: str
     same_zone: bool
@@ -78,7 +78,7 @@
 def choose_plain_upstream(
     views: t.Sequence[PlainCandidate], rng: random.Random
 ) -> str | None:
-    """Return the name of the upstream that takes a call, or ``None``."""
+    """Return the name of the upstream that gets the call, or ``None``."""
     able = [view for view in views if not view.ejected] or list(views)
     if not able:
         return None
--- a/src/bergamotmast/policy/prefill_model.py
+++ b/src/bergamotmast/policy/prefill_model.py
@@ -1,18 +1,20 @@
-"""How long engines take to read a prompt, learned from what reads have taken.
-
-Load pattern: engines of makes nobody has told of, some of a group slower than others;
-prompts that differ in length a hundredfold; queues that other entries have filled.
-
-Without it: reads are predicted for engines of another make. Half as long as they take,
-every engine seems free, and prompts wait behind each other where others idle; twice as
-long, callers are turned away that would have been served.
-
-A read takes a fixed time for the call and the first step, a time for each token, and
-one for each pair of a token and one before it: 50,000 tokens take half again as long as
-their share of 10,000. The three are fitted to the latest reads that met no queue, with
-less weight for those far off: a queue that nobody told of makes a read longer, a prompt
-whose beginning was kept unknown to this entry makes it shorter. The time from the end
-of a read to the first token at another engine is learned in the same way.
+"""Prefill time model of a group of engines, fitted to the prefills they have done.
+
+Load pattern: engines of unknown makes, some of a group slower than others; prompts that
+differ in length a hundredfold; queues filled by other entries.
+
+Without it: prefill times are predicted for engines of another make. If they are half
+the actual times, every engine seems free and prompts queue behind each other while
+others idle; if they are twice the actual times, callers are refused that could have
+been served.
+
+A prefill takes a fixed time for the call and the first step, a time for each token, and
+a time for each pair of a token and one before it (attention): 50,000 tokens take half
+again as long as five times 10,000. The three coefficients are fitted to the latest
+prefills that met no queue, with less weight for outliers: an unknown queue makes a
+prefill longer, a prefix cached without this entry's knowledge makes it shorter. The
+time from the end of a prefill to the first token at another engine is learned in the
+same way.
 """
 
 from __future__ import annotations
@@ -25,53 +27,53 @@
 from ..model import Role
 
 WINDOW_SAMPLES = 48
-"""Reads that are fitted; later ones take the place of the oldest."""
+"""Most recent prefills that are fitted."""
 
 MIN_SAMPLES = 6
-"""Reads with which the first fit is made."""
+"""Prefills needed for the first fit."""
 
 SAMPLES_BETWEEN_FITS = 4
-"""New reads after which the fit is made again."""
+"""New prefills after which the fit is repeated."""
 
 SCALE_QUANTILE = 0.4
-"""Where the ratio of what reads took to the first guess is taken: below the middle,
-since queues make reads longer."""
+"""Quantile of the ratios of actual times to the prior that scales the prior. It is
+below the median, since queues make prefills longer."""
 
 WIDTH_STRETCHES = (4.0, 3.0, 2.0, 1.5, 1.0, 1.0)
-"""Rounds of fitting, each with the weights that the last one leads to, and by how much
-the widths are stretched in it: at first, a long prompt is far off because its pairs
-cost more than guessed."""
+"""Factors on the outlier widths, one for each round of iteratively reweighted fitting.
+They start wide: at first, a long prompt is far off because its pairs cost more than the
+prior says."""
 
 SLOWER_LOG_WIDTH = 0.15
-"""Log ratio to the fit at which a read that took longer has half its weight."""
+"""Log ratio to the fit at which a prefill that took longer has half its weight."""
 
 FASTER_LOG_WIDTH = 0.3
-"""The same for one that took less time."""
+"""Log ratio to the fit at which a prefill that took less time has half its weight."""
 
 PRIOR_WEIGHT = 0.05
-"""Reads that the scaled first guess counts for: a few of one length don't tell
-the three parts from each other."""
+"""Weight of the scaled prior, in samples: a few prefills of one length can't separate
+the three coefficients."""
 
 MAX_PRIOR_FACTOR = 5.0
-"""Bound of each part against the scaled first guess."""
+"""Bound of each coefficient relative to the scaled prior, in either direction."""
 
 TIME_RATIO_WEIGHT = 0.25
-"""Weight of a new read in an engine's pace, on a log scale."""
+"""Weight of a new prefill in an engine's time ratio, on a log scale."""
 
 MAX_TIME_RATIO_STEP = 0.5
-"""Bound of the log ratio by which one read may pull the pace."""
+"""Bound of the deviation, as a log ratio, that one prefill may contribute."""
 
 MAX_TIME_RATIO = 8.0
-"""Bound of an engine's pace against its group's, either way."""
+"""Bound of an engine's time ratio to its group, in either direction."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefillTimes:
-    """What reads take, in seconds.
+    """Coefficients of the prefill time, in seconds.
 
-    :param fixed: of each call, without holding up other reads.
-    :param token: of each token to read.
-    :param pair: of each pair of a token to read and one before it.
+    :param fixed: for each call, without occupying the engine.
+    :param token: for each uncached token.
+    :param pair: for each pair of an uncached token and one before it.
     """
 
     fixed: float
@@ -79,28 +81,28 @@
     pair: float
 
     def occupied_seconds(self, tokens: int, cached: int) -> float:
-        """Return how long a read keeps its engine from others.
+        """Return how long a prefill keeps its engine from other prompts.
 
-        :param tokens: to read.
-        :param cached: tokens before them that need not be read.
+        :param tokens: prompt tokens that are not cached.
+        :param cached: cached tokens before them.
         """
         return tokens * self.token + _pairs(tokens, cached) * self.pair
 
     def seconds(self, tokens: int, cached: int) -> float:
-        """Return how long a read takes that meets no queue."""
+        """Return how long a prefill takes without a queue."""
         return self.fixed + self.occupied_seconds(tokens, cached)
 
 
 PREFILL_ENGINE_PRIOR = PrefillTimes(fixed=0.015, token=1 / 45_000, pair=0.4e-9)
-"""First guess for engines that only read."""
+"""Prior for engines in the prefill role."""
 
 DECODE_ENGINE_PRIOR = PrefillTimes(fixed=0.02, token=1 / 22_000, pair=0.8e-9)
-"""First guess for engines that make answers too: between their tokens, they read at
-half the speed."""
+"""Prior for engines that also decode: they prefill between decode steps, at half the
+speed."""
 
 
 TRANSFER_PRIOR = PrefillTimes(fixed=0.02, token=1.6e-6, pair=0.0)
-"""First guess of the time from a read to the first token at another engine."""
+"""Prior of the time from the end of a prefill to the first token at another engine."""
 
 
 class _Read(t.NamedTuple):
@@ -110,9 +112,9 @@
 
 
 class PrefillTimeModel:
-    """The reads of a group's engines in one role, at the pace of the group.
+    """Prefill times of a group's engines in one role, normalised to the group's speed.
 
-    :param times: what reads are taken to take.
+    :param times: the present fit.
     """
 
     def __init__(self, guess: PrefillTimes) -> None:
@@ -122,7 +124,7 @@
         self.unfitted = 0
 
     def learn(self, tokens: int, cached: int, seconds: float) -> None:
-        """Take what a read took that met no queue, divided by its engine's pace."""
+        """Add the time of a prefill without a queue, divided by the engine's ratio."""
         if tokens <= 0 or seconds <= 0.0:
             return
         self.reads.append(_Read(tokens, _pairs(tokens, cached), seconds))
@@ -133,7 +135,7 @@
 
 
 class GroupPrefillTimes:
-    """The reads of one group's engines in each role, and the transfers between them."""
+    """Prefill times of a group's engines in each role, and its KV transfer times."""
 
     def __init__(self) -> None:
         self.prefill_engines = PrefillTimeModel(PREFILL_ENGINE_PRIOR)
@@ -141,23 +143,23 @@
         self.transfers = PrefillTimeModel(TRANSFER_PRIOR)
 
     def of(self, role: Role) -> PrefillTimeModel:
-        """Return the reads of engines in a role."""
+        """Return the model for engines in a role."""
         return self.prefill_engines if role is Role.PREFILL else self.decode_engines
 
 
 class EngineTimeRatio:
-    """How many times longer than its group's usual one engine takes."""
+    """Ratio of one engine's prefill times to its group's usual ones."""
 
     def __init__(self) -> None:
         self.log = 0.0
 
     @property
     def factor(self) -> float:
-        """The engine's time against the group's."""
+        """The ratio; above 1 the engine is slower than its group."""
         return math.exp(self.log)
 
     def learn(self, expected: float, seconds: float) -> None:
-        """Compare what a read took with what the group would take."""
+        """Update the ratio from an actual time and the one expected of the group."""
         if expected <= 0.0 or seconds <= 0.0:
             return
         off = math.log(seconds / expected) - self.log
@@ -173,7 +175,7 @@
 
 
 def _fit(guess: PrefillTimes, reads: t.Collection[_Read]) -> PrefillTimes:
-    """Return the times that fit some reads best, near a multiple of the first guess."""
+    """Return the coefficients that fit the samples best, near a scaled prior."""
     scale = _scale(guess, reads)
     start = (guess.fixed * scale, guess.token * scale, guess.pair * scale)
     factors = [1.0, 1.0, 1.0]
@@ -199,7 +201,7 @@
     reads: t.Iterable[_Read],
     stretch: float,
 ) -> list[float]:
-    """Return better factors of the three parts: weighted least squares of ratios."""
+    """Return better factors of the coefficients by weighted least squares of ratios."""
     matrix = [[PRIOR_WEIGHT * (i == j) for j in range(3)] for i in range(3)]
     right = [PRIOR_WEIGHT] * 3
     for read in reads:
@@ -224,7 +226,7 @@
 
 
 def _solve(matrix: list[list[float]], right: list[float]) -> list[float]:
-    """Solve linear equations whose matrix is positive definite."""
+    """Solve linear equations with a positive definite matrix."""
     rows = [[*row, value] for row, value in zip(matrix, right, strict=True)]
     for i, pivot in enumerate(rows):
         for j, row in enumerate(rows):
--- a/src/bergamotmast/policy/prefix_cache.py
+++ b/src/bergamotmast/policy/prefix_cache.py
@@ -1,10 +1,11 @@
-"""Which parts of prompts an engine is believed to keep.
+"""Model of an engine's prefix cache: the prompt parts it is believed to hold.
 
-Load pattern: prompts share long beginnings, of which there are more than all engines
-together can keep; an engine forgets what it has used least lately.
+Load pattern: prompts share long prefixes, more than all engines together can cache; an
+engine evicts the least recently used one.
 
-Without it: a beginning is read again where another engine has it, and a fetch is asked
-of an engine that has forgotten it, or that has not read it yet, and brings nothing.
+Without it: a prefix is prefilled again although another engine has it cached, or a KV
+transfer is requested from an engine that has evicted it or has not prefilled it yet,
+and brings nothing.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 """Name of the entry that sent a prompt, and that entry's number for it."""
 
 PromptParts: t.TypeAlias = t.Sequence[tuple[int, int]]
-"""Hash and tokens of the parts of a prompt, in order."""
+"""Hash and token count of each part of a prompt, in order."""
 
 
 class PrefixCacheModel:
-    """Prompt parts that an engine is believed to keep; the oldest leave.
+    """LRU model of the prompt parts in an engine's prefix cache.
 
-    :param capacity: tokens that it keeps.
-    :param cached_parts: parts that it has read.
-    :param pending: parts of prompts that wait there or are being read.
-    :param pending_counts: in how many of those each part stands.
+    :param capacity: cache size in tokens.
+    :param cached_parts: tokens of each cached part, by hash.
+    :param pending: parts of the prompts that are queued or running there.
+    :param pending_counts: number of those prompts that contain each part.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -36,26 +37,26 @@
         self.pending_counts: collections.Counter[int] = collections.Counter()
 
     def transferable_tokens(self, parts: PromptParts) -> int:
-        """Return how many tokens at a prompt's head another engine could fetch."""
-        return _beginning(parts, lambda key: key in self.cached_parts)
+        """Return how many prefix tokens another engine could transfer."""
+        return _known_prefix_tokens(parts, lambda key: key in self.cached_parts)
 
     def expected_cached_tokens(self, parts: PromptParts) -> int:
-        """Return how many tokens at a prompt's head it will not read again.
+        """Return how many prefix tokens will be cached at the prompt's prefill.
 
-        What comes there counts: it is read first, or as a part of this prompt.
+        Pending parts count: they are prefilled before this prompt or as part of it.
         """
-        return _beginning(
+        return _known_prefix_tokens(
             parts, lambda key: key in self.cached_parts or key in self.pending_counts
         )
 
     def expect(self, work: PrefillKey, parts: PromptParts) -> None:
-        """Note that a prompt is on its way."""
+        """Record a prompt that was sent to the engine."""
         self.settle(work, done=False)
         self.pending[work] = parts
         self.pending_counts.update(key for key, _ in parts)
 
     def settle(self, work: PrefillKey, *, done: bool) -> None:
-        """Note that a prompt has been read, or will not be."""
+        """Record that a prompt has been prefilled, or will not be."""
         parts = self.pending.pop(work, ())
         for key, _ in parts:
             self.pending_counts[key] -= 1
@@ -65,7 +66,7 @@
             self.store(parts)
 
     def store(self, parts: PromptParts) -> None:
-        """Note that an engine has read these parts just now."""
+        """Record that the engine has just prefilled these parts."""
         for key, tokens in parts:
             self.total += tokens - self.cached_parts.pop(key, 0)
             self.cached_parts[key] = tokens
@@ -74,8 +75,8 @@
             self.total -= tokens
 
 
-def _beginning(parts: PromptParts, is_known: t.Callable[[int], bool]) -> int:
-    """Return the tokens of the parts before the first one that is not known."""
+def _known_prefix_tokens(parts: PromptParts, is_known: t.Callable[[int], bool]) -> int:
+    """Return the number of tokens before the first unknown part."""
     found = 0
     for key, tokens in parts:
         if not is_known(key):
--- a/src/bergamotmast/policy/presets.py
+++ b/src/bergamotmast/policy/presets.py
@@ -1,4 +1,4 @@
-"""Named sets of policies: the default, its earlier versions and the baselines."""
+"""Named policy sets: the default, its earlier versions and the baselines."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PolicySet:
-    """One complete set of decisions.
+    """A complete set of policies.
 
-    :param entry_policy: makes an entry's policy from its random source and zone.
-    :param side_policy: makes a side's policy.
-    :param shift_policy: makes the planner's policy.
-    :param first_roles: roles of a group of so many engines before the first change.
+    :param entry_policy: creates an entry's policy from a random source and a zone.
+    :param side_policy: creates a side's policy.
+    :param shift_policy: creates the planner's policy.
+    :param first_roles: initial roles of a group, by its number of engines.
     """
 
     name: str
@@ -46,7 +46,8 @@
 
 
 MIN_SPLIT_ENGINES = 3
-"""Engines from which on roles are split: with fewer, one failure takes a whole role."""
+"""Smallest group whose roles are split: in a smaller one, a single failure removes a
+whole role."""
 
 
 def all_mixed(engines: int) -> tuple[Role, ...]:
@@ -61,7 +62,7 @@
 
 
 def split_or_mixed(engines: int) -> tuple[Role, ...]:
-    """Split a group in halves, but a small one not at all."""
+    """Split a group in halves, or leave a small one mixed."""
     return all_mixed(engines) if engines < MIN_SPLIT_ENGINES else half_split(engines)
 
 
@@ -157,11 +158,11 @@
     "least-outstanding",
     "greedy-threshold",
 )
-"""Names of the presets that are only compared with."""
+"""Names of the presets that only serve for comparison."""
 
 
 def preset(name: str) -> PolicySet:
-    """Return a named set.
+    """Return a named policy set.
 
     :raises KeyError: if there is none of that name.
     """
--- a/src/bergamotmast/policy/queueing.py
+++ b/src/bergamotmast/policy/queueing.py
@@ -1,20 +1,20 @@
-"""Which waiting item starts next: class priority, then tenants' shares, then deadline.
+"""Fair queue of a side: strict priorities with a guaranteed share, fair among tenants.
 
 Load pattern: a few tenants bring most of the load; a burst of short checks arrives
 behind long appraisals; saturation lasts.
 
-Without it: the tenant that sends most is served most and the others' requests expire
-behind it; checks wait minutes for an answer of one token; or, with strict priority,
-long work never runs while checks keep coming.
+Without it: the tenant that sends most is served most, and other tenants' requests
+expire behind it; checks wait minutes for an answer of one token; or, with strict
+priorities, long work never runs while checks keep arriving.
 
 Thresholds: within a priority, tenants share by start-time fair queueing on token cost
-over weight, so a tenant's wait depends on its own backlog and its share alone. A lower
-priority that waits is owed :data:`LOWER_PRIORITY_SHARE` of the work started, which
-leaves the upper ones theirs as long as they ask for no more than the rest. They claim
-it only after half of their allowed wait (:data:`MIN_WAITED_SHARE`), so that a burst of
-short checks still comes in time between long answers. A tenant's place in the accounts
-is dropped once it would not differ from a newcomer's, which bounds them by the tenants
-of the last moments.
+over weight, so a tenant's wait depends only on its own backlog and its share. A lower
+priority with waiting items is entitled to :data:`LOWER_PRIORITY_SHARE` of the started
+work, which leaves the higher ones theirs as long as they ask for no more than the rest.
+An item claims it only after half of its allowed wait (:data:`MIN_WAITED_SHARE`), so
+that a burst of short checks is still served in time between long answers. A tenant's
+virtual finish time is dropped once it equals that of a new tenant, which bounds the
+table to recently active tenants.
 """
 
 from __future__ import annotations
@@ -27,30 +27,30 @@
 from .interfaces import QueueItem
 
 LOWER_PRIORITY_SHARE = 0.5
-"""Share of started work owed to each lower priority while it waits."""
+"""Share of started work that each lower priority is entitled to while items wait."""
 
 MIN_WAITED_SHARE = 0.5
-"""Share of its allowed wait after which an item may claim what it is owed.
+"""Share of its allowed wait after which an item may claim its priority's share.
 
-A burst of checks that ends sooner is let through whole, at no loss to the long work.
+A burst of checks that ends sooner passes entirely, at no loss to the long work.
 """
 
 MAX_DEFICIT_SECONDS = 5.0
-"""Engine-seconds that can be owed to a lower priority at most."""
+"""Upper bound of a lower priority's deficit, in engine-seconds."""
 
-MAX_IDLE_ACCOUNTS = 256
-"""Accounts of tenants without waiting work that are kept before they are dropped."""
+MAX_IDLE_TENANTS = 256
+"""Number of virtual finish times above which those of idle tenants are dropped."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rates:
-    """What an upstream does in a second, in tokens."""
+    """Nominal rates of an upstream, in tokens a second."""
 
     prefill: float
     decode: float
 
     def seconds(self, cost: Cost) -> float:
-        """Return the upstream's time that a cost takes."""
+        """Return the upstream's time for a cost."""
         return cost.prefill / self.prefill + cost.decode / self.decode
 
 
@@ -58,7 +58,8 @@
 class WorkAhead:
     """Work that will start before a new item.
 
-    :param count: how many items; a share of a tenant's lane may count.
+    :param count: number of items; fractional if only a share of a tenant's queue
+        counts.
     """
 
     count: float
@@ -70,14 +71,14 @@
     return not item.goes_first, item.deadline
 
 
-def _lane_order(item: QueueItem) -> tuple[bool, float, float, str]:
+def _queue_order(item: QueueItem) -> tuple[bool, float, float, str]:
     return *_urgency(item), item.arrived_at, item.attempt
 
 
 class TenantQueue:
-    """The waiting items of one tenant at one priority, earliest deadline first.
+    """Waiting items of one tenant at one priority, earliest deadline first.
 
-    :param seconds: upstream's time of all of them.
+    :param seconds: upstream's time for all of them.
     """
 
     def __init__(self) -> None:
@@ -87,15 +88,15 @@
         self.decode = 0
 
     def add(self, item: QueueItem, seconds: float) -> None:
-        """Put an item in its place."""
+        """Insert an item in order."""
         self.items.append(item)
-        self.items.sort(key=_lane_order)
+        self.items.sort(key=_queue_order)
         self.seconds += seconds
         self.prefill += item.cost.prefill
         self.decode += item.cost.decode
 
     def remove(self, item: QueueItem, seconds: float) -> None:
-        """Take an item out."""
+        """Remove an item."""
         self.items.remove(item)
         self.seconds = max(0.0, self.seconds - seconds)
         self.prefill -= item.cost.prefill
@@ -105,10 +106,12 @@
 class FairQueue:
     """Waiting items of all priorities and tenants.
 
-    :param rates: the upstream's rates, by which costs become its time.
-    :param lower_priority_share: share of started work owed to lower priorities.
-    :param min_waited_share: share of its allowed wait that an item waits before it is
-        owed.
+    :param rates: the upstream's rates, which convert costs to its time.
+    :param fair: whether tenants share; otherwise all items of a priority form one
+        queue.
+    :param lower_priority_share: share of started work that lower priorities are
+        entitled to.
+    :param min_waited_share: share of its allowed wait after which an item may claim it.
     """
 
     def __init__(
@@ -122,7 +125,9 @@
         self.fair = fair
         self.lower_priority_share = lower_priority_share
         self.min_waited_share = min_waited_share
-        self.lanes: dict[Priority, dict[str, TenantQueue]] = {p: {} for p in Priority}
+        self.tenant_queues: dict[Priority, dict[str, TenantQueue]] = {
+            p: {} for p in Priority
+        }
         self.items: dict[str, tuple[QueueItem, float]] = {}
         self.virtual_finish: dict[str, float] = {}
         self.virtual_time = 0.0
@@ -132,47 +137,49 @@
         return len(self.items)
 
     def count(self, priority: Priority) -> int:
-        """Return how many items of a priority wait."""
-        return sum(len(lane.items) for lane in self.lanes[priority].values())
+        """Return the number of waiting items of a priority."""
+        return sum(len(queue.items) for queue in self.tenant_queues[priority].values())
 
     def add(self, item: QueueItem) -> None:
-        """Put an item in."""
+        """Add an item."""
         seconds = self.rates.seconds(item.cost)
         self.items[item.attempt] = (item, seconds)
-        lane = self.lanes[item.priority].setdefault(self._tenant(item), TenantQueue())
-        lane.add(item, seconds)
+        queue = self.tenant_queues[item.priority].setdefault(
+            self._tenant(item), TenantQueue()
+        )
+        queue.add(item, seconds)
 
     def _tenant(self, item: QueueItem) -> str:
         return item.tenant if self.fair else ""
 
     def remove(self, attempt: str) -> QueueItem | None:
-        """Take an item out, or return ``None`` if it is not waiting."""
+        """Remove an item, or return ``None`` if it is not waiting."""
         found = self.items.pop(attempt, None)
         if found is None:
             return None
         item, seconds = found
-        lanes = self.lanes[item.priority]
-        lane = lanes[self._tenant(item)]
-        lane.remove(item, seconds)
-        if not lane.items:
-            del lanes[self._tenant(item)]
+        queues = self.tenant_queues[item.priority]
+        queue = queues[self._tenant(item)]
+        queue.remove(item, seconds)
+        if not queue.items:
+            del queues[self._tenant(item)]
         return item
 
     def order(self, now: float) -> cabc.Iterator[QueueItem]:
-        """Yield the head of each lane in the order in which they should start."""
+        """Yield the head of each tenant's queue, in the order of their starts."""
         for priority in self._priorities(now):
-            lanes = self.lanes[priority]
-            for tenant in sorted(lanes, key=lambda t: (self._start(t), t)):
-                yield lanes[tenant].items[0]
+            queues = self.tenant_queues[priority]
+            for tenant in sorted(queues, key=lambda t: (self._start(t), t)):
+                yield queues[tenant].items[0]
 
     def _priorities(self, now: float) -> list[Priority]:
-        waiting = [p for p in Priority if self.lanes[p]]
-        deficits = [p for p in waiting[1:] if self._due(p, now)]
+        waiting = [p for p in Priority if self.tenant_queues[p]]
+        deficits = [p for p in waiting[1:] if self._may_claim_share(p, now)]
         return deficits + [p for p in waiting if p not in deficits]
 
-    def _due(self, priority: Priority, now: float) -> bool:
-        """Return whether the most urgent item has waited long and is owed its turn."""
-        heads = [lane.items[0] for lane in self.lanes[priority].values()]
+    def _may_claim_share(self, priority: Priority, now: float) -> bool:
+        """Return whether the most urgent item may claim its priority's share."""
+        heads = [queue.items[0] for queue in self.tenant_queues[priority].values()]
         head = min(heads, key=lambda item: (item.deadline, item.attempt))
         allowed = head.start_by - head.arrived_at
         if not head.resumed and now - head.arrived_at < self.min_waited_share * allowed:
@@ -184,11 +191,13 @@
         return max(self.virtual_time, self.virtual_finish.get(tenant, 0.0))
 
     def is_entitled(self, priority: Priority, now: float) -> bool:
-        """Return whether a priority goes before the higher ones now."""
-        return bool(self.lanes[priority]) and self._due(priority, now)
+        """Return whether a priority now precedes the higher ones."""
+        return bool(self.tenant_queues[priority]) and self._may_claim_share(
+            priority, now
+        )
 
     def take(self, item: QueueItem) -> None:
-        """Start an item: take it out and charge its tenant."""
+        """Start an item: remove it and charge its tenant."""
         _, seconds = self.items[item.attempt]
         self.remove(item.attempt)
         tenant = self._tenant(item)
@@ -196,11 +205,11 @@
         self.virtual_time = start
         self.virtual_finish[tenant] = start + seconds / max(item.weight, 1e-6)
         self._settle(item.priority, seconds)
-        if len(self.virtual_finish) > MAX_IDLE_ACCOUNTS:
+        if len(self.virtual_finish) > MAX_IDLE_TENANTS:
             self._drop_idle()
 
     def charge(self, item: QueueItem, decode: int) -> None:
-        """Charge a tenant for output tokens beyond what was predicted."""
+        """Charge a tenant for output tokens beyond the prediction."""
         tenant = self._tenant(item)
         seconds = decode / self.rates.decode / max(item.weight, 1e-6)
         self.virtual_finish[tenant] = self._start(tenant) + seconds
@@ -210,7 +219,7 @@
         for priority in Priority:
             if priority <= started:
                 continue
-            if not self.lanes[priority]:
+            if not self.tenant_queues[priority]:
                 self.deficits[priority] = 0.0
                 continue
             more = (
@@ -229,42 +238,44 @@
     def ahead(self, item: QueueItem) -> WorkAhead:
         """Return the waiting work that will start before an item offered now.
 
-        Of another tenant of the same priority no more counts than its share allows
-        while this tenant's own backlog is worked off.
+        Of another tenant of the same priority, only as much counts as its share allows
+        while this tenant's own backlog is served.
         """
         count, prefill, decode = 0.0, 0.0, 0.0
         for priority in Priority:
             if priority > item.priority:
                 break
-            for tenant, lane in self.lanes[priority].items():
-                share = self._share_ahead(priority, tenant, lane, item)
-                count += share * len(lane.items)
-                prefill += share * lane.prefill
-                decode += share * lane.decode
+            for tenant, queue in self.tenant_queues[priority].items():
+                share = self._share_ahead(priority, tenant, queue, item)
+                count += share * len(queue.items)
+                prefill += share * queue.prefill
+                decode += share * queue.decode
         return WorkAhead(count, prefill, decode)
 
     def work_up_to(self, priority: Priority) -> WorkAhead:
         """Return all waiting work of a priority and the higher ones."""
-        lanes = [x for p in Priority if p <= priority for x in self.lanes[p].values()]
+        queues = [
+            x for p in Priority if p <= priority for x in self.tenant_queues[p].values()
+        ]
         return WorkAhead(
-            sum(len(lane.items) for lane in lanes),
-            sum(lane.prefill for lane in lanes),
-            sum(lane.decode for lane in lanes),
+            sum(len(queue.items) for queue in queues),
+            sum(queue.prefill for queue in queues),
+            sum(queue.decode for queue in queues),
         )
 
     def _share_ahead(
-        self, priority: Priority, tenant: str, lane: TenantQueue, item: QueueItem
+        self, priority: Priority, tenant: str, queue: TenantQueue, item: QueueItem
     ) -> float:
         if priority < item.priority:
             return 1.0
         mine = self._tenant(item)
         if tenant == mine:
             urgency = _urgency(item)
-            before = [i for i in lane.items if _urgency(i) <= urgency]
-            return len(before) / len(lane.items)
-        own = self.lanes[priority].get(mine)
+            before = [i for i in queue.items if _urgency(i) <= urgency]
+            return len(before) / len(queue.items)
+        own = self.tenant_queues[priority].get(mine)
         backlog = (own.seconds if own else 0.0) + self.rates.seconds(item.cost)
         finish = self._start(mine) + backlog / max(item.weight, 1e-6)
-        weight = lane.items[0].weight
+        weight = queue.items[0].weight
         allowed = max(0.0, finish - self._start(tenant)) * weight
-        return min(1.0, allowed / max(lane.seconds, 1e-9))
+        return min(1.0, allowed / max(queue.seconds, 1e-9))
--- a/src/bergamotmast/policy/rate_meters.py
+++ b/src/bergamotmast/policy/rate_meters.py
@@ -1,16 +1,16 @@
-"""How fast an upstream really is, from the items that were started there.
+"""Measured rates of an upstream: prefill throughput and time between tokens.
 
-Load pattern: prompts of which a large part is cached, mixed with decode work that slows
-prefill down, so that the stated rates are off by a factor in either direction.
+Load pattern: prompts with a large cached part, mixed with decode work that slows
+prefill down, so that the nominal rates are wrong by a factor in either direction.
 
-Without it: the door refuses prompts that a warm cache would have prefilled in time, or
-admits what the batch then delays past its deadline.
+Without it: admission control refuses prompts that a warm cache would have prefilled in
+time, or admits work that the batch then delays past its deadline.
 
-Thresholds: sums are forgotten with a time constant of
-:data:`RATE_TIME_CONSTANT_SECONDS` of busy time, a few hundred prefills, and a measured
-rate is believed between :data:`MIN_RATE_RATIO` and :data:`MAX_RATE_RATIO` of the stated
-one, so that a stretch of odd requests can neither close the door nor open it wide.
-Until :data:`MIN_BUSY_SECONDS` were seen, the stated rate counts.
+Thresholds: sums decay with a time constant of :data:`RATE_TIME_CONSTANT_SECONDS` of
+busy time, a few hundred prefills. A measured rate is limited to between
+:data:`MIN_RATE_RATIO` and :data:`MAX_RATE_RATIO` of the nominal one, so that a run of
+unusual requests can neither refuse nor admit everything. The nominal rate is used until
+:data:`MIN_BUSY_SECONDS` have been measured.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 import math
 
 RATE_TIME_CONSTANT_SECONDS = 15.0
-"""Busy seconds after which a measurement counts a third."""
+"""Busy time after which a measurement's weight has decayed to about a third."""
 
 MIN_BUSY_SECONDS = 1.0
-"""Busy seconds needed before a measurement is believed."""
+"""Busy time needed before a measurement is used."""
 
 MIN_RATE_RATIO = 0.2
 MAX_RATE_RATIO = 4.0
-"""Bounds of what is believed, as shares of the stated rate."""
+"""Bounds of a measured rate, as multiples of the nominal rate."""
 
 STEP_WEIGHT = 0.05
-"""Weight of one finished answer in the measured time between tokens."""
+"""Weight of one finished answer in the moving average of the time between tokens."""
 
 
 class PrefillMeter:
-    """Prompt tokens, cached ones included, a busy second.
+    """Measures prompt tokens, cached ones included, per busy second.
 
-    :param stated: the upstream's own figure.
+    :param stated: the upstream's nominal rate.
     """
 
     def __init__(self, stated: float) -> None:
@@ -45,13 +45,13 @@
         self.seconds = 0.0
 
     def begin(self, now: float) -> None:
-        """Note a prefill handed over."""
+        """Record the start of a prefill."""
         if self.pending == 0:
             self.marked_at = now
         self.pending += 1
 
     def end(self, tokens: int, now: float) -> None:
-        """Note a prefill done, or given up with 0 tokens."""
+        """Record the end of a prefill, with 0 tokens if it was aborted."""
         busy = max(0.0, now - self.marked_at)
         keep = math.exp(-busy / RATE_TIME_CONSTANT_SECONDS)
         self.tokens = keep * self.tokens + tokens
@@ -60,7 +60,7 @@
         self.pending = max(0, self.pending - 1)
 
     def rate(self) -> float:
-        """Return the rate to reckon with, in prompt tokens a second."""
+        """Return the estimated rate, in prompt tokens a second."""
         if self.seconds < MIN_BUSY_SECONDS:
             return self.stated
         measured = self.tokens / self.seconds
@@ -70,9 +70,9 @@
 
 
 class StepMeter:
-    """Seconds between the tokens of one answer.
+    """Measures the seconds between the tokens of one answer.
 
-    :param stated: the same with a full batch, by the upstream's own figures.
+    :param stated: nominal time between tokens with a full batch.
     """
 
     def __init__(self, stated: float) -> None:
@@ -80,13 +80,17 @@
         self.measured = stated
 
     def end(self, tokens: int, seconds: float) -> None:
-        """Note an answer of so many tokens after its first, in so many seconds."""
+        """Record a finished answer.
+
+        :param tokens: output tokens after the first one.
+        :param seconds: time that they took.
+        """
         if tokens < 1:
             return
         weight = min(1.0, STEP_WEIGHT * math.sqrt(tokens))
         self.measured += weight * (seconds / tokens - self.measured)
 
     def seconds(self) -> float:
-        """Return the time between tokens to reckon with."""
+        """Return the estimated time between tokens."""
         most = self.stated / MIN_RATE_RATIO
         return min(most, max(self.stated / MAX_RATE_RATIO, self.measured))
--- a/src/bergamotmast/policy/retries.py
+++ b/src/bergamotmast/policy/retries.py
@@ -1,19 +1,19 @@
-"""How much is tried again, and which upstreams are left alone for a while.
+"""Retry budget and outlier ejection of an entry.
 
-Load pattern: an outage ends, or one upstream fails or slows, and every call that met
-it is tried again somewhere else at the same moment.
+Load pattern: an outage ends, or one upstream fails or slows down, and every affected
+call is retried elsewhere at the same moment.
 
-Without it: retries multiply the load exactly when capacity is missing, the queues fill
-with second and third attempts, and the fleet stays down after the cause is gone. One
-failing upstream answers fastest of all and draws the traffic to it.
+Without it: retries multiply the load exactly when capacity is missing, queues fill with
+second and third attempts, and the fleet stays down after the cause is gone. A failing
+upstream replies fastest of all and attracts the traffic.
 
 Thresholds: a retry budget of :data:`RETRY_SHARE` of fresh work bounds the amplification
-of any outage to 1.2 times the offered load. :data:`RETRY_BURST` lets the handful of
-calls that one dying upstream held go elsewhere without waiting for fresh work; it has
-to be earned first, or entries that start together would add it to any load. An upstream
-is ejected after :data:`FAILURES_TO_EJECT` failures in a row, never more than
-:data:`MAX_EJECTED_SHARE` of those in sight: if most fail, the fault is not theirs. One
-that returns is offered work at a share that rises over :data:`WARM_UP_SECONDS`.
+of any outage to 1.2 times the offered load. :data:`RETRY_BURST` lets the few calls at
+one failing upstream go elsewhere without waiting for fresh work; it must be earned
+first, as entries that start together would otherwise add it to any load. An upstream is
+ejected after :data:`FAILURES_TO_EJECT` consecutive failures, but never more than
+:data:`MAX_EJECTED_SHARE` of the candidates: if most fail, the cause is elsewhere. A
+returning upstream gets a share of requests that rises over :data:`WARM_UP_SECONDS`.
 """
 
 from __future__ import annotations
@@ -25,29 +25,29 @@
 """Retries earned by each fresh request."""
 
 RETRY_BURST = 20.0
-"""Most retries saved up."""
+"""Maximum number of earned retries."""
 
 FAILURES_TO_EJECT = 3
-"""Failures in a row that eject an upstream."""
+"""Consecutive failures that eject an upstream."""
 
 FIRST_EJECTION_SECONDS = 5.0
-"""Seconds of the first ejection; it doubles with each one that follows at once."""
+"""Time of the first ejection; it doubles with each consecutive one."""
 
 MAX_EJECTION_SECONDS = 60.0
-"""Most seconds of one ejection."""
+"""Upper bound of the time of one ejection."""
 
 MAX_EJECTED_SHARE = 0.34
-"""Most of the candidates in sight that may be ejected at once."""
+"""Largest share of the candidates that may be ejected at once."""
 
 WARM_UP_SECONDS = 10.0
-"""Seconds over which a new or returning upstream gets back its whole share."""
+"""Time over which a new or returning upstream's share of requests rises to normal."""
 
 MIN_WARM_UP_SHARE = 0.2
-"""Share offered at the very start of a warm-up, so that it is tried at all."""
+"""Share of requests at the start of a warm-up, so that the upstream gets any at all."""
 
 
 class RetryBudget:
-    """Retries that fresh work has earned.
+    """Retries earned by fresh requests (a token bucket).
 
     :param saved: retries that may be spent now.
     """
@@ -58,7 +58,7 @@
         self.saved = 0.0
 
     def earn(self) -> None:
-        """Count a fresh request."""
+        """Credit a fresh request."""
         self.saved = min(self.burst, self.saved + self.share)
 
     def spend(self) -> bool:
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(slots=True)
 class UpstreamHealth:
-    """What an entry knows of one upstream's failures.
+    """Failures and ejections of one upstream, as an entry has seen them.
 
     :param warm_from: when its present warm-up began; a point in time.
     :param seen_at: when it was last a candidate; a point in time.
@@ -87,7 +87,7 @@
 class OutlierEjector:
     """Ejects failing upstreams and warms up those that return.
 
-    :param rng: draws which requests a warming upstream gets.
+    :param rng: decides which requests an upstream gets during its warm-up.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -96,10 +96,10 @@
         self.started_at: float | None = None
 
     def observe(self, names: list[str], now: float) -> None:
-        """Note the upstreams that could be chosen now.
+        """Record the upstreams that are candidates now.
 
-        What was there when the entry itself started is taken as warm: else a whole
-        fleet would refuse its share after a restart of the entry.
+        Upstreams that are there when the entry starts count as warm. Otherwise, after a
+        restart of the entry, the whole fleet would be limited to the warm-up share.
         """
         if self.started_at is None:
             self.started_at = now - WARM_UP_SECONDS
@@ -125,19 +125,19 @@
             del self.health[name]
 
     def eligible(self, names: list[str], now: float) -> list[str]:
-        """Return the upstreams that may be given this request, never none."""
+        """Return the upstreams that may get this request, at least one."""
         ejected = [n for n in names if self.health[n].ejected_until > now]
         allowed = int(len(names) * MAX_EJECTED_SHARE)
         ejected.sort(key=lambda n: self.health[n].ejected_until, reverse=True)
-        away = set(ejected[:allowed])
-        left = [n for n in names if n not in away]
-        warm = [n for n in left if self._takes(n, now)]
+        excluded = set(ejected[:allowed])
+        left = [n for n in names if n not in excluded]
+        warm = [n for n in left if self._is_warm(n, now)]
         return warm or left or names
 
-    def _takes(self, name: str, now: float) -> bool:
+    def _is_warm(self, name: str, now: float) -> bool:
         health = self.health[name]
         if health.ejected_until > now:
-            # Spared by the cap: most upstreams fail, so it is as good as the others.
+            # Kept by the cap: most upstreams fail, so this one is as good as any.
             return True
         age = now - health.warm_from
         if age >= WARM_UP_SECONDS:
@@ -145,14 +145,14 @@
         return self.rng.random() < max(MIN_WARM_UP_SHARE, age / WARM_UP_SECONDS)
 
     def succeeded(self, name: str) -> None:
-        """Note an attempt that ended well."""
+        """Record an attempt that succeeded."""
         health = self.health.get(name)
         if health is not None:
             health.failures = 0
             health.ejections = 0
 
     def failed(self, name: str, now: float) -> None:
-        """Note an attempt that the upstream failed."""
+        """Record an attempt that the upstream failed."""
         health = self.health.get(name)
         if health is None:
             return
--- a/src/bergamotmast/policy/retry_window.py
+++ b/src/bergamotmast/policy/retry_window.py
@@ -1,18 +1,18 @@
-"""How many requests may be sent a second time, of those that came lately.
+"""Retry budget of one entry over a sliding window, by group.
 
-Load pattern: an upstream dies or fails part of its requests, and everything that met it
-wants to go elsewhere at once.
+Load pattern: an upstream fails entirely or in part, and every affected request is to be
+retried elsewhere at once.
 
-Without it: second sends multiply the load just when capacity is missing.
+Without it: retries multiply the load just when capacity is missing.
 
-Thresholds: the operators allow all entries together a share of the requests and a few
-more, over any window of :data:`WINDOW_SECONDS`. Counted are the requests of that
-window, of the one before it or of the one that began half a window earlier, whichever
-has most. Each entry keeps to :data:`USED_LIMIT_SHARE` of that share of its own
-requests, in its last window and in each that began since, and to its part of the few,
-so that the fleet as a whole keeps to the budget however the traffic is spread. Only
-half of the few are given out: an entry that starts again has a part that grows, beside
-what its last life spent.
+Thresholds: operators allow all entries together a share of the requests plus a fixed
+number of free retries, over any window of :data:`WINDOW_SECONDS`. The requests that
+count are those of that window, of the one before it, or of the one that began half a
+window earlier, whichever is most. Each entry keeps to :data:`USED_LIMIT_SHARE` of that
+share of its own requests, in its last window and in each that began since, and to its
+share of the free retries, so that the fleet as a whole keeps to the budget however the
+traffic is spread. Only half of the free retries are used: the share of a restarted
+entry grows again, in addition to what its last process spent.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 import itertools
 
 WINDOW_SECONDS = 10.0
-"""The operators' budget counts over windows of this length."""
+"""Length of the windows over which the operators' budget counts."""
 
 SLOT_SECONDS = 0.25
-"""Requests and second sends are counted by spans of this length."""
+"""Length of the time slots in which requests and retries are counted."""
 
 WINDOW_SLOTS = int(WINDOW_SECONDS / SLOT_SECONDS)
 
 HALF_SLOTS = WINDOW_SLOTS // 2
 
 USED_LIMIT_SHARE = 0.9
-"""Part of the operators' share that is used: they count a request as it is sent, an
-entry as it arrives."""
+"""Share of the operators' limit that is used: they count a request when it is sent, an
+entry when it arrives."""
 
 USED_FREE_SHARE = 0.5
-"""Part of the operators' few that is given out."""
+"""Share of the operators' free retries that is used."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """What the operators allow all entries together in one window.
+    """Limits that operators set for all entries together in one window.
 
-    :param share: second sends for each request.
-    :param free: second sends that no request has to have earned.
+    :param share: retries for each request.
+    :param free: retries allowed regardless of requests.
     """
 
     share: float = 0.2
@@ -53,11 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryWindowState:
-    """What decides whether a second send may be made.
+    """Counts that decide whether a retry is allowed.
 
     :param requests: callers' requests of the last window.
-    :param retries: second sends of the last window.
-    :param available: second sends that may be made now.
+    :param retries: retries of the last window.
+    :param available: retries that are allowed now.
     """
 
     requests: int
@@ -66,9 +66,9 @@
 
 
 class SlotCounts:
-    """Counts what happens in each of the last slots, the present one included.
+    """Counts of events in each of the most recent time slots.
 
-    :param slots: how many are kept.
+    :param slots: number of slots, the present one included.
     """
 
     def __init__(self, slots: int) -> None:
@@ -76,25 +76,25 @@
         self.last = 0
 
     def add(self, now: float) -> None:
-        """Count one."""
+        """Count one event."""
         self.advance(now)
         self.counts[-1] += 1
 
     def advance(self, now: float) -> None:
-        """Let the slots go by that have passed since the last call."""
+        """Shift the slots to the present time."""
         present = int(now // SLOT_SECONDS)
         passed = min(max(0, present - self.last), len(self.counts))
         self.counts.extend([0] * passed)
         self.last = max(self.last, present)
 
     def totals(self, now: float) -> list[int]:
-        """Return how many were counted in the last 0, 1, 2, ... slots."""
+        """Return the numbers of events in the last 0, 1, 2, ... slots."""
         self.advance(now)
         return [0, *itertools.accumulate(reversed(self.counts))]
 
 
 class RetryWindow:
-    """Counts one group's requests and second sends."""
+    """Counts one group's requests and retries."""
 
     def __init__(self, limits: RetryLimits) -> None:
         self.limits = limits
@@ -105,22 +105,22 @@
         """Count a caller's request."""
         self.requests.add(now)
 
-    def spend(self, part: float, now: float) -> bool:
-        """Count a second send; ``False`` if it may not be made.
+    def spend(self, free_share: float, now: float) -> bool:
+        """Count a retry; ``False`` if it is not allowed.
 
-        :param part: of the few that falls to this entry, from 0 to 1.
+        :param free_share: this entry's share of the free retries, from 0 to 1.
         """
-        if not self.has_room(part, now):
+        if not self.has_room(free_share, now):
             return False
         self.retries.add(now)
         return True
 
-    def has_room(self, part: float, now: float) -> bool:
-        """Return whether a second send may be made."""
-        return self.account(part, now).available >= 1.0
+    def has_room(self, free_share: float, now: float) -> bool:
+        """Return whether a retry is allowed."""
+        return self.account(free_share, now).available >= 1.0
 
-    def account(self, part: float, now: float) -> RetryWindowState:
-        """Return what is counted now."""
+    def account(self, free_share: float, now: float) -> RetryWindowState:
+        """Return the present counts."""
         requests = self.requests.totals(now)
         retries = self.retries.totals(now)
         earned = self.limits.share * USED_LIMIT_SHARE
@@ -129,7 +129,7 @@
             earned * _counted_requests(requests, slots) - retries[slots]
             for slots in range(1, len(retries))
         )
-        free = self.limits.free * USED_FREE_SHARE * part
+        free = self.limits.free * USED_FREE_SHARE * free_share
         available = free + min(own, *others)
         return RetryWindowState(requests[WINDOW_SLOTS], retries[-1], available)
 
--- a/src/bergamotmast/policy/routing.py
+++ b/src/bergamotmast/policy/routing.py
@@ -1,19 +1,19 @@
-"""Predicted times at each upstream, and the choice among a few of them.
-
-Load pattern: many entries choose at the same moments, each from reports that are
-seconds old, among upstreams of different roles of which one may be slow.
-
-Without it: every entry sends to the one that looked idle in the last report (herding),
-which is then the busiest until the next; a slow upstream collects streams because each
-request counts as one.
-
-Thresholds: the picture is the last report, with this entry's own work since. Only
-:data:`SAMPLED_PER_ROLE` upstreams of each role, drawn at random, are compared: two
-already remove most of the imbalance of a random choice, and more would bring herding
-back. :data:`ZONE_ROUND_TRIP_SECONDS` is the round trip between availability zones: it
-decides among equals and never outweighs a queue. An upstream whose attempts take longer
-than predicted, compared with its neighbours, has its times multiplied by that ratio, up
-to :data:`MAX_SLOWDOWN`.
+"""Predicted times at each upstream, and the choice among a few random ones.
+
+Load pattern: many entries choose at the same time, each from reports that are seconds
+old, among upstreams of different roles, one of which may be slow.
+
+Without it: every entry sends to the upstream that looked idle in the last report
+(herding), which is then the busiest until the next report. A slow upstream collects
+streams because each request counts as one.
+
+Thresholds: the load is taken from the last report plus this entry's own work since.
+Only :data:`SAMPLED_PER_ROLE` random upstreams of each role are compared: two already
+remove most of the imbalance of a random choice (power of two choices), and more would
+bring herding back. :data:`ZONE_ROUND_TRIP_SECONDS` is the round trip between
+availability zones: it decides among equals and never outweighs a queue. An upstream
+whose attempts take longer than predicted, compared with its peers, has its predicted
+times multiplied by that ratio, up to :data:`MAX_SLOWDOWN`.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 from .interfaces import Candidate
 
 SAMPLED_PER_ROLE = 2
-"""Upstreams of each role compared for one request, beside those believed to hold its
-prefix."""
+"""Random upstreams of each role compared for one request, besides those that are
+believed to have its prefix cached."""
 
 ZONE_ROUND_TRIP_SECONDS = 0.002
 """Round trip to another availability zone."""
 
 HANDOFF_SECONDS = 0.05
-"""Exporting and importing a KV cache and offering the second stage."""
+"""Time to export and import a KV cache and to offer the decode stage."""
 
 MIN_STAGED_TOKENS = 8
-"""Shortest predicted answer that is worth a stage of its own."""
+"""Shortest predicted answer that is worth a decode stage of its own."""
 
 SLOWDOWN_WEIGHT = 0.1
-"""Weight of one attempt in an upstream's ratio of measured to predicted time."""
+"""Weight of one attempt in the moving average of measured to predicted time."""
 
 MAX_SLOWDOWN = 8.0
-"""Largest ratio believed."""
+"""Upper bound of that ratio."""
 
 EMPTY_BATCH_SHARE = 0.5
 """Time between tokens with an empty batch, as a share of that with a full one."""
@@ -54,8 +54,9 @@
 UPSTREAM_TIME_WEIGHT = 2.0
 """Weight of the upstream's time against the caller's.
 
-Where both are short the caller's wait decides; under load the time an unfitting role
-takes for the work is missing to others, and costs more than the one caller gains.
+If both are short, the caller's wait decides. Under load, the additional time that an
+unsuitable role takes is missing for other requests and costs more than the one caller
+gains.
 """
 
 _TINY = 1e-9
@@ -77,24 +78,24 @@
 
     @property
     def score(self) -> float:
-        """What is compared: the caller's time, and the time taken from others."""
+        """Sort key of candidates: the caller's time plus the weighted upstream time."""
         return self.total + UPSTREAM_TIME_WEIGHT * self.busy
 
 
 class SlowdownTracker:
-    """Ratio of measured to predicted time for each upstream, against its peers."""
+    """Ratio of measured to predicted time of each upstream, relative to its peers."""
 
     def __init__(self) -> None:
         self.ratios: dict[str, float] = {}
 
     def learn(self, name: str, measured: float, predicted: float) -> None:
-        """Take in one attempt's times, in seconds."""
+        """Add one attempt's times, in seconds."""
         ratio = min(MAX_SLOWDOWN, (measured + 0.02) / (predicted + 0.02))
         old = self.ratios.get(name, 1.0)
         self.ratios[name] = old + SLOWDOWN_WEIGHT * (ratio - old)
 
     def keep(self, names: cabc.Collection[str]) -> None:
-        """Forget upstreams that are gone."""
+        """Drop upstreams that are gone."""
         for name in [n for n in self.ratios if n not in names]:
             del self.ratios[name]
 
@@ -111,8 +112,8 @@
 ) -> float:
     """Return the predicted wait for a place in the batch and for the prefills ahead.
 
-    Where the side predicts its waits, only this entry's work since is added. Else the
-    report is drained for its age: what it counted as queued has been worked on since.
+    If the side predicts its waits, only this entry's work since the report is added.
+    Otherwise the reported queue is reduced by what the upstream has processed since.
     """
     if report.waits_ms:
         own = candidate.own_since_report.prefill / max(report.prefill_rate, _TINY)
@@ -145,11 +146,11 @@
 
 
 class Router:
-    """Predicts and chooses.
+    """Predicts times and samples the upstreams to compare.
 
     :param rng: draws the upstreams that are compared.
-    :param zone: availability zone of the process that chooses.
-    :param choices: how many are compared.
+    :param zone: availability zone of the entry.
+    :param choices: number of upstreams of each role to compare.
     """
 
     def __init__(
@@ -163,10 +164,10 @@
     def sample(
         self, candidates: cabc.Sequence[Candidate], favoured: cabc.Collection[str] = ()
     ) -> set[str]:
-        """Return the few of each role that are compared, and the favoured ones.
+        """Return the sampled names of each role, plus the favoured ones.
 
-        Drawn without regard to the role, the few might all be of one that suits the
-        work badly: a prompt would be refused while prefill engines idle.
+        If the role were ignored, the sample might contain only upstreams that suit the
+        work badly, and a prompt would be refused while prefill engines idle.
         """
         drawn = {c.name for c in candidates if c.name in favoured}
         for role in (None, *Role):
--- a/src/bergamotmast/policy/shifting.py
+++ b/src/bergamotmast/policy/shifting.py
@@ -1,22 +1,22 @@
-"""Whether one engine of a group changes its role now.
+"""Default shift policy: changes an engine's role if the change pays back in time.
 
 Load pattern: the share of prompt tokens swings, within minutes or over half a day, and
-sometimes to and fro faster than a change pays back.
-
-Without it: a group split for appraisals refuses the checks while its decode engines
-idle; or, shifted at each threshold crossed, engines spend the swing changing roles and
-are gone just when the work is there.
-
-Thresholds: a change is made only where the work it is predicted to win pays back what
-the engine's absence loses within :data:`MAX_PAYBACK_SECONDS`, for the demand of the
-last :data:`SHORT_TERM_SECONDS` and of the last :data:`LONG_TERM_SECONDS` alike, and
-only after that wish has lasted as long as the payback itself (:data:`MIN_HOLD_SECONDS`
-at least): a swing that turns back sooner never gets its change. Changes are paced by a
-token bucket, an engine keeps a role for :data:`MIN_DWELL_SECONDS`, one change runs at a
-time in a group, and the last engine of a role stays. Where more than
-:data:`MAX_STALE_SHARE` of the reports are older than :data:`STALE_SECONDS`, nothing is
-changed: during an outage the last known mix is as good as any guess, and a change made
-on it can't be seen to work.
+sometimes back and forth faster than a change pays back.
+
+Without it: a group split for appraisals refuses checks while its decode engines idle.
+If roles change at each threshold crossed, engines spend the swing changing roles and
+are away just when they are needed.
+
+Thresholds: a change is made only if its predicted gain makes up for the engine's
+absence within :data:`MAX_PAYBACK_SECONDS`, both for the demand of the last
+:data:`SHORT_TERM_SECONDS` and for that of the last :data:`LONG_TERM_SECONDS`, and only
+after it has been wanted for as long as the payback itself (:data:`MIN_HOLD_SECONDS` at
+least): a swing that turns back sooner causes no change. Changes are paced by a token
+bucket, an engine keeps a role for :data:`MIN_DWELL_SECONDS`, one change runs at a time
+in a group, and the last engine of a role stays. If more than :data:`MAX_STALE_SHARE` of
+the reports are older than :data:`STALE_SECONDS`, nothing is changed: during an outage
+the last known mix is as good as any guess, and the effect of a change can't be
+observed.
 """
 
 from __future__ import annotations
@@ -34,52 +34,53 @@
 from .interfaces import RoleChange
 
 SHORT_TERM_SECONDS = 10.0
-"""Time constant of the demand that must want a change."""
+"""Time constant of the short-term demand, which must justify a change."""
 
 LONG_TERM_SECONDS = 45.0
-"""Time constant of the demand that must want the same change."""
+"""Time constant of the long-term demand, which must justify the same change."""
 
 MIN_DEMAND_WEIGHT = 0.6
-"""Weight of the slow demand below which nothing is changed.
+"""Weight of the long-term demand below which nothing is changed.
 
-A planner that has just begun knows the last seconds only, and would take half a swing
-for the whole; after the time constant it has seen the other half.
+A planner that has just started knows only the last seconds and would take half a swing
+for the whole mix; after the time constant it has seen the other half.
 """
 
 MAX_PAYBACK_SECONDS = 60.0
-"""Seconds within which a change must win what it loses."""
+"""Time within which a change must make up for the engine's absence."""
 
 MIN_HOLD_SECONDS = 10.0
-"""Seconds a wish must last at least."""
+"""Minimum time for which a change must have been wanted."""
 
 MIN_DWELL_SECONDS = 60.0
-"""Seconds an engine keeps a role at least."""
+"""Minimum time for which an engine keeps a role."""
 
 BUCKET_REFILL_SECONDS = 45.0
-"""Seconds in which one more change is allowed."""
+"""Time in which the token bucket gains one change."""
 
 BUCKET_SIZE = 2.0
-"""Changes that may follow each other at once."""
+"""Capacity of the token bucket: changes that may follow each other at once."""
 
 STALE_SECONDS = 8.0
-"""Age beyond which a report says nothing about the mix."""
+"""Age above which a report says nothing about the mix."""
 
 MAX_STALE_SHARE = 0.25
-"""Share of stale reports above which roles are frozen."""
+"""Share of stale reports above which no role is changed."""
 
 MIN_GAIN = 0.03
-"""Share of the demand that a change must win at least; less is within the error."""
+"""Minimum gain of a change, as a share of the demand; a smaller one is within the
+error."""
 
 DRAIN_FACTOR = 2.0
-"""Time an engine is away for a change, in multiples of the change itself.
+"""Time for which a change takes an engine away, in multiples of the change itself.
 
-Streams under way end or move first, and its prefix cache comes back cold.
+Running streams end or move first, and the engine's prefix cache is cold afterwards.
 """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantedChange:
-    """The change wanted since a point in time."""
+    """A role change that has been wanted since a point in time."""
 
     source: Role
     target: Role
@@ -88,10 +89,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gain:
-    """What a change wins and loses.
+    """Predicted gain and cost of a role change.
 
-    :param share: share of the demand that is served in addition.
-    :param payback: seconds until that has made up for the engine's absence.
+    :param share: additional share of the demand that is served.
+    :param payback: seconds until the gain has made up for the engine's absence.
     """
 
     source: Role
@@ -101,7 +102,7 @@
 
 
 class GroupState:
-    """What the controller remembers of one group."""
+    """Demand, rates and pacing state of one group."""
 
     def __init__(self) -> None:
         self.short_term = DemandMeter(SHORT_TERM_SECONDS)
@@ -113,7 +114,7 @@
         self.changed_at: dict[str, float] = {}
 
     def refill(self, now: float) -> None:
-        """Let the token bucket follow the clock."""
+        """Refill the token bucket up to the present time."""
         if self.refilled_at is not None:
             earned = (now - self.refilled_at) / BUCKET_REFILL_SECONDS
             self.bucket = min(BUCKET_SIZE, self.bucket + earned)
@@ -127,7 +128,7 @@
         self.groups: dict[str, GroupState] = {}
 
     def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
-        """Return the one change to begin now, or ``None``."""
+        """Return the one change to start now, or ``None``."""
         state = self.groups.setdefault(snapshot.group, GroupState())
         state.refill(now)
         fresh = [e for e in snapshot.engines if _fresh(e, now)]
@@ -150,7 +151,7 @@
         return len(engines) - len(fresh) > MAX_STALE_SHARE * len(engines)
 
     def _best(self, snapshot: GroupSnapshot, state: GroupState) -> Gain | None:
-        """Return the change that wins most by the fast and the slow demand alike."""
+        """Return the change with the largest gain for both demands."""
         counts = role_counts(snapshot)
         best: Gain | None = None
         for source, target in possible_changes(snapshot, counts):
@@ -194,12 +195,12 @@
         names = {e.name for e in snapshot.engines}
         kept = {n: at for n, at in state.changed_at.items() if n in names}
         state.changed_at = kept | {engine.name: now}
-        reason = f"wins {gain.share:.0%}, pays back in {gain.payback:.0f} s"
+        reason = f"serves {gain.share:.0%} more, pays back in {gain.payback:.0f} s"
         return RoleChange(engine.name, gain.target, reason)
 
 
 def role_counts(snapshot: GroupSnapshot) -> dict[Role, int]:
-    """Return how many engines the plan gives each role."""
+    """Return the number of engines with each role in the plan."""
     counts = dict.fromkeys(Role, 0)
     for engine in snapshot.engines:
         counts[engine.role] += 1
@@ -209,7 +210,7 @@
 def possible_changes(
     snapshot: GroupSnapshot, counts: dict[Role, int]
 ) -> list[tuple[Role, Role]]:
-    """Return the (from, to) changes that bounds and the last of a role allow."""
+    """Return the (from, to) changes that keep the bounds and a role's last engine."""
     changes = []
     for source in Role:
         bounds = snapshot.bounds.get(source)
@@ -250,7 +251,7 @@
 def _least_busy(
     snapshot: GroupSnapshot, state: GroupState, role: Role, now: float
 ) -> EngineView | None:
-    """Return the engine of a role whose change moves the least work."""
+    """Return the engine of a role with the least decode work to move."""
     able = [
         e
         for e in snapshot.engines
--- a/src/bergamotmast/policy/shutdown_admission.py
+++ b/src/bergamotmast/policy/shutdown_admission.py
@@ -1,16 +1,15 @@
-"""Which requests an entry that was told to end still takes.
+"""Admission control during the shutdown of an entry.
 
-Load pattern: all entries are restarted in turn, faster than each ends and starts; for
-moments the balancer has none left but those that are about to end.
+Load pattern: all entries are restarted one after another, faster than each stops and
+starts; for moments the load balancer has only entries that are about to stop.
 
-Without it: an entry that stops listening while it still answers what it has taken
-leaves callers to closed ports, and one that takes everything cuts off what it can't
-finish.
+Without it: an entry that stops listening while it still answers leaves callers with
+closed ports, and one that accepts everything cuts off requests that it can't finish.
 
-Thresholds: until :attr:`ShutdownWindow.routed_until` everything is taken, since the
-balancer can't know yet. After that a request is taken if its caller would leave before
-the process ends, so that it has its whole time; any other is told at once when to come
-back.
+Thresholds: until :attr:`ShutdownWindow.routed_until` all requests are admitted, since
+the balancer can't know of the shutdown yet. After that a request is admitted if its
+deadline comes before the process ends, so that it has its whole time. All others are
+refused at once with the time to retry.
 """
 
 from __future__ import annotations
@@ -18,15 +17,16 @@
 import dataclasses
 
 SHUTDOWN_RETRY_SECONDS = 0.5
-"""Refused callers come back no sooner: a restarted entry takes about a second."""
+"""Lower bound of the delay before a refused caller retries; a restarted entry takes
+about a second to be ready."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShutdownWindow:
-    """How an entry ends; points on the event loop's clock.
+    """Times of an entry's shutdown, on the event loop's clock.
 
-    :param routed_until: so long the balancer may send new callers.
-    :param end_by: no request is worked on any more.
+    :param routed_until: until when the balancer may send new callers.
+    :param end_by: when work on all requests ends.
     """
 
     routed_until: float
@@ -34,5 +34,5 @@
 
 
 def is_admitted(end: ShutdownWindow, deadline: float, now: float) -> bool:
-    """Return whether a request with a deadline is still let in."""
+    """Return whether a request with this deadline is still admitted."""
     return now <= end.routed_until or deadline <= end.end_by
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -1,22 +1,22 @@
-"""What waits at a side, for how long, and what starts next: the parts put together.
+"""Default side policy: admission, fair queueing and batch scheduling combined.
 
 Load pattern: saturation, with long answers that hold their place in the batch for
 minutes while short ones need a place for a moment.
 
-Without it: what is handed to the engine waits there in the engine's own order, out of
+Without it: work handed to the engine waits there in the engine's own order, beyond the
 reach of priorities and shares; long answers fill the batch and the memory, and a check
 that would take one token waits for one of them to end.
 
-Thresholds: prefills handed over but not finished are kept to
-:data:`PREFILL_WINDOW` seconds of work, so that the engine never idles between two of
-our turns and a check never waits behind more than that; an engine honours priorities,
-so only work of the same or a higher one counts. Each lower priority leaves a larger
-share of the batch free (:attr:`SideTuning.reserved`), but little of the memory: with a
-quarter of it kept free a decode engine held 18 long answers, of 48 places. With that
-and waits predicted by memory as well as places, 2.0% of tokens were wasted at full
-load, not 3.9% (trial, docs/EXPERIMENTS.md, round 8). Waiting is bounded
-by the item's own first-token time and deadline, and their number by
-:data:`QUEUE_BATCHES` batches, which bounds memory and the time a decision takes.
+Thresholds: unfinished prefills at the engine are limited to :data:`PREFILL_WINDOW`
+seconds of work, so that the engine never idles between two scheduling rounds and a
+check never waits behind more than that; an engine honours priorities, so only work of
+the same or a higher one counts. Each lower priority leaves a larger share of the batch
+free (:attr:`SideTuning.reserved`), but little of the memory: with a quarter of the
+memory reserved, a decode engine held 18 long answers in 48 places. With the smaller
+reservation, and with waits predicted by memory as well as by places, 2.0% of tokens
+were wasted at full load instead of 3.9% (trial, docs/EXPERIMENTS.md, round 8). Waiting
+is bounded by each item's own first-token time and deadline, and the number of waiting
+items by :data:`QUEUE_BATCHES` batches, which bounds memory and the time of a decision.
 """
 
 from __future__ import annotations
@@ -43,42 +43,46 @@
 from .size_shares import SizeShares
 
 PREFILL_WINDOW = 0.25
-"""Seconds of prefill that may be handed over and not finished."""
+"""Seconds of unfinished prefill that may be handed to the upstream."""
 
 QUEUE_BATCHES = 8
-"""Waiting items of each priority, in multiples of the batch.
+"""Maximum number of waiting items of each priority, in multiples of the batch.
 
-Counted together, waiting appraisals would turn away checks that could start at once.
+If all priorities were counted together, waiting appraisals would cause the refusal of
+checks that could start at once.
 """
 
 MIN_QUEUE_ITEMS = 32
-"""Waiting items allowed even with a small batch."""
+"""Waiting items of each priority that are allowed even with a small batch."""
 
 MIN_RESERVING_BATCH = 4
-"""Batches smaller than this have no place to keep free."""
+"""Smallest batch in which places are reserved for higher priorities."""
 
 EMPTY_BATCH_SHARE = 0.5
 """Time between tokens with an empty batch, as a share of that with a full one."""
 
 DEFAULT_RATES = Rates(1000.0, 100.0)
-"""Assumed before the upstream was configured."""
+"""Rates assumed before the upstream is configured."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SideTuning:
-    """What differs between the versions of the default side policy.
-
-    :param fair: whether tenants share; else all items form one lane.
-    :param slack: share of the time left that the prediction at the door may take.
-    :param lower_priority_share: share of started work owed to lower priorities.
-    :param min_waited_share: share of its allowed wait that an item waits before it is
-        owed.
+    """Parameters that differ between the versions of the default side policy.
+
+    :param fair: whether tenants share; otherwise all items of a priority form one
+        queue.
+    :param slack: share of the remaining time that a prediction may take at admission.
+    :param lower_priority_share: share of started work that lower priorities are
+        entitled to.
+    :param min_waited_share: share of its allowed wait after which an item may claim it.
     :param reserved: share of the batch that each priority leaves free.
-    :param kv_reserved: share of KV memory alone; ``None`` for the same. A check needs a
-        place of its own, but hardly any memory.
-    :param uses_measured_rates: whether rates are measured; else the stated ones count.
-    :param predicts_by_memory: whether waits are predicted by memory and measured steps
-        too.
+    :param kv_reserved: share of KV memory that each priority leaves free; ``None`` for
+        the same as of the batch. A check needs a place of its own, but hardly any
+        memory.
+    :param uses_measured_rates: whether rates are measured; otherwise the nominal ones
+        are used.
+    :param predicts_by_memory: whether memory and measured decode steps limit the
+        predicted places and rates.
     :param window_by_priority: whether only prefills of the same or a higher priority
         count against the prefill window.
     :param size_shares: whether large prompts go first while too few are served.
@@ -102,8 +106,8 @@
 
     :param window: priority whose limits it was started under.
     :param produced: output tokens so far; above 0 its prefill has ended.
-    :param first_at: when the first came.
-    :param first_tokens: how many came with the first.
+    :param first_at: when the first output token came; a point in time.
+    :param first_tokens: output tokens that came with the first.
     """
 
     item: QueueItem
@@ -113,20 +117,20 @@
     first_at: float = 0.0
 
     def kv_tokens(self) -> int:
-        """Return the KV memory promised to it."""
+        """Return the KV cache tokens promised to it."""
         beyond = max(0, self.produced - self.item.cost.decode)
         return kv_tokens(self.item) + beyond
 
 
 def kv_tokens(item: QueueItem) -> int:
-    """Return the KV memory that an item will hold."""
+    """Return the KV cache tokens that an item will hold."""
     return item.kv_tokens or item.cost.prefill + item.cost.decode
 
 
 class FairSidePolicy:
     """The default side policy.
 
-    :param tuning: what differs between its versions.
+    :param tuning: parameters that differ between its versions.
     """
 
     def __init__(self, tuning: SideTuning | None = None) -> None:
@@ -156,7 +160,7 @@
         decode_rate: float,
         role: Role | None,
     ) -> None:
-        """Learn the upstream's size in its present role."""
+        """Set the upstream's capacity in its present role."""
         rates = Rates(max(prefill_rate, 1e-6), max(decode_rate, 1e-6))
         changed = rates != self.queue.rates or max_streams != self.max_streams
         self.max_streams = max(1, max_streams)
@@ -192,14 +196,14 @@
         return code
 
     def _end_sized(self, attempt: str, *, served: bool) -> None:
-        """Account for a prompt whose first token came, or that has ended without."""
+        """Account for a prompt at its first token, or at its end without one."""
         sized_prompts = self.sized_prompts.pop(attempt, None)
         if sized_prompts is not None:
             sized_prompts.end(served=served)
 
     def _admit(self, item: QueueItem, now: float) -> ResultCode:
-        room = max(MIN_QUEUE_ITEMS, QUEUE_BATCHES * self.max_streams)
-        if self.queue.count(item.priority) >= room:
+        max_items = max(MIN_QUEUE_ITEMS, QUEUE_BATCHES * self.max_streams)
+        if self.queue.count(item.priority) >= max_items:
             return ResultCode.QUEUE_FULL
         if self.role is not None and kv_tokens(item) > self.kv_capacity:
             return ResultCode.DEADLINE_UNREACHABLE
@@ -221,16 +225,16 @@
         return prefill / self.prefill_rate() + self._slot_seconds(item.priority, ahead)
 
     def _window_used(self, priority: Priority) -> int:
-        """Return the prompt tokens handed over and not prefilled that are in the way.
+        """Return the unfinished prompt tokens at the engine that precede a new prefill.
 
-        An engine takes prefills by priority, so those of a lower one are not.
+        An engine prefills by priority, so those of a lower one don't count.
         """
         if not self.tuning.window_by_priority:
             return sum(self.unfinished_prefill.values())
         return sum(n for p, n in self.unfinished_prefill.items() if p <= priority)
 
     def _slot_seconds(self, priority: Priority, ahead: WorkAhead) -> float:
-        """Return the wait until the batch has a place left by all the work ahead."""
+        """Return the wait until the work ahead leaves a free place in the batch."""
         places = self._places(priority)
         missing = ahead.count + 1 - places + len(self.started)
         if missing <= 0:
@@ -242,8 +246,8 @@
     def _places(self, priority: Priority) -> int:
         """Return how many items the batch and the memory hold at once.
 
-        Long prompts fill the memory long before the batch; by the batch alone, work
-        would be taken in that then waits past its deadline.
+        Long prompts fill the memory long before the batch. A limit by the batch alone
+        would admit work that then waits past its deadline.
         """
         places = self._slots(priority)
         if not self.tuning.predicts_by_memory or not self.started or self.role is None:
@@ -252,7 +256,7 @@
         return max(1, min(places, int(self._usable_kv(priority) / mean)))
 
     def _decode_rate(self, places: int) -> float:
-        """Return output tokens a second with so many answers at once."""
+        """Return output tokens a second with so many concurrent answers."""
         if not self.tuning.predicts_by_memory:
             return self.queue.rates.decode
         return min(self.queue.rates.decode, places / self.step_meter.seconds())
@@ -275,61 +279,61 @@
         return self.max_streams - max(1, int(self.max_streams * reserved))
 
     def next(self, now: float) -> QueueItem | None:
-        """Take the next item to start, or ``None`` if none may start now."""
+        """Remove and return the next item to start; ``None`` if none may start."""
         if not self.queue.items or len(self.started) >= self.max_streams:
             return None
         blocked: set[Priority] = set()
         for item in self.queue.order(now):
             if item.priority in blocked:
                 continue
-            lane = self._lane(item, now)
-            if self._fits(item, lane):
-                self._start(item, lane, now)
+            limits = self._effective_priority(item, now)
+            if self._fits(item, limits):
+                self._start(item, limits, now)
                 return item
-            # What does not fit keeps its turn: smaller items of its own priority
-            # would else pass it for ever. Other priorities have limits of their own.
+            # An item that doesn't fit blocks its own priority, whose smaller items
+            # would otherwise starve it. Other priorities have limits of their own.
             blocked.add(item.priority)
         return None
 
-    def _lane(self, item: QueueItem, now: float) -> Priority:
-        """Return the priority whose limits hold for an item.
+    def _effective_priority(self, item: QueueItem, now: float) -> Priority:
+        """Return the priority whose limits apply to an item.
 
-        Work that is owed its turn has those of the highest: checks that keep coming
-        would else hold every place that long work may have, and the engine would
-        prefill them first, so that the share owed would stay on paper.
+        Items that claim their priority's share get the limits of the highest one.
+        Otherwise, checks that keep arriving would hold every place open to long work,
+        and the engine would prefill them first, so that the share would have no effect.
         """
         if item.priority is Priority.INTERACTIVE:
             return item.priority
-        owed = self.queue.is_entitled(item.priority, now)
-        return Priority.INTERACTIVE if owed else item.priority
+        entitled = self.queue.is_entitled(item.priority, now)
+        return Priority.INTERACTIVE if entitled else item.priority
 
-    def _fits(self, item: QueueItem, lane: Priority) -> bool:
+    def _fits(self, item: QueueItem, limits: Priority) -> bool:
         """Return whether a place, memory and prefill time are free for an item."""
-        if len(self.started) >= self._slots(lane):
+        if len(self.started) >= self._slots(limits):
             return False
         if self.role is None or not self.started:
             return True
         window = PREFILL_WINDOW * self.prefill_rate()
-        if item.cost.prefill > 0 and self._window_used(lane) >= window:
+        if item.cost.prefill > 0 and self._window_used(limits) >= window:
             return False
-        return kv_tokens(item) <= self._usable_kv(lane) - self.kv_promised
+        return kv_tokens(item) <= self._usable_kv(limits) - self.kv_promised
 
     def _usable_kv(self, priority: Priority) -> float:
-        kept = self.tuning.kv_reserved
-        if kept is None:
-            kept = self.tuning.reserved
-        return self.kv_capacity * (1.0 - kept[priority])
+        reserved_shares = self.tuning.kv_reserved
+        if reserved_shares is None:
+            reserved_shares = self.tuning.reserved
+        return self.kv_capacity * (1.0 - reserved_shares[priority])
 
-    def _start(self, item: QueueItem, lane: Priority, now: float) -> None:
+    def _start(self, item: QueueItem, limits: Priority, now: float) -> None:
         self.queue.take(item)
-        self.started[item.attempt] = StartedItem(item, lane)
+        self.started[item.attempt] = StartedItem(item, limits)
         self.kv_promised += kv_tokens(item)
-        self.unfinished_prefill[lane] += item.cost.prefill
+        self.unfinished_prefill[limits] += item.cost.prefill
         if item.cost.prefill:
             self.prefill_meter.begin(now)
 
     def on_progress(self, attempt: str, tokens: int, now: float) -> None:
-        """Learn of output tokens of a started item; the first ends its prefill."""
+        """Record output tokens of a started item; the first ends its prefill."""
         started = self.started.get(attempt)
         if started is None or tokens <= 0:
             return
@@ -353,7 +357,7 @@
             self.prefill_meter.end(tokens, now)
 
     def on_ended(self, attempt: str, now: float) -> None:
-        """Learn that a started item ended."""
+        """Record that a started item ended."""
         self._end_sized(attempt, served=False)
         started = self.started.pop(attempt, None)
         if started is None:
@@ -366,18 +370,18 @@
             self.step_meter.end(tokens, now - started.first_at)
 
     def withdraw(self, attempt: str) -> bool:
-        """Take a waiting item out; ``False`` if it is not waiting."""
+        """Remove a waiting item; ``False`` if it is not waiting."""
         self._end_sized(attempt, served=False)
         return self.queue.remove(attempt) is not None
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
-        """Take out the items that can no longer be answered in time."""
-        gone = [i for i, _ in self.queue.items.values() if self._hopeless(i, now)]
+        """Remove the items that can no longer be answered in time."""
+        gone = [i for i, _ in self.queue.items.values() if self._is_unreachable(i, now)]
         for item in gone:
             self.withdraw(item.attempt)
         return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in gone]
 
-    def _hopeless(self, item: QueueItem, now: float) -> bool:
+    def _is_unreachable(self, item: QueueItem, now: float) -> bool:
         """Return whether an item would be late even if it started at once."""
         prefill = item.cost.prefill / self.prefill_rate()
         if not item.resumed and now + prefill > item.start_by:
@@ -389,13 +393,13 @@
         return now + prefill + (item.cost.decode - 1) * step > item.deadline
 
     def waiting(self) -> int:
-        """Return how many items wait."""
+        """Return the number of waiting items."""
         return len(self.queue)
 
     def waiting_cost(self) -> Cost:
         """Return the work of the waiting items."""
-        lanes = [lane for by in self.queue.lanes.values() for lane in by.values()]
-        return Cost(sum(x.prefill for x in lanes), sum(x.decode for x in lanes))
+        queues = [q for by in self.queue.tenant_queues.values() for q in by.values()]
+        return Cost(sum(x.prefill for x in queues), sum(x.decode for x in queues))
 
     def running_decode(self) -> int:
         """Return the predicted output tokens still to come of started items."""
@@ -409,7 +413,7 @@
         return max(0.0, 1.0 - self.kv_promised / self.kv_capacity)
 
     def speed(self) -> UpstreamSpeed:
-        """Return how fast the upstream is now."""
+        """Return the upstream's present speed."""
         if not self.tuning.uses_measured_rates:
             return UpstreamSpeed(self.prefill_rate())
         waits = tuple(self._wait(priority) for priority in Priority)
--- a/src/bergamotmast/policy/size_classes.py
+++ b/src/bergamotmast/policy/size_classes.py
@@ -1,10 +1,10 @@
-"""Which prompts of a class are large, by the sizes that the class has had lately.
+"""Size classes of prompts, relative to recent prompts of the same request class.
 
-Load pattern: prompts of one class differ in size a hundredfold, and what is usual
-changes with the callers.
+Load pattern: prompts of one class differ in size a hundredfold, and the usual sizes
+change with the callers.
 
-Without it: a limit in tokens that separates large prompts from small ones is wrong for
-every class but one.
+Without it: a fixed token limit between large and small prompts is wrong for every
+request class but one.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 _T = t.TypeVar("_T")
 
 SIZE_SAMPLES = 256
-"""Sizes that are remembered of each class."""
+"""Prompt sizes kept for each request class."""
 
 MAX_REQUEST_CLASSES = 100
-"""Classes that are followed; the one used least lately is forgotten."""
+"""Request classes tracked; the least recently used one is dropped."""
 
 MIN_SIZE_SAMPLES = 10
-"""Sizes below which no prompt is among the largest tenth."""
+"""Samples below which every prompt is in the lowest size class."""
 
 
 class SizeClass(enum.StrEnum):
-    """Where a prompt stands among those of its class."""
+    """Size class of a prompt among those of its request class."""
 
     LARGEST = "largest"
     LARGE = "large"
@@ -36,17 +36,17 @@
 
 
 SIZE_CLASS_SHARES = {SizeClass.LARGEST: 0.1, SizeClass.LARGE: 0.2}
-"""Shares of a class's prompts that are in the upper bands."""
+"""Share of a request class's prompts in each of the upper size classes."""
 
 LARGEST_SHARE = SIZE_CLASS_SHARES[SizeClass.LARGEST]
 LARGE_SHARE = LARGEST_SHARE + SIZE_CLASS_SHARES[SizeClass.LARGE]
 
 
 class RecentSizes:
-    """The latest prompt sizes of one class.
+    """Sliding window of the prompt sizes of one request class.
 
-    :param latest: in tokens, in the order of arrival.
-    :param ordered: the same, the smallest first.
+    :param latest: sizes in tokens, in order of arrival.
+    :param ordered: the same sizes in ascending order.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         self.ordered: list[int] = []
 
     def observe(self, size: int) -> SizeClass:
-        """Remember a prompt and return its band.
+        """Record a prompt and return its size class.
 
         :param size: prompt tokens.
         """
@@ -63,13 +63,13 @@
             del self.ordered[bisect.bisect_left(self.ordered, oldest)]
         self.latest.append(size)
         bisect.insort(self.ordered, size)
-        return self._band(size)
+        return self._size_class(size)
 
-    def _band(self, size: int) -> SizeClass:
+    def _size_class(self, size: int) -> SizeClass:
         count = len(self.ordered)
         if count < MIN_SIZE_SAMPLES:
             return SizeClass.REST
-        # Prompts of equal size share the lower band.
+        # Prompts of equal size share the lower size class.
         at_least = count - bisect.bisect_left(self.ordered, size)
         if at_least <= LARGEST_SHARE * count:
             return SizeClass.LARGEST
@@ -77,9 +77,9 @@
 
 
 class RequestClassTable(t.Generic[_T]):
-    """Something kept for each class, of a bounded number of classes.
+    """LRU table with one value for each request class.
 
-    :param make: makes it for a class that is new.
+    :param make: creates the value of a new request class.
     """
 
     def __init__(self, make: cabc.Callable[[], _T]) -> None:
@@ -87,7 +87,7 @@
         self.classes: collections.OrderedDict[str, _T] = collections.OrderedDict()
 
     def of(self, name: str) -> _T:
-        """Return what is kept for a class."""
+        """Return the value of a request class."""
         if name not in self.classes:
             self.classes[name] = self.make()
         self.classes.move_to_end(name)
@@ -97,14 +97,15 @@
 
 
 class RequestClassSizes(RequestClassTable[RecentSizes]):
-    """The latest prompt sizes of each class."""
+    """Recent prompt sizes of each request class."""
 
     def __init__(self) -> None:
         super().__init__(RecentSizes)
 
     def observe(self, name: str, size: int) -> SizeClass:
-        """Remember a prompt of a class and return its band.
+        """Record a prompt of a request class and return its size class.
 
+        :param name: request class.
         :param size: prompt tokens.
         """
         return self.of(name).observe(size)
--- a/src/bergamotmast/policy/size_shares.py
+++ b/src/bergamotmast/policy/size_shares.py
@@ -1,17 +1,17 @@
-"""Which prompts are read first so that no size of a class is left unserved.
+"""Deficit scheduling of large prompts, so that no size of a request class starves.
 
-Load pattern: for seconds, more prompts of a class come than can be read, and their
-sizes differ a hundredfold. Engines read short prompts of a class first.
+Load pattern: for seconds, more prompts of a request class arrive than can be prefilled,
+and their sizes differ a hundredfold. Engines prefill short prompts of a class first.
 
-Without it: a large prompt stands behind every smaller one that still comes. Its caller
-leaves, or is refused because that is foreseen, and nearly all of the largest tenth is
+Without it: a large prompt waits behind every smaller one that arrives. Its caller times
+out, or is refused because that is predicted, and nearly all of the largest tenth is
 lost while half of the class is served.
 
-Each class keeps account of what is served of its large prompts against the class as a
-whole: with each prompt that is served, a band is owed a part of one, and each served
-prompt of the band settles one. As many prompts as are owed, of those that would be
-refused, are read before all others of their rank. Little is owed while all are served,
-so the order by size stays as it is until it costs one band too much.
+Each request class keeps a deficit for each of its upper size classes: every served
+prompt adds a fraction of one to the deficits, and every served prompt of a size class
+subtracts one from its own. Prompts that would be refused go first, before all others of
+their rank, while their size class has a deficit. Deficits stay small while all prompts
+are served, so shortest-first order holds until it costs one size class too much.
 """
 
 from __future__ import annotations
@@ -22,22 +22,23 @@
 from .size_classes import SizeClass
 
 MIN_SERVED_SHARE = 0.6
-"""Least served share of a band against its class, counted by tries. Operators expect
-half, of requests: a large one that comes back may be refused once more."""
+"""Minimum served share of a size class relative to its request class, counted by
+attempts. Operators expect half, counted by requests: a large prompt that is retried may
+be refused once more."""
 
 MAX_DEFICIT_PROMPTS = 2.0
-"""Prompts that a band can be owed. After an outage, when not even prompts that go first
-were served, the debt would otherwise delay the other sizes long after it."""
+"""Upper bound of a deficit. In an outage, not even prompts that go first are served,
+and the deficit would otherwise delay the other sizes long after it."""
 
 MAX_SURPLUS_PROMPTS = 0.5
-"""Prompts by which a band is ahead at most for those that were served without going
-first, so that what is served while load is low hardly counts when it rises."""
+"""Upper bound of the surplus (negative deficit) from prompts served without going
+first, so that those served at low load hardly count when the load rises."""
 
 
 class SizedPrompt:
-    """A prompt at work, as its class accounts for it.
+    """A running request's prompt in the accounts of its request class.
 
-    :param goes_first: whether it is read before the others of its rank.
+    :param goes_first: whether the prompt precedes the others of its rank.
     """
 
     def __init__(self, shares: RequestClassShares, size_class: SizeClass) -> None:
@@ -46,20 +47,21 @@
         self.goes_first = False
 
     def claim(self) -> bool:
-        """Let the prompt go first if its band is owed one; return whether it does."""
+        """Let the prompt go first if there is a deficit; return whether it does."""
         if not self.goes_first:
             self.goes_first = self.shares.take(self.size_class)
         return self.goes_first
 
     def end(self, *, served: bool) -> None:
-        """Take what became of the prompt."""
+        """Record whether the prompt was served."""
         self.shares.end(self, served=served)
 
 
 class RequestClassShares:
-    """What one class has been served lately.
+    """Recent service of one request class, by size class.
 
-    :param deficits: prompts that each band should have been served beyond those it was.
+    :param deficits: prompts of each size class that should have been served in
+        addition.
     """
 
     def __init__(self) -> None:
@@ -67,17 +69,17 @@
         self.deficits = dict.fromkeys(SIZE_CLASS_SHARES, 0.0)
 
     def begin(self, size: int) -> SizedPrompt:
-        """Take a prompt in.
+        """Start to account for a prompt.
 
         :param size: prompt tokens.
         """
         return SizedPrompt(self, self.sizes.observe(size))
 
     def take(self, size_class: SizeClass) -> bool:
-        """Take a prompt off what a band is owed, if it is owed any.
+        """Subtract one prompt from a size class's deficit, if there is one.
 
-        It is taken for served at once: until that is known, the next ones of its band
-        would go first too.
+        The prompt counts as served at once; otherwise, the next ones of its size class
+        would go first too until its end is known.
         """
         if self.deficits.get(size_class, 0.0) <= 0.0:
             return False
@@ -85,35 +87,36 @@
         return True
 
     def end(self, prompt: SizedPrompt, *, served: bool) -> None:
-        """Take what became of a prompt."""
+        """Record whether a prompt was served."""
         if served:
             for size_class, share in SIZE_CLASS_SHARES.items():
-                self._owe(size_class, MIN_SERVED_SHARE * share)
+                self._add_deficit(size_class, MIN_SERVED_SHARE * share)
         if prompt.goes_first and not served:
-            self._owe(prompt.size_class, 1.0)
+            self._add_deficit(prompt.size_class, 1.0)
         elif served and not prompt.goes_first:
-            self._settle(prompt.size_class)
+            self._subtract_served(prompt.size_class)
 
-    def _owe(self, size_class: SizeClass, prompts: float) -> None:
+    def _add_deficit(self, size_class: SizeClass, prompts: float) -> None:
         self.deficits[size_class] = min(
             MAX_DEFICIT_PROMPTS, self.deficits[size_class] + prompts
         )
 
-    def _settle(self, size_class: SizeClass) -> None:
+    def _subtract_served(self, size_class: SizeClass) -> None:
         deficits = self.deficits.get(size_class)
         if deficits is not None and deficits > -MAX_SURPLUS_PROMPTS:
             self.deficits[size_class] = max(-MAX_SURPLUS_PROMPTS, deficits - 1.0)
 
 
 class SizeShares(RequestClassTable[RequestClassShares]):
-    """The shares of all classes at one entry or side."""
+    """Deficits of all request classes at one entry or side."""
 
     def __init__(self) -> None:
         super().__init__(RequestClassShares)
 
     def begin(self, name: str, size: int) -> SizedPrompt:
-        """Take a prompt of a class in; its end must be told.
+        """Start to account for a prompt; the caller must report its end.
 
+        :param name: request class.
         :param size: prompt tokens.
         """
         return self.of(name).begin(size)
--- a/src/bergamotmast/policy/subset.py
+++ b/src/bergamotmast/policy/subset.py
@@ -1,15 +1,17 @@
-"""Which of many upstreams one entry keeps connections to.
-
-The load pattern: hundreds of entries before hundreds of upstreams, each entry seeing
-a small random part of the traffic. If every entry talked to every upstream, heartbeats
-alone would grow with the product of both, and a choice among all candidates by an old
-picture would send everyone to the same apparent best.
-
-Each entry takes, for each group, the upstreams that rank highest by a hash of both
-names: the choice is stable (a change of the fleet moves only the ranks it touches),
-needs no agreement, and spreads entries evenly. Part of the places is kept for the
-entry's own availability zone, where an answer is a millisecond nearer; the others go
-to any zone, so that the loss of one leaves most of the connections.
+"""Subset of upstreams to which one entry keeps connections.
+
+Load pattern: hundreds of entries in front of hundreds of upstreams, each entry with a
+small random part of the traffic.
+
+Without it: if every entry connected to every upstream, the number of heartbeats alone
+would grow with the product of both, and a choice among all candidates by an outdated
+snapshot would send everyone to the same apparent best one.
+
+For each group, an entry takes the upstreams with the highest rendezvous hash of both
+names. The choice is stable (a change of the fleet moves only the ranks it touches),
+needs no coordination, and spreads entries evenly. Part of the subset is reserved for
+the entry's own availability zone, where a reply is a millisecond nearer; the rest is
+taken from any zone, so that the loss of one zone leaves most of the connections.
 """
 
 from __future__ import annotations
@@ -21,17 +23,17 @@
 SUBSET_SIZE = 20
 """Upstreams of a group that an entry keeps a connection to.
 
-With 330 entries before 85 upstreams of a group, each upstream is then in the subsets
-of about 78 entries, and the chance that all of an entry's candidates are lost with
-one zone of seven is nil, because at most half of them are taken from its own.
+With 330 entries in front of 85 upstreams of a group, each upstream is in the subsets of
+about 78 entries. The chance that an entry loses all candidates with one zone of seven
+is nil, because at most half of them are reserved for its own zone.
 """
 
 OWN_ZONE_SHARE = 0.5
-"""Share of the places that goes to the entry's own zone first."""
+"""Share of the subset that is filled from the entry's own zone first."""
 
 
 def rendezvous_rank(entry: str, upstream: str) -> int:
-    """Return an upstream's rank for an entry; higher is kept first."""
+    """Return an upstream's hash rank for an entry; the highest ranks are chosen."""
     return xxhash.xxh64_intdigest(f"{entry}\0{upstream}".encode())
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -25,7 +25,7 @@
 
 
 def test_an_unknown_one_is_named():
-    with pytest.raises(ValueError, match="no decision: pakcing"):
+    with pytest.raises(ValueError, match="unknown decision: pakcing"):
         Decisions.without(["pakcing"])
 
 
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -200,7 +200,7 @@
     """Give each engine an order, as an earlier holder did."""
     now = asyncio.get_running_loop().time()
     for upstream in planner.fleet.present("llm", now):
-        order = RoleOrder(upstream.name, Role.PREFILL, "reads too little")
+        order = RoleOrder(upstream.name, Role.PREFILL, "too few prefill engines")
         await planner._give(upstream, order, now)
 
 
