--- a/src/bergamotmast/direct/__init__.py
+++ b/src/bergamotmast/direct/__init__.py
@@ -1,6 +1,7 @@
-"""An entry that reaches upstreams directly, without side processes.
+"""Direct mode: an entry that sends requests to upstreams without side processes.
 
-It serves where upstreams check identity, fencing tokens and admission themselves.
-Requests and answers are opaque here: they pass byte for byte, and what the entry must
-know of them it learns from a :class:`~bergamotmast.direct.ports.Dialect`.
+For platforms whose upstreams check identity, fencing tokens and admission themselves.
+Request and response bodies are forwarded byte for byte. Everything the entry needs to
+know about a request or a response is read from its headers by a
+:class:`~bergamotmast.direct.ports.Dialect`.
 """
--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -1,4 +1,4 @@
-"""Has one engine answer a stream, from the send to the last event that it makes."""
+"""One attempt to stream a response from a decode engine."""
 
 from __future__ import annotations
 
@@ -25,33 +25,35 @@
 from .stream import Stream
 
 STALL_SECONDS = 1.2
-"""Longest pause between the events of a stream that may be resumed: its caller leaves
-after two seconds, and going on elsewhere takes some 400 ms."""
+"""Maximum gap between two events before a resumable stream is moved to another engine.
+Callers disconnect after two seconds, and resuming elsewhere takes about 400 ms."""
 
 REFUSED_SECONDS = 0.3
-"""How long an engine that refused a request is left alone: it is full or changing."""
+"""Cool-down of an engine that refused a request: it is full or changing its role."""
 
 WRONG_UPSTREAM_SECONDS = 1.0
-"""How long an engine is left alone that is not what its entry says: it keeps refusing
-until the entry is right, which takes a heartbeat."""
+"""Cool-down of an engine whose registration is outdated: it refuses requests until it
+has updated the registration, which takes one heartbeat."""
 
 MOST_EVENT_BYTES = 1 << 20
-"""Of a stream; one event carries a few words. One without an end would take all memory
-of the process."""
+"""Maximum size of one event, which usually carries a few words. Without a limit, an
+event that never ends would exhaust the process's memory."""
 
 
 class BrokenStreamError(Exception):
-    """A stream ended before its end, or its reply can't be used."""
+    """A stream that ended prematurely, or a reply that can't be used."""
 
 
 class Answering:
-    """One send of a stream to the engine that answers it.
+    """One attempt to stream a response from one engine.
 
-    :param read: the prompt's booking, where this engine reads it too.
-    :param heard_at: when the engine last said anything; a point in time.
-    :param streaming: whether it has made an event.
-    :param began_at: when the send began; a point in time.
-    :param sent_at: when it was told to take a prompt that was read elsewhere.
+    Points in time are on the event loop's clock.
+
+    :param read: the tracked prefill if this engine also prefills the prompt.
+    :param heard_at: when data last arrived from the engine; infinity before that.
+    :param streaming: whether the engine has sent an event.
+    :param began_at: when the attempt started.
+    :param sent_at: when the engine was asked to import a KV cache from another engine.
     """
 
     def __init__(self, stream: Stream, upstream: Upstream) -> None:
@@ -67,9 +69,9 @@
         self.began_at = asyncio.get_running_loop().time()
 
     async def run(self) -> int | None:
-        """Return the status; ``None`` where the request may go on elsewhere.
+        """Return the status, or ``None`` if the request may be retried elsewhere.
 
-        :raises RequestError: if it must not go on, or no send is left.
+        :raises RequestError: if it must not be retried, or no attempt is left.
         """
         self.stream.sends.begin(self.upstream)
         self._book()
@@ -82,9 +84,10 @@
         except (ReplyLostError, BrokenStreamError) as error:
             self._log_failure(str(error), "broken")
             if self.heard_at == math.inf:
-                # Without work it would look best to each of the next requests.
+                # Without a cool-down, the engine would look idle and attract the
+                # following requests.
                 self.stream.leave_alone(self.upstream)
-            # Whatever became of the KV cache, it can't be taken twice.
+            # The engine may have imported the KV cache, which can be imported once.
             self.stream.cache.release()
             self._refuse_unrepeatable()
         finally:
@@ -92,7 +95,7 @@
         return None
 
     def _book(self) -> None:
-        """Book the prompt at this engine unless another has read it."""
+        """Track the prefill at this engine unless another engine has done it."""
         timeline = self.stream.timeline
         timeline.upstream = self.upstream.name
         if not self.stream.cache:
@@ -101,7 +104,7 @@
             timeline.to_read = self.read.tokens
 
     def _on_event(self) -> None:
-        """Note the engine's first event: by then it has read the prompt."""
+        """Record that the prefill is complete when the first event arrives."""
         if self.streaming:
             return
         self.streaming = True
@@ -169,10 +172,10 @@
         )
 
     def _check(self, reply: Reply) -> ReplyTraits:
-        """Return what a reply says of itself if it is one to this request.
+        """Return the reply's traits after checking that it belongs to this request.
 
-        :raises ReplyLostError: if it is not.
-        :raises BrokenStreamError: if it says that nothing ran.
+        :raises ReplyLostError: if it does not.
+        :raises BrokenStreamError: if it says that the request was not run.
         """
         self.heard_at = asyncio.get_running_loop().time()
         self.stream.timeline.replied_at = self.heard_at
@@ -188,9 +191,10 @@
         return traits
 
     async def _events(self, reply: Reply) -> cabc.AsyncIterator[Event]:
-        """Yield whole events.
+        """Yield complete events.
 
-        :raises BrokenStreamError: if the stream ends within one, or one has no end.
+        :raises BrokenStreamError: if the stream ends within an event, or an event is
+            longer than :data:`MOST_EVENT_BYTES`.
         """
         splitter = EventSplitter()
         async for data in reply.chunks():
@@ -198,7 +202,9 @@
             for event in splitter.feed(data):
                 yield event
             if len(splitter.rest) > MOST_EVENT_BYTES:
-                raise BrokenStreamError("an event is too long")
+                raise BrokenStreamError(
+                    f"event is longer than the limit of {MOST_EVENT_BYTES} bytes"
+                )
         if splitter.rest:
             raise BrokenStreamError("the stream ended within an event")
 
@@ -208,11 +214,11 @@
         return contextlib.nullcontext()
 
     async def _reply_verdict(self) -> str:
-        """Return why to stop waiting for a reply; empty to keep waiting.
+        """Return why to stop waiting for a reply, or an empty string to keep waiting.
 
-        An engine that loses power accepts the request and never replies, and the caller
-        disconnects before the connection times out. An engine at capacity is also
-        silent but passes the engine check, so it keeps the request.
+        After a power loss, an engine never replies and the caller disconnects before
+        the connection times out. An engine at capacity does not reply in time either,
+        but it passes the liveness probe and keeps the request.
         """
         now = asyncio.get_running_loop().time()
         silent = now >= self.book.silent_at(self.began_at, now)
@@ -227,11 +233,11 @@
         return contextlib.nullcontext()
 
     async def _stall_verdict(self) -> str:
-        """Return why a stream had better go on elsewhere; never if it can't.
+        """Return why to move a stalled stream, or an empty string to keep it.
 
-        An engine that puts a request back for want of memory pauses for seconds and
-        then goes on. Ended without another engine to go on at, the answer would be
-        lost that the caller still waits for.
+        An engine that preempts a request when it runs out of KV memory resumes it
+        after some seconds. Without another engine to resume on, the stream is kept:
+        cancelling it would lose a response that the caller still waits for.
         """
         now = asyncio.get_running_loop().time()
         stalls = now >= self.heard_at + STALL_SECONDS
@@ -264,6 +270,6 @@
         self.stream.sends.log_failure(self.upstream, error, outcome, last_event)
 
     def _refuse_unrepeatable(self) -> None:
-        """Raise where the request must not be sent again."""
+        """Raise an error if the request may have run and must not run again."""
         if self.stream.sends.maybe_ran and not self.call.route.repeatable:
             raise RequestError(ResultCode.OUTCOME_UNKNOWN) from None
--- a/src/bergamotmast/direct/caller.py
+++ b/src/bergamotmast/direct/caller.py
@@ -1,4 +1,4 @@
-"""The caller's end of a request: what came in, and where the answer goes."""
+"""Interfaces to a caller: its request, the request's body and the response."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class CallerBody(t.Protocol):
-    """A request's body, which may come later than its head, or not at all."""
+    """Reads a request's body, which may arrive after the headers or not at all."""
 
     async def read(self, most: int) -> bytes | None:
-        """Return the whole body; ``None`` once it is longer than the limit.
+        """Return the whole body, or ``None`` if it is longer than the limit.
 
-        :param most: bytes.
+        :param most: maximum length in bytes.
         """
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request as its caller sent it.
+    """A request as received from a caller.
 
     :param target: path and query, not decoded.
-    :param headers: by name without regard to case; the first of each name.
-    :param items: all headers in order, doubled ones too.
-    :param body: reads the body, or no more of it than a limit allows.
-    :param arrived_at: point on the event loop's clock.
+    :param headers: the first header of each name; lookups ignore case.
+    :param items: all headers in order, including repeated names.
+    :param body: reader of the body.
+    :param arrived_at: arrival time on the event loop's clock.
     """
 
     method: str
@@ -41,29 +41,29 @@
 
 
 class CallerReply(t.Protocol):
-    """Takes the answer to one request."""
+    """Sends the response to one request."""
 
     @property
     def started(self) -> bool:
-        """Whether status and headers are on their way."""
+        """Whether status and headers have been sent."""
         ...
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         ...
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers of a stream."""
+        """Send status and headers of a streamed response."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send a part of a stream."""
+        """Send part of a streamed response."""
         ...
 
     async def finish(self) -> None:
-        """End a stream as complete."""
+        """End a streamed response normally."""
         ...
 
     def abort(self) -> None:
-        """End a stream so that it can't be taken for complete."""
+        """End a streamed response so that the caller sees it as truncated."""
         ...
--- a/src/bergamotmast/direct/context.py
+++ b/src/bergamotmast/direct/context.py
@@ -1,4 +1,4 @@
-"""What the runs of requests share."""
+"""Dependencies and state shared by all requests of an entry."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 from .time_limits import TimeLimits
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""To a caller these say that its request did not run."""
+"""Statuses that tell a caller that its request did not run."""
 
 LEAST_FINAL_STATUS = 200
-"""Lower ones announce an answer, for which a caller would wait."""
+"""Lower statuses are interim responses: a caller waits for another one."""
 
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """The parts that every run of a request uses.
-
-    :param mix: what the streams of this entry ask of engines.
-    :param size_shares: what is served of each route's prompts, by their size.
-    :param second_sends: what this entry may send a second time.
-    :param engine_check: tells a dead engine from a busy one, if anything does.
-    :param background: tasks that outlive their request, until they are done.
-    :param time_limits: of all requests at work.
+    """Dependencies and state shared by all requests of an entry.
+
+    :param mix: moving average of the prefill and decode load of this entry's streams.
+    :param size_shares: share of prompts served, by route and size class.
+    :param second_sends: retry budget.
+    :param engine_check: liveness probe of engines; ``None`` if there is none.
+    :param background: running tasks that outlive the request that started them.
+    :param time_limits: deadlines of all running requests.
     """
 
     fleet: Fleet
@@ -68,11 +68,11 @@
 
     @property
     def decisions(self) -> Decisions:
-        """Which decisions are taken."""
+        """The optional decisions that are switched on."""
         return self.placing.decisions
 
     def _tells(self, tokens: int) -> bool:
-        """Return whether the other entries are told of a prompt of this length."""
+        """Return whether prefills of so many tokens are announced to other entries."""
         return self.decisions.notices and tokens >= LEAST_TOKENS
 
     def tell_begun(
@@ -86,9 +86,9 @@
         *,
         goes_first: bool,
     ) -> None:
-        """Tell the other entries of a prompt that an engine is about to read."""
+        """Announce to the other entries that a prefill is about to start."""
         if self.notices is not None and self._tells(tokens):
-            # The last part belongs to this request or its session alone.
+            # The last part is used by this request or its session only.
             notice = ReadNotice(
                 upstream_hash(engine),
                 key[1],
@@ -103,24 +103,24 @@
     def tell_ended(
         self, engine: Upstream, key: WorkKey, tokens: int, *, done: bool
     ) -> None:
-        """Tell the other entries that a prompt they were told of is done with.
+        """Announce to the other entries that an announced prefill has ended.
 
-        :param done: whether it was read to its end.
+        :param done: whether it was completed.
         """
         if self.notices is not None and self._tells(tokens):
             notice = ReadNotice(upstream_hash(engine), key[1], 0, 0, done=done)
             self.notices.tell(notice)
 
     def spawn(self, work: cabc.Coroutine[object, object, None]) -> None:
-        """Run something that no request waits for."""
+        """Run a coroutine in the background."""
         task = asyncio.create_task(work)
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
     def read_reply(self, call: Call, upstream: Upstream, reply: Reply) -> ReplyTraits:
-        """Read a reply's headers and learn from what it says of its upstream's load.
+        """Read a reply's headers and update the load tracker of its upstream.
 
-        :raises ReplyLostError: if it is another request's reply.
+        :raises ReplyLostError: if the reply belongs to another request.
         """
         traits = self.dialect.read_reply(reply.status, reply.headers)
         if traits.load is not None:
@@ -130,15 +130,18 @@
         return traits
 
     def check_reply(self, call: Call, reply: Reply, traits: ReplyTraits) -> None:
-        """Check that a reply is an upstream's answer to this request.
+        """Check that a reply may be forwarded as the response to this request.
 
-        :raises ReplyLostError: if it is not, or if it would promise its caller what
-            the upstream did not promise.
+        :raises ReplyLostError: if the upstream did not sign it or the request's id is
+            missing, or if its status would tell the caller that the request did not
+            run, which the upstream did not confirm.
         """
         if not traits.signed:
-            raise ReplyLostError(f"status {reply.status} is not signed")
+            raise ReplyLostError(f"reply with status {reply.status} is not signed")
         if 200 <= reply.status < 300:
             if traits.request_id != call.traits.request_id:
-                raise ReplyLostError("the reply does not say whose it is")
+                raise ReplyLostError("the reply has no request id")
         elif reply.status < LEAST_FINAL_STATUS or reply.status in NOT_RUN_STATUSES:
-            raise ReplyLostError(f"status {reply.status} without a promise")
+            raise ReplyLostError(
+                f"status {reply.status} does not confirm that the request was not run"
+            )
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -1,4 +1,4 @@
-"""Takes a request in and sees to its one answer."""
+"""Request handling of a direct entry: admission, dispatch, refusal and logging."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 logger = logging.getLogger(__name__)
 
 FIRST_READ_SECONDS = 0.4
-"""How long a request waits for an entry's first reading of the store, which takes some
-40 ms; with a store that is away its caller had better ask another entry."""
+"""How long a request waits for the entry's initial load from the store, which takes
+about 40 ms. If the store is unavailable, the caller should retry at another entry."""
 
 LONGEST_BODY_SECONDS = 60.0
-"""How long the body of a caller that names no deadline may take to come."""
+"""Time limit for reading the body of a request without a deadline header."""
 
 
 class DirectCore:
-    """An entry that reaches upstreams directly.
+    """Handles the requests of a direct entry.
 
-    :param stopping: whether it is about to end; it serves on until it has.
+    :param stopping: whether the process is shutting down; requests are still served.
     """
 
     def __init__(self, context: Context, telemetry: Telemetry) -> None:
@@ -48,27 +48,27 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should be sent here."""
+        """Whether the load balancer should send new connections to this entry."""
         return self.context.fleet.ready and not self.stopping
 
     @property
     def body_limit(self) -> int:
-        """Largest body taken, in bytes."""
+        """Maximum size of a request body in bytes."""
         table = self.context.fleet.table
         return table.routing.limits.body_bytes if table else 1 << 20
 
     async def handle(self, request: CallerRequest, reply: CallerReply) -> None:
-        """Answer one request."""
+        """Send the response to one request and log its end."""
         request_id = self.context.dialect.request_id(request.headers)
         with request_context(request_id):
             route_name = ""
-            story: dict[str, object] = {}
+            log_fields: dict[str, object] = {}
             code = ResultCode.OK
             status = 0
             try:
-                call = await self._let_in(request)
+                call = await self._admit(request)
                 route_name = call.route.name
-                status = await self._run(call, reply, story)
+                status = await self._run(call, reply, log_fields)
             except RequestError as error:
                 code = error.code
                 status = await self._refuse(error, request_id, reply)
@@ -80,12 +80,12 @@
                 logger.exception("request failed")
                 status = await self._refuse(RequestError(code), request_id, reply)
             finally:
-                self._log_end(route_name, code, status, request.arrived_at, story)
+                self._log_end(route_name, code, status, request.arrived_at, log_fields)
 
-    async def _let_in(self, request: CallerRequest) -> Call:
+    async def _admit(self, request: CallerRequest) -> Call:
         traits = self.context.dialect.read_call(request.headers)
-        body = await self._body(request, traits.time_left)
-        table = await self._table()
+        body = await self._read_body(request, traits.time_left)
+        table = await self._route_table()
         route = table.find(request.host, request.target)
         if route is None:
             raise RequestError(ResultCode.UNKNOWN_ROUTE)
@@ -114,11 +114,16 @@
             parts=shared_parts(traits),
         )
 
-    async def _body(self, request: CallerRequest, time_left: float | None) -> bytes:
+    async def _read_body(
+        self, request: CallerRequest, time_left: float | None
+    ) -> bytes:
         """Return a request's body.
 
-        :raises RequestError: if it is too large, or does not come in time. Its caller
-            would otherwise wait for the answer to what it takes for sent.
+        Without a time limit, a caller whose body got lost on the way would wait for a
+        response until its own timeout.
+
+        :param time_left: seconds until the caller's deadline; ``None`` for no deadline.
+        :raises RequestError: if the body is too large or does not arrive in time.
         """
         seconds = LONGEST_BODY_SECONDS if time_left is None else time_left
         try:
@@ -134,13 +139,15 @@
             raise RequestError(ResultCode.BODY_TOO_LARGE)
         return body
 
-    async def _table(self) -> RouteTable:
-        """Return the routes in force.
+    async def _route_table(self) -> RouteTable:
+        """Return the routes in force, waiting for them if the entry has just started.
+
+        An entry accepts connections shortly before it has loaded the configuration.
+        Waiting is cheaper than a refusal, which costs the caller a round trip and a
+        delay of half a second. While the store is unavailable, the route may exist:
+        the refusal is a 503, as callers do not retry after a 404.
 
-        An entry takes callers as soon as it listens, a moment before it has read the
-        configuration: they wait that moment, since a refusal would cost each of them
-        the way back and half a second. Where the store does not answer, nothing is
-        known to be wrong with a request: a caller that is told 404 would not come back.
+        :raises RequestError: if no configuration is known within the time limit.
         """
         fleet = self.context.fleet
         if not fleet.ready:
@@ -155,19 +162,23 @@
         return table
 
     async def _run(
-        self, call: Call, reply: CallerReply, story: dict[str, object]
+        self, call: Call, reply: CallerReply, log_fields: dict[str, object]
     ) -> int:
+        """Run an admitted request and return the status sent to the caller.
+
+        :param log_fields: receives the fields of the log line at the request's end.
+        """
         self.context.second_sends.on_request(call.group.name)
         if call.route.kind is CallKind.STREAM:
             now = asyncio.get_running_loop().time()
-            outputs = call.traits.expected_tokens or call.traits.max_tokens
-            self.context.mix.observe(call.traits.prompt_tokens, outputs, now)
+            output_tokens = call.traits.expected_tokens or call.traits.max_tokens
+            self.context.mix.observe(call.traits.prompt_tokens, output_tokens, now)
             sized = self.context.size_shares.begin(
                 call.route.name, call.traits.prompt_tokens
             )
             call = dataclasses.replace(call, sized=sized)
-            story["prompt"] = call.traits.prompt_tokens
-            story["size"] = sized.band
+            log_fields["prompt"] = call.traits.prompt_tokens
+            log_fields["size"] = sized.band
             run = StreamRun(self.context, call, reply)
             served = False
             try:
@@ -176,18 +187,19 @@
                 return status
             finally:
                 sized.end(served=served)
-                story["goes_first"] = sized.goes_first
-                story.update(run.stream.timeline.fields(call.arrived_at))
+                log_fields["goes_first"] = sized.goes_first
+                log_fields.update(run.stream.timeline.fields(call.arrived_at))
         return await PlainRun(self.context, call, reply).run()
 
     async def _refuse(
         self, error: RequestError, request_id: str, reply: CallerReply
     ) -> int:
+        """Send an error response, or abort a response that has started."""
         if reply.started:
             reply.abort()
             return 0
-        named = self.context.dialect.refusal_headers(request_id)
-        headers = [item for item in named if is_writable(item[1])]
+        own_headers = self.context.dialect.refusal_headers(request_id)
+        headers = [item for item in own_headers if is_writable(item[1])]
         if error.retry_after is not None:
             headers.append(("Retry-After", f"{error.retry_after:.2f}"))
         body = f"{int(error.code)} {error.message}\n".encode()
@@ -201,11 +213,11 @@
         code: ResultCode,
         status: int,
         arrived_at: float,
-        story: dict[str, object],
+        log_fields: dict[str, object],
     ) -> None:
         seconds = asyncio.get_running_loop().time() - arrived_at
         self.telemetry.on_ended("", route, code, seconds)
-        if (band := story.get("size")) is not None:
+        if (band := log_fields.get("size")) is not None:
             self.telemetry.on_sized_end(route, SizeBand(str(band)), code)
         logger.info(
             "request ended",
@@ -215,19 +227,19 @@
                 "code": int(code),
                 "status": status,
                 "ms": round(seconds * 1e3, 1),
-                **story,
+                **log_fields,
             },
         )
 
 
 def _check_writable(request: CallerRequest) -> None:
-    """Refuse what the HTTP library would not write as it was read.
+    """Check that the HTTP library can forward a request unchanged.
 
-    It leaves out bytes that are no UTF-8, and a path's part after ``#``, which HTTP
-    allows in no request. The upstream would get another request than the caller sent.
-    A control character it does not write at all.
+    When writing a request, the library drops bytes that are not valid UTF-8 and a URL
+    fragment (``#...``), which HTTP does not allow in a request target, so the upstream
+    would receive a different request. It rejects control characters.
 
-    :raises RequestError: for such a request.
+    :raises RequestError: if the request can't be forwarded unchanged.
     """
     if "#" in request.target:
         raise RequestError(ResultCode.BAD_HEADER, "The path must not contain '#'.")
--- a/src/bergamotmast/direct/events.py
+++ b/src/bergamotmast/direct/events.py
@@ -1,18 +1,20 @@
-"""Whole events of a stream, cut from bytes as they arrive."""
+"""Incremental parsing of a byte stream into server-sent events."""
 
 from __future__ import annotations
 
 import dataclasses
 
 MOST_DIGITS = 18
-"""Of an event's number; a longer one is none, and Python refuses to read thousands."""
+"""Maximum length of a numeric event id; longer ones are ignored. Python refuses to
+convert strings of some thousand digits to an integer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One event of a stream, byte for byte with the empty line that ends it.
+    """One event of a stream.
 
-    :param number: its id; ``None`` where it has none or one that is no number.
+    :param data: unmodified bytes, including the empty line that ends the event.
+    :param number: numeric event id; ``None`` if the id is missing or not a number.
     """
 
     data: bytes
@@ -20,17 +22,19 @@
 
 
 class EventSplitter:
-    """Cuts a stream into whole events.
+    """Splits a byte stream into complete events.
 
-    An upstream may stop in the middle of an event. What is passed on only as whole
-    events can be continued elsewhere without a piece that comes twice.
+    An upstream may fail in the middle of an event. Only complete events are forwarded,
+    so that a stream can be resumed at another upstream without duplicated bytes.
+
+    :param rest: bytes received of an incomplete event.
     """
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are complete now."""
+        """Add received bytes and return the events that they complete."""
         self.rest += data
         events = []
         while (end := _event_end(self.rest)) > 0:
@@ -40,7 +44,7 @@
 
 
 def _event_end(data: bytes) -> int:
-    """Return where the first event ends, or 0 where none does yet."""
+    """Return the end offset of the first event, or 0 if it is incomplete."""
     ends = []
     for separator in (b"\n\n", b"\r\n\r\n"):
         found = data.find(separator)
--- a/src/bergamotmast/direct/exported_cache.py
+++ b/src/bergamotmast/direct/exported_cache.py
@@ -1,4 +1,4 @@
-"""A prompt's KV cache between the engine that read it and the one that takes it."""
+"""Handle of a KV cache that a prefill engine exported for a decode engine."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 logger = logging.getLogger(__name__)
 
 RELEASE_SECONDS = 1.0
-"""Time to free an exported KV cache that nobody takes; it lapses by itself later."""
+"""Timeout for releasing an exported KV cache; one that is not released expires."""
 
 
 class ExportedCache:
-    """One request's exported KV cache, if there is one.
+    """Handle of one request's exported KV cache, if there is one.
 
-    :param source: its name for other engines; empty where no engine may take it.
+    :param source: address that other engines import it from; empty if there is none.
     """
 
     def __init__(self, context: Context) -> None:
@@ -26,15 +26,15 @@
         self.source = ""
 
     def __bool__(self) -> bool:
-        """Return whether an engine may take it."""
+        """Return whether there is a KV cache to import."""
         return bool(self.source)
 
     def taken(self) -> None:
-        """Note that an engine has it, which frees it where it was."""
+        """Record that an engine has imported it, which releases it at its source."""
         self.source = ""
 
     def release(self) -> None:
-        """Free it if no engine will take it any more."""
+        """Release it in the background if no engine has imported it."""
         source, self.source = self.source, ""
         if source:
             self.context.spawn(self._free(source))
@@ -49,4 +49,4 @@
                 ) as reply:
                     await reply.read()
         except (NotReachedError, ReplyLostError, TimeoutError) as error:
-            logger.info("a KV cache was not freed", extra={"error": str(error)})
+            logger.info("KV cache not released", extra={"error": str(error)})
--- a/src/bergamotmast/direct/fleet.py
+++ b/src/bergamotmast/direct/fleet.py
@@ -1,4 +1,4 @@
-"""The configuration and the upstreams as this entry knows them now."""
+"""An entry's view of the configuration, the upstreams and the other entries."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 logger = logging.getLogger(__name__)
 
 RETURN_SECONDS = 2.0
-"""How long an upstream whose entry lapsed during an outage is still used.
+"""How long an upstream whose registration lapsed during an outage is still used.
 
-The platform has the entries of living upstreams back within about two seconds of the
-store's return; an upstream that is missing after that is gone.
+The platform restores the registrations of live upstreams within about two seconds of
+the store's return; an upstream that is missing after that is gone.
 """
 
 
 CHANGE_SECONDS = 6.0
-"""How long an engine is left alone after the plan has changed its role: the change
-takes some three seconds, and one that was never carried out must not cost it longer."""
+"""How long an engine gets no work after the plan has changed its role, at most. A
+change takes about three seconds; an order that is never carried out costs no more."""
 
 USUAL_CHANGE_SECONDS = 3.2
-"""From an order to the first request under the new role."""
+"""Typical time from an order to the first request under the new role."""
 
 MOST_PORT = 65_535
 
 DEPARTED_RETENTION_SECONDS = 60.0
-"""How long a departed upstream is remembered, to recognize its entry after a restore
-of the store from a backup that is a few seconds old."""
+"""How long a departed upstream is remembered, to recognize its registration after a
+restore of the store from a backup that is a few seconds old."""
 
 
 class ReadReason(enum.Enum):
@@ -62,11 +62,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Seen:
-    """An upstream with what was read of it.
+    """An upstream and the state of its registration.
 
-    :param revision: store revision of its entry.
-    :param gone_at: when an entry that lapsed during an outage counts as gone; a point
-        on the monotonic clock, ``None`` while the entry stands.
+    :param revision: store revision of its registration.
+    :param gone_at: when an upstream whose registration lapsed during an outage is
+        considered gone; a point on the monotonic clock, ``None`` while registered.
     """
 
     upstream: Upstream
@@ -76,10 +76,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Planned:
-    """The role that the plan has lately given an engine.
+    """The role that the plan assigns to an engine.
 
-    :param at: when this entry learnt of it; a point in time.
-    :param token: authority of the order.
+    :param at: when this entry received the assignment; a point in time.
+    :param token: fencing token of the order.
     """
 
     role: Role
@@ -88,25 +88,28 @@
 
     @property
     def until(self) -> float:
-        """When the change should be over, carried out or not; a point in time."""
+        """When the role change is no longer waited for; a point in time."""
         return self.at + CHANGE_SECONDS
 
 
 class Fleet:
-    """What the store said last.
+    """The state of the store as of the last read or watch event.
 
     :param own_entry: key under which this entry registers.
     :param table: routes in force; ``None`` before the first configuration.
-    :param entries: where the entries that the store lists take datagrams, by key.
-    :param entry_share: counts those that share a budget.
-    :param settled: whether the upstreams have been read once.
-    :param first_ready: set once requests can be routed for the first time.
-    :param on_removal: callbacks for the removal of an existing key, by key.
-    :param existing_keys: keys of ``on_removal`` that the store is known to hold.
+    :param settled: whether the upstreams have been loaded once.
+    :param seen: registered upstreams, by key.
     :param departed: when the record of a departed upstream expires, by key and boot;
         points in time.
-    :param outdated_revisions: revisions of outdated upstreams' entries in a restored
-        store, by key.
+    :param outdated_revisions: revisions of outdated registrations in a restored store,
+        by key.
+    :param unread: revisions of registrations that can't be decoded, by key.
+    :param planned: roles assigned by the plan, by engine.
+    :param entries: datagram addresses of the registered entries, by key.
+    :param entry_share: this entry's share of budgets common to all entries.
+    :param on_removal: callbacks for the removal of an existing key, by key.
+    :param existing_keys: keys of ``on_removal`` that the store is known to hold.
+    :param first_ready: set once requests can be routed for the first time.
     """
 
     def __init__(
@@ -137,27 +140,27 @@
 
     @property
     def generation(self) -> int:
-        """Generation in force; 0 before the first."""
+        """Generation of the configuration in force; 0 before the first one."""
         return self.table.routing.generation if self.table else 0
 
     def group(self, name: str) -> Group:
-        """Return a group, also one that the configuration does not describe."""
+        """Return a group, a plain one if the configuration does not describe it."""
         assert self.table is not None
         return self.table.routing.groups.get(name) or Group(name)
 
     def engine_groups(self) -> list[str]:
-        """Return the names of the groups that serve models."""
+        """Return the names of the groups of engines."""
         assert self.table is not None
         groups = self.table.routing.groups.values()
         return [group.name for group in groups if group.engine is not None]
 
     def tightest_objective(self, group: str) -> float:
-        """Return the least objective of the streams that a group serves, in seconds."""
+        """Return the lowest latency objective of a group's streams, in seconds."""
         assert self.table is not None
         return self.table.tightest_objective(group)
 
     def present(self, group: str, now: float) -> list[Upstream]:
-        """Return the upstreams of a group that are not leaving."""
+        """Return the upstreams of a group that are registered and not leaving."""
         return [
             seen.upstream
             for seen in self.seen.values()
@@ -167,27 +170,27 @@
         ]
 
     def members(self, group: str, now: float) -> list[Upstream]:
-        """Return the upstreams of a group that may be given new work."""
+        """Return the upstreams of a group that are eligible for new requests."""
         return [u for u in self.present(group, now) if not self._changing(u, now)]
 
     def answers_from(self, group: str, now: float) -> float | None:
-        """Return when a group without an answering engine should have one again.
+        """Return when a group without a decode engine is expected to have one again.
 
-        ``None`` where no engine is known to be on its way to that role.
+        ``None`` if no engine is known to be changing to that role.
         """
-        begun = [
+        started = [
             planned.at
             for upstream in self.present(group, now)
             if (planned := self.planned.get(upstream.name)) is not None
             and planned.role is not Role.PREFILL
             and self._changing(upstream, now)
         ]
-        return min(begun) + USUAL_CHANGE_SECONDS if begun else None
+        return min(started) + USUAL_CHANGE_SECONDS if started else None
 
     def _changing(self, upstream: Upstream, now: float) -> bool:
-        """Return whether an engine is on its way to another role.
+        """Return whether an engine is changing its role, during which it refuses work.
 
-        It refuses all work meanwhile; a prompt sent there loses its time.
+        A request sent to it would only lose time.
         """
         planned = self.planned.get(upstream.name)
         if planned is None or now >= planned.until:
@@ -195,14 +198,14 @@
         return planned.role is not upstream.role
 
     def put(self, item: KeyValue) -> None:
-        """Take one key's new value; one that can't be taken is left out of account."""
+        """Apply one key's new value; a value that can't be processed is ignored."""
         try:
             self._put(item)
         except Exception:
-            # A value that its reader did not foresee would end the process with every
-            # request at work, and each of its successors. What was known stays, and
-            # the key is read anew with its next change.
-            logger.exception("key is not taken", extra={"key": item.key})
+            # An unexpected value would otherwise terminate the process, with all its
+            # running requests, and every process started after it. The last known
+            # state is kept until the key changes again.
+            logger.exception("key cannot be processed", extra={"key": item.key})
 
     def _put(self, item: KeyValue) -> None:
         if item.key in self.on_removal:
@@ -217,7 +220,7 @@
             self._put_entry(item)
 
     def remove(self, key: str, revision: int) -> None:
-        """Take a key's removal; without a configuration the last one stays."""
+        """Apply a key's removal; a removed configuration stays in force."""
         self._forget_entry(key)
         if key in self.existing_keys:
             self._notify_removal(key)
@@ -233,7 +236,7 @@
     def replace_all(
         self, items: tuple[KeyValue, ...], now: float, reason: ReadReason
     ) -> None:
-        """Update upstreams, entries and configuration from a read of all keys."""
+        """Replace upstreams, entries and configuration by a snapshot of all keys."""
         present = {item.key for item in items}
         for key in self.existing_keys - present:
             self._notify_removal(key)
@@ -247,7 +250,7 @@
     def replace(
         self, items: tuple[KeyValue, ...], now: float, reason: ReadReason
     ) -> None:
-        """Update the upstreams from a read of all their entries.
+        """Replace the upstreams by a snapshot of all their registrations.
 
         After an outage or a restore, missing upstreams are kept for
         :data:`RETURN_SECONDS`.
@@ -274,11 +277,11 @@
         self._note_ready()
 
     def _is_outdated(self, item: KeyValue) -> bool:
-        """Return whether a restored entry is older than the known upstream state.
+        """Return whether a restored registration is older than the known state.
 
         The upstream has since begun to leave, left or restarted, and requests routed by
-        this entry would be lost. A live upstream rewrites its entry, and the watch
-        reports that change.
+        this registration would be lost. A live upstream rewrites its registration, and
+        the watch reports that change.
         """
         try:
             upstream = self.directory.decode_upstream(item.key, item.value)
@@ -299,7 +302,7 @@
         self.departed[key, upstream.boot] = now + DEPARTED_RETENTION_SECONDS
 
     def replace_entries(self, items: tuple[KeyValue, ...]) -> None:
-        """Take a whole reading of the entries' registrations."""
+        """Replace the other entries by a snapshot of their registrations."""
         present = {item.key for item in items}
         for key in [key for key in self.entries if key not in present]:
             self._forget_entry(key)
@@ -317,7 +320,7 @@
     def _put_entry(self, item: KeyValue) -> None:
         address = _datagram_address(item.value)
         if address is None:
-            logger.warning("entry's address is none", extra={"key": item.key})
+            logger.warning("entry's address is invalid", extra={"key": item.key})
             self._forget_entry(item.key)
         else:
             self.entries[item.key] = address
@@ -332,7 +335,7 @@
             part = decode_engine_plan(item.value)
         except msgspec.DecodeError as error:
             logger.warning(
-                "plan is not understood", extra={"key": item.key, "error": str(error)}
+                "plan cannot be decoded", extra={"key": item.key, "error": str(error)}
             )
             return
         name = engine_of_key(item.key)
@@ -347,12 +350,12 @@
             routing = self.directory.decode_routing(item.value)
         except ConfigError as error:
             logger.warning(
-                "configuration is not understood",
+                "configuration cannot be decoded",
                 extra={"revision": item.mod_revision, "error": error.message},
             )
             return
-        # A read that was answered late may bring an older version: going back would
-        # send requests where the operators no longer want them.
+        # A delayed reply to a read may hold an older version. Applying it would route
+        # requests by a configuration that the operators have replaced.
         if routing.generation <= self.generation:
             return
         self.table = RouteTable(routing)
@@ -379,7 +382,7 @@
             if self.unread.get(item.key) != item.mod_revision:
                 self.unread[item.key] = item.mod_revision
                 logger.warning(
-                    "upstream's entry is not understood",
+                    "upstream's registration cannot be decoded",
                     extra={"key": item.key, "error": error.message},
                 )
             self.seen.pop(item.key, None)
@@ -409,10 +412,10 @@
 
 
 def _datagram_address(value: bytes) -> tuple[str, int] | None:
-    """Return an entry's address; ``None`` for what is no IP number and port.
+    """Return an entry's address, or ``None`` if it is not an IP address and a port.
 
-    A name would be looked up at each datagram, with the event loop standing still
-    meanwhile; a port out of range would close the port that datagrams are sent from.
+    A host name would be resolved for every datagram, blocking the event loop. A port
+    out of range would close the socket that sends the datagrams.
     """
     host, _, port = value.decode(errors="replace").rpartition(":")
     try:
--- a/src/bergamotmast/direct/following.py
+++ b/src/bergamotmast/direct/following.py
@@ -1,4 +1,4 @@
-"""Follows the configuration and the upstreams' entries in the key-value service."""
+"""Watch of the key-value store that keeps a :class:`~.fleet.Fleet` up to date."""
 
 from __future__ import annotations
 
@@ -16,21 +16,25 @@
 logger = logging.getLogger(__name__)
 
 LONGEST_RETRY_SECONDS = 0.5
-"""Between two tries while the store does not answer: an outage's end must be noticed
-well within the two seconds in which a new configuration has to be in force."""
+"""Maximum delay between two attempts while the store is unavailable. A new
+configuration must be in force within two seconds, also after an outage."""
 
 OUTAGE_SECONDS = 0.6
-"""Without an answer for so long, entries may have lapsed through the store's fault."""
+"""After so long without a reply, registrations may have lapsed because of the store."""
 
 
 class Follower:
-    """Keeps a fleet as the store has it.
+    """Keeps a fleet in sync with the store by reading all keys and watching them.
 
-    A watch may be cut, may lose its history, or may hear nothing on a connection that
-    is dead: the store's adapter ends each wait after a bounded time, and whatever
-    ends a watch leads to a whole new reading. Only a watch that was answered has the
-    next one follow soon: a store that reads and does not watch would otherwise be read
-    without a pause by all entries.
+    A watch may be interrupted, fail because its history is compacted, or receive
+    nothing on a dead connection. The store's adapter bounds each wait, and all keys are
+    read again after any end of a watch. The backoff is reset only by a watch that
+    delivers: otherwise all entries would read a store whose watches fail without any
+    delay.
+
+    :param heard_at: when the store last replied; a point in time.
+    :param lost: whether the store is currently considered unreachable.
+    :param restored: whether the store was restored from a backup since the last read.
     """
 
     def __init__(self, kv: KeyValueService, fleet: Fleet, rng: random.Random) -> None:
@@ -42,7 +46,7 @@
         self.restored = False
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read and watch the store until cancelled."""
         while True:
             try:
                 revision = await self._read()
--- a/src/bergamotmast/direct/forwarding.py
+++ b/src/bergamotmast/direct/forwarding.py
@@ -1,4 +1,4 @@
-"""Which headers pass through an entry."""
+"""Selection of the headers that an entry forwards."""
 
 from __future__ import annotations
 
@@ -26,38 +26,38 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only, by RFC 9110, and the length of the body,
-which each side of an entry writes anew."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), and the length of the body, which is
+written anew on each connection."""
 
 _UNWRITABLE = re.compile(r"[\x00-\x08\x0a-\x1f\x7f\ud800-\udfff]")
-"""Control characters but the tab, and bytes that are no UTF-8 as they are read."""
+"""Control characters except the tab, and surrogate escapes of invalid UTF-8."""
 
 
 def pass_on(items: cabc.Iterable[tuple[str, str]], connection: str = "") -> Headers:
-    """Return the headers that are passed on.
+    """Return the headers to forward, without the hop-by-hop ones.
 
-    :param connection: value of the ``Connection`` header, which may name others.
+    :param connection: value of the ``Connection`` header, which may name more of them.
     """
-    named = {name.strip().lower() for name in connection.split(",")}
-    left_out = OF_ONE_CONNECTION | named
-    return tuple(item for item in items if item[0].lower() not in left_out)
+    listed = {name.strip().lower() for name in connection.split(",")}
+    dropped = OF_ONE_CONNECTION | listed
+    return tuple(item for item in items if item[0].lower() not in dropped)
 
 
 def answer_headers(reply: Reply) -> Headers:
-    """Return the headers of a reply that its caller gets.
+    """Return the headers of a reply that are forwarded to the caller.
 
-    The HTTP library would silently leave out bytes that are no UTF-8, and refuses the
-    whole answer for a control character; a header with either is left out, and the log
-    says so.
+    When writing a header, the HTTP library silently drops bytes that are not valid
+    UTF-8, and it rejects the whole response for a control character. A header with
+    either is dropped, and a warning is logged.
     """
-    passed = pass_on(reply.header_items(), reply.headers.get("Connection", ""))
-    written = tuple(item for item in passed if is_writable(item[1]))
-    if len(written) < len(passed):
-        left_out = [name for name, value in passed if not is_writable(value)]
-        logger.warning("headers are left out", extra={"headers": left_out})
-    return written
+    forwarded = pass_on(reply.header_items(), reply.headers.get("Connection", ""))
+    writable = tuple(item for item in forwarded if is_writable(item[1]))
+    if len(writable) < len(forwarded):
+        dropped = [name for name, value in forwarded if not is_writable(value)]
+        logger.warning("headers are left out", extra={"headers": dropped})
+    return writable
 
 
 def is_writable(value: str) -> bool:
-    """Return whether a header's value is written as it was read."""
+    """Return whether the HTTP library writes a header's value as it was read."""
     return _UNWRITABLE.search(value) is None
--- a/src/bergamotmast/direct/front.py
+++ b/src/bergamotmast/direct/front.py
@@ -1,4 +1,4 @@
-"""The caller interface of a direct entry over HTTP."""
+"""HTTP frontend of a direct entry, on aiohttp's low-level server."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 logger = logging.getLogger(__name__)
 
 HEADER_BYTES = 32_768
-"""Longest line and header read; the operators' limit is below it."""
+"""Maximum length of a line or header in bytes; above the configurable limits."""
 
 IDLE_SECONDS = 75.0
-"""How long an idle caller's connection is kept, above the operators' limits."""
+"""Keep-alive timeout of idle connections; above the configurable limits."""
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
-"""Linger for no time: what is not sent is dropped, and the other end is told."""
+"""``SO_LINGER`` of zero seconds: closing drops unsent data and sends a reset."""
 
 ROOT = yarl.URL("/")
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-"""Tells a caller to send its body."""
+"""Interim response that asks a caller to send the body."""
 
 
 class HttpCallerBody:
-    """A :class:`~bergamotmast.direct.caller.CallerBody`."""
+    """A :class:`~bergamotmast.direct.caller.CallerBody` of an aiohttp request."""
 
     def __init__(self, request: web.BaseRequest) -> None:
         self.request = request
 
     async def read(self, most: int) -> bytes | None:
-        """Return the whole body; ``None`` once it is longer than the limit."""
+        """Return the whole body, or ``None`` if it is longer than the limit."""
         if (self.request.content_length or 0) > most:
             return None
-        await self._ask_for_it()
+        await self._send_continue()
         body = bytearray()
         while part := await self.request.content.readany():
             body += part
@@ -54,18 +54,18 @@
                 return None
         return bytes(body)
 
-    async def _ask_for_it(self) -> None:
-        """Tell a caller to send its body if it waits to be told, as HTTP allows."""
+    async def _send_continue(self) -> None:
+        """Send ``100 Continue`` if the caller waits for it before sending the body."""
         expected = self.request.headers.get("Expect", "").lower()
         if expected == "100-continue" and self.request.version >= HttpVersion11:
             writer = self.request.writer
             await writer.write(CONTINUE)
-            # The library takes whatever was written for the beginning of the answer.
+            # The library would count these bytes as the start of the final response.
             writer.output_size = 0
 
 
 class HttpCallerReply:
-    """A :class:`~bergamotmast.direct.caller.CallerReply`."""
+    """A :class:`~bergamotmast.direct.caller.CallerReply` to an aiohttp request."""
 
     def __init__(self, request: web.BaseRequest, core: DirectCore) -> None:
         self.request = request
@@ -74,11 +74,11 @@
 
     @property
     def started(self) -> bool:
-        """Whether status and headers are on their way."""
+        """Whether status and headers have been sent."""
         return self.response is not None
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         response = self._new(status, headers)
         response.content_length = len(body)
         await response.prepare(self.request)
@@ -86,27 +86,27 @@
         await response.write_eof(body)
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers of a stream."""
+        """Send status and headers of a streamed response."""
         self.response = self._new(status, headers)
         if self._has_chunks:
             self.response.enable_chunked_encoding()
         await self.response.prepare(self.request)
 
     async def write(self, data: bytes) -> None:
-        """Send a part of a stream."""
+        """Send part of a streamed response."""
         assert self.response is not None
         await self.response.write(data)
 
     async def finish(self) -> None:
-        """End a stream as complete."""
+        """End a streamed response normally."""
         assert self.response is not None
         await self.response.write_eof()
 
     def abort(self) -> None:
-        """Close the connection so that a stream does not pass for complete.
+        """Close the connection so that the caller sees the response as truncated.
 
-        In chunks, it lacks the one that would end it. Without, the end of the
-        connection ends it, and only a reset tells that something is missing.
+        With chunked encoding, the last chunk is missing. Without it, a normal close
+        would mark the end of the body, so the connection is reset.
         """
         transport = self.request.transport
         if transport is None:
@@ -127,17 +127,17 @@
         for name, value in headers:
             response.headers.add(name, value)
         if self.core.stopping or not self.request.content.is_eof():
-            # Where the rest of a body may still come, no next request can be told.
+            # The rest of an unread body could be mistaken for the next request.
             response.force_close()
         return response
 
 
 class DirectFront:
-    """Translates between HTTP and a direct entry.
+    """Translates between HTTP and the core of a direct entry.
 
-    :param busy: connections on which a request is at work.
-    :param ending: whether each connection is closed after the answer under way, also
-        one whose answer began before anyone knew of the end.
+    :param busy: connections with a running request.
+    :param ending: whether each connection is closed after its current response, also
+        if that response started before the shutdown.
     """
 
     def __init__(self, core: DirectCore) -> None:
@@ -146,7 +146,7 @@
         self.ending = False
 
     def callers(self) -> web.Server:
-        """Return the server that takes callers in."""
+        """Return the server for callers' requests."""
         return web.Server(
             self._handle,
             request_factory=_new_request,
@@ -159,7 +159,7 @@
         )
 
     def probes(self) -> web.Server:
-        """Return the server that says whether this entry is ready."""
+        """Return the server for readiness probes."""
         return web.Server(self._ready, request_factory=_new_request, access_log=None)
 
     async def _ready(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -195,10 +195,11 @@
 
 
 def _has_next(connection: RequestHandler) -> bool:
-    """Return whether a request has been read behind the one that is being answered.
+    """Return whether another request has already been received on the connection.
 
-    Closed without having said so, its caller would not know that it was not run; its
-    own answer says that the connection closes.
+    If the connection were closed without ``Connection: close`` in a response, the
+    caller could not tell whether that request was run. It is answered first, and its
+    response carries the header.
     """
     return bool(connection._messages)
 
@@ -211,8 +212,8 @@
     task: asyncio.Task[None],
 ) -> web.BaseRequest:
     if message.url.absolute:
-        # The library fails on a host that is none before any handler has the request,
-        # which would then have no answer. The target is read as it was sent.
+        # On an invalid host, the library fails before it calls a handler, and the
+        # request would get no response. The target is read from the raw path instead.
         message = message._replace(url=ROOT)
     return web.BaseRequest(
         message,
--- a/src/bergamotmast/direct/model.py
+++ b/src/bergamotmast/direct/model.py
@@ -1,4 +1,4 @@
-"""What a direct entry knows: routes, groups of upstreams, requests."""
+"""Data model of a direct entry: routes, groups of upstreams and requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallKind(enum.Enum):
-    """What of a route's requests may be repeated."""
+    """Whether a route's requests may be retried."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
@@ -20,10 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A group that gets a share of a route's requests.
+    """A group that receives a share of a route's requests.
 
     :param group: value of the upstreams' group label.
-    :param weight: share against the weights of the route's other targets.
+    :param weight: weight relative to the route's other targets.
     """
 
     group: str
@@ -32,17 +32,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests belong to which groups, and what their callers may expect.
-
-    :param host: value of the request's ``Host``, without a port.
-    :param prefix: beginning of the path, with a slash at both ends.
-    :param timeout: seconds after which a request is ended.
-    :param objective: seconds to the answer, or to a stream's first event.
-    :param gap_objective: seconds between two events of a stream; 0 for none.
-    :param patience: seconds after which a caller leaves a stream without an event.
-    :param max_attempts: most upstreams that one request may be sent to.
-    :param rank: urgency; 0 is the most urgent.
-    :param resumable: whether a stream may go on at another upstream.
+    """A rule that assigns requests to groups of upstreams.
+
+    :param host: value of the request's ``Host`` header, without a port.
+    :param prefix: prefix of the path, with a slash at both ends.
+    :param timeout: maximum duration of a request in seconds.
+    :param objective: latency objective in seconds, to the response or to a stream's
+        first event.
+    :param gap_objective: objective for the time between two events of a stream, in
+        seconds; 0 for none.
+    :param patience: seconds after which a caller disconnects from a stream that has
+        sent no event.
+    :param max_attempts: maximum number of upstreams that a request may be sent to.
+    :param rank: priority rank; 0 is the most urgent.
+    :param resumable: whether a stream may be resumed at another upstream.
     """
 
     name: str
@@ -60,7 +63,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may have run may be sent again."""
         return self.kind is CallKind.IDEMPOTENT or (
             self.kind is CallKind.STREAM and self.resumable
         )
@@ -68,10 +71,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What all engines of a group have in common.
+    """Capacity of each engine of a group.
 
-    :param slots: most requests in one batch.
-    :param kv_capacity: tokens of KV memory.
+    :param slots: maximum number of requests in one batch.
+    :param kv_capacity: KV memory in tokens.
     :param handle_seconds: how long an exported KV cache is kept.
     """
 
@@ -82,7 +85,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """Upstreams that carry the same; with ``engine`` they serve models."""
+    """A group of interchangeable upstreams.
+
+    :param engine: traits of the engines; ``None`` for plain services.
+    """
 
     name: str
     engine: EngineTraits | None = None
@@ -90,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send, and how long a connection may be idle."""
+    """Limits on the size of requests and the idle time of connections."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -99,9 +105,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Routing:
-    """One version of the operators' configuration.
+    """One version of the routing configuration.
 
-    :param generation: rises with each version.
+    :param generation: version number, which increases with each version.
     """
 
     generation: int
@@ -112,12 +118,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstream:
-    """One upstream as it has registered itself.
+    """The registration of one upstream.
 
-    :param boot: changes when it restarts under the same name.
-    :param group: value of its group label.
-    :param slots: most requests it takes at once.
-    :param role: an engine's role; ``None`` for a plain service.
+    :param boot: id of the incarnation, which changes with each restart.
+    :param group: value of the group label.
+    :param slots: maximum number of concurrent requests.
+    :param leaving: whether it is draining and must get no new requests.
+    :param role: role of an engine; ``None`` for a plain service.
     """
 
     name: str
@@ -132,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share."""
+    """A part of a prompt that other prompts may share."""
 
     key: str
     tokens: int
@@ -140,12 +147,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallTraits:
-    """What a caller's headers say of its request.
+    """Information from a request's headers.
 
-    :param request_id: empty where there is none.
-    :param time_left: seconds the caller waits; ``None`` where it does not say.
-    :param last_event: number of the last event that the caller has; 0 for none.
+    :param request_id: the caller's id of the request; empty if missing.
+    :param time_left: seconds to the caller's deadline; ``None`` if not given.
+    :param last_event: number of the last event that the caller received; 0 for none.
+    :param prompt_tokens: length of the prompt.
+    :param max_tokens: limit on the output.
     :param expected_tokens: the caller's estimate of the output; 0 for none.
+    :param parts: parts of the prompt, in order.
     """
 
     request_id: str
@@ -159,13 +169,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """A request let in, with all points in time on the local monotonic clock.
+    """An admitted request; points in time are on the local monotonic clock.
 
     :param target: path and query as received.
-    :param headers: headers to pass on, without those of one connection.
-    :param deadline: when the answer must be out.
-    :param parts: hash and length of the parts of its prompt, in order.
-    :param sized: its prompt among those of its route; ``None`` without one.
+    :param headers: headers to forward, without hop-by-hop headers.
+    :param deadline: when the response must be complete.
+    :param parts: hash and length of the parts of the prompt, in order.
+    :param sized: the prompt in its size class; ``None`` for a request without one.
     """
 
     traits: CallTraits
@@ -182,10 +192,10 @@
 
     @property
     def goes_first(self) -> bool:
-        """Whether its prompt is read before the others of its rank."""
+        """Whether the prompt is prefilled before all others of its priority rank."""
         return self.sized is not None and self.sized.goes_first
 
     @property
     def leaves_at(self) -> float:
-        """When the caller leaves if it has no event by then; a point in time."""
+        """When the caller disconnects unless it has received an event by then."""
         return min(self.deadline, self.arrived_at + self.route.patience)
--- a/src/bergamotmast/direct/notices.py
+++ b/src/bergamotmast/direct/notices.py
@@ -1,8 +1,9 @@
-"""What entries tell each other: which engine reads what, and what it has cached.
+"""Exchange of prefill notices between entries, over UDP.
 
-Each entry sends each long prompt's start and end to the entries that place work on the
-same engines, in datagrams. A notice that is lost costs a worse placement and nothing
-else: what it would have told is guessed or forgotten within seconds.
+Each entry announces the start and the end of long prefills to the entries that use the
+same engines, so that their load trackers and prefix-cache models include them. A lost
+datagram costs at most a worse placement: its content is estimated or expires within
+seconds.
 """
 
 from __future__ import annotations
@@ -19,28 +20,33 @@
 logger = logging.getLogger(__name__)
 
 GATHER_SECONDS = 0.005
-"""Notices that follow each other so closely share a datagram."""
+"""How long notices are collected before they are sent in one datagram."""
 
 LEAST_TOKENS = 1_000
-"""Shorter prompts are not told of: they are read within 20 ms, when a notice of them
-would be late."""
+"""Shortest prefill that is announced. Shorter ones take less than 20 ms, so a notice
+would arrive too late."""
 
 MOST_NOTICES = 64
-"""In one datagram, which must fit into a packet."""
+"""Maximum number of notices in one datagram, which must fit into a packet."""
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """All notices of a moment."""
+    """A batch of notices from one entry.
+
+    :param sender: name of the entry.
+    """
 
     sender: str
     notices: tuple[ReadNotice, ...]
 
 
 class Notices:
-    """Sends this entry's notices and takes those of others.
+    """Sends this entry's notices and applies those of others.
 
+    :param name: name of this entry.
     :param peers: returns the addresses of the other entries.
-    :param send: hands a datagram over, without waiting.
+    :param send: sends a datagram without blocking.
+    :param waiting: notices that have not been sent yet.
     """
 
     def __init__(
@@ -58,17 +64,17 @@
         self.decoder = msgspec.msgpack.Decoder(Datagram)
 
     def tell(self, notice: ReadNotice) -> None:
-        """Send a notice soon."""
+        """Add a notice to the next batch, which is sent shortly."""
         if not self.waiting:
             asyncio.get_running_loop().call_later(GATHER_SECONDS, self._flush)
         self.waiting.append(notice)
 
     def receive(self, data: bytes) -> None:
-        """Take another entry's datagram; what is none is dropped."""
+        """Apply another entry's datagram; invalid data is dropped."""
         try:
             datagram = self.decoder.decode(data)
         except msgspec.DecodeError as error:
-            logger.warning("datagram is not understood", extra={"error": str(error)})
+            logger.warning("datagram cannot be decoded", extra={"error": str(error)})
             return
         if datagram.sender == self.name:
             return
--- a/src/bergamotmast/direct/placing.py
+++ b/src/bergamotmast/direct/placing.py
@@ -1,4 +1,4 @@
-"""Keeps the books on upstreams and asks the policy where a request goes."""
+"""Placement of requests: keeps a load tracker per upstream and applies the policy."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 from .read_notice import ReadNotice
 
 BookKey = tuple[str, str]
-"""Name and boot: what was known of an upstream is void once it restarts."""
+"""Name and boot of an upstream, as its load and caches are lost in a restart."""
 
 
 LEAST_FETCHED = 400
-"""Tokens of a prompt's beginning that are worth a fetch from another engine: they take
-8 ms to read and under 3 ms to fetch."""
+"""Shortest prefix, in tokens, that is transferred from another engine instead of being
+prefilled: it takes 8 ms to prefill and less than 3 ms to transfer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """What an engine has to do for a prompt.
+    """Result of a prefix-cache lookup for a prompt at one engine.
 
-    :param tokens: to read.
-    :param fetched: tokens before them that it has to fetch first.
-    :param fetch_from: address of the engine that keeps what need not be read; empty
-        where that is the engine itself.
+    :param tokens: tokens to prefill.
+    :param fetched: tokens before them to transfer from another engine.
+    :param fetch_from: address of the engine to transfer the prefix from; empty if
+        nothing is to be transferred.
     """
 
     tokens: int
@@ -57,10 +57,15 @@
 
 
 class Placing:
-    """Where requests go, from what this entry and its peers have sent.
+    """Chooses upstreams by the load that this entry and its peers have placed on them.
 
-    :param name: of this entry.
+    :param name: name of this entry.
     :param zone: availability zone of this entry.
+    :param engines: load trackers of engines.
+    :param reads: learned prefill times, by group.
+    :param plain: load trackers of plain upstreams.
+    :param by_hash: keys of engines by the hash used in notices.
+    :param last_number: number of this entry's last prefill.
     """
 
     def __init__(
@@ -83,7 +88,7 @@
         self.last_number = 0
 
     def engine_book(self, upstream: Upstream) -> EngineBook:
-        """Return what is known of an engine."""
+        """Return the load tracker of an engine."""
         key = (upstream.name, upstream.boot)
         book = self.engines.get(key)
         if book is None:
@@ -98,7 +103,7 @@
         return book
 
     def plain_book(self, upstream: Upstream) -> PlainBook:
-        """Return what is known of a plain upstream."""
+        """Return the load tracker of a plain upstream."""
         key = (upstream.name, upstream.boot)
         book = self.plain.get(key)
         if book is None:
@@ -107,12 +112,12 @@
         return book
 
     def new_key(self) -> WorkKey:
-        """Return a key for a prompt that this entry is about to send."""
+        """Return a key for a prefill that this entry is about to start."""
         self.last_number += 1
         return self.name, self.last_number
 
     def on_load(self, upstream: Upstream, load: LoadHint) -> None:
-        """Take an upstream's word on its load."""
+        """Apply the load that an upstream has reported in a reply."""
         if not self.decisions.load_hints:
             return
         now = asyncio.get_running_loop().time()
@@ -122,7 +127,7 @@
             self.plain_book(upstream).hint(load.running, load.waiting, now)
 
     def on_notice(self, sender: str, notice: ReadNotice, now: float) -> None:
-        """Take another entry's word on a prompt it has sent."""
+        """Apply another entry's notice about a prefill."""
         book = self.engines.get(self.by_hash.get(notice.engine, ("", "")))
         if book is None:
             return
@@ -137,34 +142,35 @@
                 book.heard_at = now
 
     def reading(self, call: Call, upstream: Upstream) -> Reading:
-        """Return what an engine would have to read of a prompt, as far as known."""
+        """Return how much of a prompt an engine would have to prefill, as estimated."""
         now = asyncio.get_running_loop().time()
         members = self.fleet.members(call.group.name, now)
-        kept = self._kept(call, members)
-        return self._reading(call, upstream, kept, _best_sources(members, kept))
+        replicas = self._kept(call, members)
+        return self._reading(call, upstream, replicas, _best_sources(members, replicas))
 
     def priority(self, call: Call, tokens: int) -> int:
-        """Return the priority with which engines read a prompt.
+        """Return the engines' priority for the prefill of a prompt.
 
-        :param tokens: to read.
+        :param tokens: tokens to prefill.
         """
         return priority_of(
             call.route.rank, tokens, self.decisions, goes_first=call.goes_first
         )
 
     def _kept(self, call: Call, members: list[Upstream]) -> dict[str, int]:
-        """Return how much of a prompt's beginning could be fetched from each engine."""
+        """Return the tokens of a prompt's prefix that each engine could transfer."""
         return {m.name: self.engine_book(m).prefix.kept(call.parts) for m in members}
 
     def choose_plain(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
-        """Return the plain upstream for a request's next send.
+        """Return the plain upstream for a request's next attempt.
 
+        :param tried: names of upstreams to exclude.
         :raises RequestError: if there is none.
         """
         now = asyncio.get_running_loop().time()
         members = self._untried(call, tried, now)
         by_name = {member.name: member for member in members}
-        views = [
+        candidates = [
             PlainView(
                 member.name,
                 self._is_near(member),
@@ -174,7 +180,7 @@
             )
             for member in members
         ]
-        chosen = choose_plain(views, self.rng)
+        chosen = choose_plain(candidates, self.rng)
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         return by_name[chosen]
@@ -182,30 +188,34 @@
     def place_stream(
         self, call: Call, tried: cabc.Collection[str]
     ) -> tuple[Upstream | None, Upstream, Placement]:
-        """Return the engine that reads the prompt, if another, and the answering one.
+        """Return the prefill engine, the decode engine and the placement of a stream.
 
-        :raises RequestError: if there is none.
+        The prefill engine is ``None`` if the decode engine prefills the prompt itself.
+
+        :param tried: names of engines to exclude.
+        :raises RequestError: if there is no decode engine.
         """
         now = asyncio.get_running_loop().time()
         members = self._untried(call, tried, now)
         by_name = {member.name: member for member in members}
-        views = self._views(call, members, now)
+        candidates = self._candidates(call, members, now)
         tightest = self.fleet.tightest_objective(call.group.name)
-        placement = place(views, call.route.objective, tightest, self.decisions)
+        placement = place(candidates, call.route.objective, tightest, self.decisions)
         if placement is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
-        reader = by_name[placement.prefill] if placement.prefill else None
-        return reader, by_name[placement.answer], placement
+        prefill_upstream = by_name[placement.prefill] if placement.prefill else None
+        return prefill_upstream, by_name[placement.answer], placement
 
     def answering(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
-        """Return the engine that answers a request whose prompt was read elsewhere.
+        """Return the decode engine for a request that was prefilled elsewhere.
 
+        :param tried: names of engines to exclude.
         :raises RequestError: if there is none.
         """
         now = asyncio.get_running_loop().time()
         untried = self._untried(call, tried, now)
         able = [member for member in untried if member.role is not Role.PREFILL]
-        chosen = choose_answering(self._views(call, able, now))
+        chosen = choose_answering(self._candidates(call, able, now))
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         return next(member for member in able if member.name == chosen.name)
@@ -216,72 +226,74 @@
         members = self.fleet.members(call.group.name, now)
         return [member for member in members if member.name not in tried]
 
-    def _views(
+    def _candidates(
         self, call: Call, members: list[Upstream], now: float
     ) -> list[EngineView]:
-        views = []
+        """Return the members that may be chosen, with their predicted load."""
+        candidates = []
         everyone = self.fleet.members(call.group.name, now)
-        kept = self._kept(call, everyone)
-        sources = _best_sources(everyone, kept)
+        replicas = self._kept(call, everyone)
+        sources = _best_sources(everyone, replicas)
         for member in self._sound(members, now):
             book = self.engine_book(member)
-            reading = self._reading(call, member, kept, sources)
-            to_read = reading.tokens
-            priority = self.priority(call, to_read)
+            lookup = self._reading(call, member, replicas, sources)
+            uncached = lookup.tokens
+            priority = self.priority(call, uncached)
             wait = book.wait(priority, now)
             if self.decisions.urgent_load:
                 wait = book.expected_wait(priority, now)
-            views.append(
+            candidates.append(
                 EngineView(
                     member.name,
                     member.role or Role.MIXED,
                     self._is_near(member),
                     wait,
-                    book.read_seconds(to_read, call.traits.prompt_tokens - to_read),
+                    book.read_seconds(uncached, call.traits.prompt_tokens - uncached),
                     book.slow(now),
                     book.answers(now),
                     book.reads.transfers.times.seconds(call.traits.prompt_tokens, 0),
-                    book.occupied(reading.fetched, 0) if self.decisions.copies else 0.0,
+                    book.occupied(lookup.fetched, 0) if self.decisions.copies else 0.0,
                     book.tie_break,
-                    to_read,
+                    uncached,
                     priority,
                 )
             )
-        return views
+        return candidates
 
     def _sound(self, members: list[Upstream], now: float) -> list[Upstream]:
-        """Leave out engines that have just failed, unless no answering one were left.
+        """Return the engines that are not cooling down after a failure.
 
-        An engine that has refused one request may take the next. Where all of them
-        have refused one in the same moment, leaving all alone would refuse everything
-        for as long.
+        Decode engines are all kept if every one of them is cooling down. An engine that
+        has refused one request may accept the next; if all of them have refused one at
+        the same time, excluding them all would refuse every request for the duration of
+        the cool-down.
         """
         if not self.decisions.leaving_alone:
             return members
-        sound = [m for m in members if now >= self.engine_book(m).failed_until]
-        if any(member.role is not Role.PREFILL for member in sound):
-            return sound
-        answering = [m for m in members if m.role is not Role.PREFILL]
-        return sound + answering
+        eligible = [m for m in members if now >= self.engine_book(m).failed_until]
+        if any(member.role is not Role.PREFILL for member in eligible):
+            return eligible
+        decode_engines = [m for m in members if m.role is not Role.PREFILL]
+        return eligible + decode_engines
 
     def _reading(
         self,
         call: Call,
         upstream: Upstream,
-        kept: dict[str, int],
+        replicas: dict[str, int],
         sources: list[Upstream],
     ) -> Reading:
         own = self.engine_book(upstream).prefix.cached(call.parts)
         best, source = own, ""
         others = sources if self.decisions.fetching else []
         for other in others:
-            found = kept[other.name]
+            found = replicas[other.name]
             if other.name != upstream.name and found >= best + LEAST_FETCHED:
                 best, source = found, other.address
         return Reading(max(1, call.traits.prompt_tokens - best), best - own, source)
 
     def _is_near(self, upstream: Upstream) -> bool:
-        """Return whether an upstream is taken to be in this availability zone."""
+        """Return whether to treat an upstream as being in this availability zone."""
         return upstream.zone == self.zone or not self.decisions.zone_preference
 
     def _is_ejected(self, upstream: Upstream, now: float) -> bool:
@@ -297,23 +309,25 @@
         self.by_hash = {h: k for h, k in self.by_hash.items() if k in present}
 
 
-def _best_sources(members: list[Upstream], kept: dict[str, int]) -> list[Upstream]:
-    """Return the two engines that keep most of a prompt's beginning.
+def _best_sources(members: list[Upstream], replicas: dict[str, int]) -> list[Upstream]:
+    """Return the two engines with the longest replicas of a prompt's prefix.
 
-    Two are enough: an engine does not fetch from itself, so its best source is the
+    Two are enough: an engine does not transfer from itself, so its best source is the
     first of them or, for the first one, the second. Comparing every pair of engines
     would make the cost of a placement quadratic in their number.
+
+    :param replicas: transferable tokens of the prefix, by engine.
     """
-    return heapq.nlargest(2, members, key=lambda member: kept[member.name])
+    return heapq.nlargest(2, members, key=lambda member: replicas[member.name])
 
 
 def shared_parts(traits: CallTraits) -> tuple[tuple[int, int], ...]:
-    """Return hash and length of the parts of a request's prompt, in order."""
+    """Return the hash and the length in tokens of each part of a prompt, in order."""
     return tuple((_hash(part.key), part.tokens) for part in traits.parts)
 
 
 def upstream_hash(upstream: Upstream) -> int:
-    """Return the short name of an upstream's present life."""
+    """Return the hash that identifies an upstream's incarnation in notices."""
     return _hash(f"{upstream.name}/{upstream.boot}")
 
 
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -1,4 +1,4 @@
-"""One call of a plain upstream, from the choice of the upstream to its answer."""
+"""Handling of one request to a plain upstream, including retries."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from .sends import Sends
 
 PATIENCE = 2.0
-"""Multiples of the objective after which an idempotent call is tried elsewhere: by
-then its answer is late, and an upstream that hangs would hold it to its deadline."""
+"""Multiple of the latency objective after which an idempotent request is retried at
+another upstream. Without a retry, a hanging upstream would delay it to its deadline."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """An upstream's whole answer."""
+    """An upstream's complete response."""
 
     status: int
     headers: Headers
@@ -33,7 +33,10 @@
 
 
 class PlainRun:
-    """Runs one call of a plain upstream."""
+    """Runs one request to a plain upstream.
+
+    :param last_failure: last failed response, forwarded if no attempt is left.
+    """
 
     def __init__(self, context: Context, call: Call, reply: CallerReply) -> None:
         self.context = context
@@ -43,9 +46,9 @@
         self.last_failure: PlainAnswer | None = None
 
     async def run(self) -> int:
-        """Answer the caller and return the status.
+        """Send the response to the caller and return its status.
 
-        :raises RequestError: if there is no answer to give.
+        :raises RequestError: if there is no response to forward.
         """
         try:
             async with self.context.time_limits.limit(self.call.deadline):
@@ -73,7 +76,7 @@
                 return answer
 
     async def _send(self, upstream: Upstream) -> PlainAnswer | None:
-        """Send once; ``None`` where the call may be tried elsewhere."""
+        """Make one attempt; return ``None`` if another upstream may be tried."""
         book = self.context.placing.plain_book(upstream)
         loop = asyncio.get_running_loop()
         book.running += 1
@@ -88,7 +91,7 @@
         except (ReplyLostError, TimeoutError) as error:
             book.failed(loop.time())
             self.sends.log_failure(
-                upstream, str(error) or "no answer in time", "unknown"
+                upstream, str(error) or "no reply within the timeout", "unknown"
             )
             if not self.call.route.repeatable:
                 raise RequestError(ResultCode.OUTCOME_UNKNOWN) from None
@@ -135,7 +138,7 @@
     def _on_failure_status(
         self, upstream: Upstream, answer: PlainAnswer
     ) -> PlainAnswer | None:
-        """Return a failure to pass on, or ``None`` to try elsewhere first."""
+        """Return a failed response to forward, or ``None`` to retry elsewhere first."""
         self.sends.log_failure(upstream, f"status {answer.status}", "ran")
         self.last_failure = answer
         may_repeat = self.call.route.repeatable and answer.status >= 500
--- a/src/bergamotmast/direct/ports.py
+++ b/src/bergamotmast/direct/ports.py
@@ -1,4 +1,4 @@
-"""What a direct entry needs of the outside, in its own words."""
+"""Interfaces between a direct entry and the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """What the system itself says to an upstream with a request.
+    """Parameters that the entry adds to one attempt of a request.
 
-    :param upstream: name of the upstream that must answer, and no other.
+    :param upstream: name of the upstream that must handle the request, and no other.
     :param deadline: point on the local monotonic clock.
-    :param priority: 0 is the most urgent; ``None`` leaves the upstream's default.
-    :param prefill_only: read the prompt and export its KV cache, do not answer.
-    :param kv_source: where an exported KV cache is, as :meth:`Dialect.kv_source` gave
-        it; empty for none.
-    :param fetch_from: address of an engine that keeps more of the prompt's beginning,
-        to be fetched from there instead of read; empty for none.
-    :param last_event: go on after this event; 0 for the beginning.
-    :param weights: version of the weights that must answer; empty for any.
+    :param priority: 0 is the most urgent; ``None`` for the upstream's default.
+    :param prefill_only: only prefill the prompt and export its KV cache.
+    :param kv_source: address of an exported KV cache to import, as returned by
+        :meth:`Dialect.kv_source`; empty for none.
+    :param fetch_from: address of an engine with a longer prefix of the prompt in its
+        cache, to transfer the prefix from; empty for none.
+    :param last_event: number of the event to resume after; 0 to start.
+    :param weights: required version of the weights; empty for any.
     """
 
     upstream: str
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadHint:
-    """What an upstream says of its load with each answer."""
+    """An upstream's load as reported in a reply."""
 
     running: int
     waiting: int
@@ -51,13 +51,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplyTraits:
-    """What an upstream's headers say of its reply.
-
-    :param request_id: of the request it answers; empty where it does not say.
-    :param signed: whether it carries the proof that an upstream made it.
-    :param not_run: whether it promises that the request did not run.
-    :param wrong_upstream: whether another upstream than the expected one answered.
-    :param weights: version of the weights that answer; empty for unknown.
+    """Information from the headers of an upstream's reply.
+
+    :param request_id: id of the request that it replies to; empty if missing.
+    :param signed: whether it carries an upstream's signature.
+    :param not_run: whether it confirms that the request was not run.
+    :param wrong_upstream: whether another upstream than the expected one replied.
+    :param weights: version of the weights in use; empty if unknown.
+    :param load: reported load; ``None`` if missing.
     """
 
     request_id: str
@@ -70,10 +71,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prefilled:
-    """An exported KV cache.
+    """Result of a prefill whose KV cache was exported.
 
-    :param handle: its name at the engine that made it.
-    :param weights: version of the weights it was made with.
+    :param handle: handle of the KV cache at the prefill engine.
+    :param weights: version of the weights that it was computed with.
     """
 
     handle: str
@@ -81,57 +82,57 @@
 
 
 class Dialect(t.Protocol):
-    """How requests and replies say what a direct entry must know."""
+    """Translates between the platform's HTTP headers and the entry's data model."""
 
     @property
     def ready_path(self) -> str:
-        """Path at which the platform asks whether an entry is ready."""
+        """Path of the platform's readiness probe."""
         ...
 
     def request_id(self, headers: cabc.Mapping[str, str]) -> str:
-        """Return the id of a caller's request; empty where it has none."""
+        """Return the id of a caller's request; empty if it has none."""
         ...
 
     def read_call(self, headers: cabc.Mapping[str, str]) -> CallTraits:
-        """Read a caller's headers.
+        """Parse the headers of a caller's request.
 
-        :raises RequestError: for a header that can't be understood.
+        :raises RequestError: if a header is invalid.
         """
         ...
 
     def write_headers(self, headers: Headers, attempt: Attempt, now: float) -> Headers:
         """Return the headers of a request to an upstream.
 
-        Callers' own copies of what is the system's to set are left out.
+        Headers that only the system may set are removed from the caller's.
         """
         ...
 
     def read_reply(self, status: int, headers: cabc.Mapping[str, str]) -> ReplyTraits:
-        """Read an upstream's status and headers."""
+        """Parse the status and the headers of an upstream's reply."""
         ...
 
     def read_prefilled(self, body: bytes) -> Prefilled:
-        """Read the reply to a request that only prefills.
+        """Parse the reply to a prefill-only request.
 
-        :raises ReplyLostError: if it can't be understood.
+        :raises ReplyLostError: if it is invalid.
         """
         ...
 
     def kv_source(self, address: str, handle: str) -> str:
-        """Return the name of an exported KV cache for other engines."""
+        """Return the address that other engines import an exported KV cache from."""
         ...
 
     def release_target(self, handle: str) -> tuple[str, str]:
-        """Return method and path that free an exported KV cache."""
+        """Return the method and the path that release an exported KV cache."""
         ...
 
     def refusal_headers(self, request_id: str) -> Headers:
-        """Return the headers of an answer that the entry makes itself."""
+        """Return the headers of a response that the entry generates itself."""
         ...
 
 
 class Directory(t.Protocol):
-    """How configuration and upstreams are laid down in the key-value service."""
+    """Layout of configuration and registrations in the key-value store."""
 
     @property
     def config_key(self) -> str:
@@ -144,22 +145,22 @@
         ...
 
     def decode_routing(self, value: bytes) -> Routing:
-        """Read the configuration.
+        """Decode the configuration.
 
-        :raises ConfigError: if it can't be understood.
+        :raises ConfigError: if it is invalid.
         """
         ...
 
     def decode_upstream(self, key: str, value: bytes) -> Upstream:
-        """Read an upstream's entry.
+        """Decode an upstream's registration.
 
-        :raises ConfigError: if it can't be understood; it names no upstream then.
+        :raises ConfigError: if it is invalid.
         """
         ...
 
 
 class Reply(t.Protocol):
-    """An upstream's reply, as far as it has come."""
+    """An upstream's reply, whose body may still be arriving."""
 
     @property
     def status(self) -> int:
@@ -168,35 +169,35 @@
 
     @property
     def headers(self) -> cabc.Mapping[str, str]:
-        """Headers, by name without regard to case."""
+        """Headers; lookups ignore case."""
         ...
 
     def header_items(self) -> Headers:
-        """Return all headers in order, doubled ones too."""
+        """Return all headers in order, including repeated names."""
         ...
 
     async def read(self) -> bytes:
         """Return the whole body.
 
-        :raises ReplyLostError: if it does not come whole.
+        :raises ReplyLostError: if the body is incomplete.
         """
         ...
 
     def chunks(self) -> cabc.AsyncIterator[bytes]:
         """Yield the body as it arrives.
 
-        :raises ReplyLostError: if it ends before its end.
+        :raises ReplyLostError: if the body is incomplete.
         """
         ...
 
 
 class EngineCheck(t.Protocol):
-    """Tells a dead engine from a busy one."""
+    """Liveness probe that distinguishes a dead engine from a busy one."""
 
     async def answers(self, engine: Upstream) -> bool:
-        """Ask an engine for something that waits for no other work.
+        """Return whether an engine replies within some tenths of a second.
 
-        Returns whether it has answered, within some tenths of a second.
+        The probe is a request that does not queue behind the engine's other work.
         """
         ...
 
@@ -214,10 +215,10 @@
         *,
         fresh: bool,
     ) -> contextlib.AbstractAsyncContextManager[Reply]:
-        """Send a request once and give its reply; leaving early cancels it.
+        """Send a request once and yield its reply; leaving the context cancels it.
 
-        :param fresh: use a connection that carried nothing before, so that a reset
-            tells of this request and not of the connection's age.
+        :param fresh: use a new connection, so that a reset can't come from the idle
+            timeout of a reused one.
         :raises NotReachedError: if nothing was sent.
         :raises ReplyLostError: for every other failure.
         """
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/prefilling.py
@@ -1,4 +1,4 @@
-"""Has a stream's prompt read by an engine that does not answer it."""
+"""Prefill of a stream at an engine other than its decode engine."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 from .stream import Stream
 
 MOST_PREFILLS = 2
-"""Engines that a prompt is sent to for reading before an answering one reads it."""
+"""Maximum number of engines tried before the decode engine prefills the prompt."""
 
-SILENT = "the engine is silent"
-OVERDUE = "the prompt is overdue"
+SILENT = "the engine is unresponsive"
+OVERDUE = "the prefill is overdue"
 
 RETURN_SECONDS = 0.5
-"""A caller that is refused for want of room in the retry budget returns no sooner."""
+"""Minimum delay after which a caller may retry if the retry budget was exhausted."""
 
 
 class Prefilling:
-    """The prefills of one stream.
+    """Runs the prefills of one stream.
 
-    The first one that an engine takes is no second send. One that fails is: whether the
-    engine had taken it can't be told, and if not, the next one is the first.
+    The first prefill that completes does not count as a retry. A failed one does: it is
+    unknown whether the engine had started it, and if it had not, the next one is the
+    first.
 
-    :param count: engines asked so far.
-    :param done: whether one of them has read the prompt.
+    :param count: number of engines tried.
+    :param done: whether one of them has completed the prefill.
     """
 
     def __init__(self, stream: Stream) -> None:
@@ -43,11 +44,11 @@
 
     @property
     def may_go_on(self) -> bool:
-        """Whether another engine may be asked to read the prompt."""
+        """Whether another engine may be tried."""
         return self.count < MOST_PREFILLS
 
     async def run(self, reader: Upstream) -> None:
-        """Have the prompt read; afterwards its KV cache is known if that went well."""
+        """Run a prefill; on success, the stream's KV cache handle is set."""
         stream = self.stream
         if self.done and not stream.sends.spend():
             self.count = MOST_PREFILLS
@@ -72,10 +73,11 @@
             stream.reads.end(reader, read, done=done)
 
     def _spend_or_refuse(self) -> None:
-        """Take the next send of a prompt that was not read out of the budget.
+        """Take the next attempt after a failed prefill out of the retry budget.
 
-        :raises RequestError: without room. Where every engine fails, sending on would
-            multiply the load, and the prompt has not run: its caller may come back.
+        :raises RequestError: if the budget is exhausted. If every engine fails, more
+            attempts would multiply the load. Nothing of the response has been
+            generated, so the caller may retry.
         """
         if not self.stream.sends.spend():
             seconds = retry_after(self.context.rng, RETURN_SECONDS)
@@ -88,7 +90,7 @@
         self.stream.sends.log_failure(reader, error, "prefill")
 
     async def _verdict(self, reader: Upstream, read: Read) -> str:
-        """Return why a prompt that waits at an engine is to be begun anew elsewhere."""
+        """Return why to restart a pending prefill elsewhere; empty to keep waiting."""
         if not self.context.decisions.silence:
             return ""
         book = self.context.placing.engine_book(reader)
@@ -101,10 +103,10 @@
         return ""
 
     def _is_in_time_elsewhere(self, reader: Upstream) -> bool:
-        """Return whether another engine would still serve this stream.
+        """Return whether another engine could still serve this stream in time.
 
-        What an engine that lives has read of a prompt is lost where it is begun anew;
-        where the caller would leave before, it loses nothing by waiting.
+        Restarting a prefill discards what a live engine has done of it. If the caller
+        would disconnect before a restarted prefill completes, waiting costs nothing.
         """
         stream = self.stream
         if not self.may_go_on or not stream.sends.has_room():
@@ -118,7 +120,7 @@
         return now + placement.first_token <= stream.call.leaves_at
 
     async def _exchange(self, reader: Upstream, read: Read) -> str:
-        """Send the prompt and return the name of its KV cache."""
+        """Send the prompt and return the address of its exported KV cache."""
         call = self.stream.call
         dialect = self.context.dialect
         now = asyncio.get_running_loop().time()
@@ -138,6 +140,6 @@
             body = await reply.read()
             self.stream.on_heard(reader)
             if reply.status != 200:
-                raise ReplyLostError(f"the prefill was answered {reply.status}")
+                raise ReplyLostError(f"prefill failed with status {reply.status}")
             prefilled = dialect.read_prefilled(body)
         return dialect.kv_source(reader.address, prefilled.handle)
--- a/src/bergamotmast/direct/presence.py
+++ b/src/bergamotmast/direct/presence.py
@@ -1,4 +1,4 @@
-"""Registers this entry in the key-value service, for as long as it lives."""
+"""Registration of this entry in the key-value store, under a lease."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 PRESENCE_PREFIX = "/bergamotmast/entries/"
 
 LEASE_SECONDS = 12
-"""Time to live of an entry that has died; others send it datagrams in vain so long."""
+"""Time to live of the registration. Other entries keep sending datagrams to a dead
+entry for so long."""
 
 RENEWAL_SECONDS = 4.0
-"""Between renewals; two may fail before the lease lapses."""
+"""Interval between renewals of the lease; two may fail before it expires."""
 
 LONGEST_RETRY_SECONDS = 3.0
-"""Between two tries while the store does not answer."""
+"""Maximum delay between two attempts while the store is unavailable."""
 
 
 def presence_key(name: str) -> str:
@@ -31,9 +32,9 @@
 
 
 class Presence:
-    """Keeps one key with this entry's address under a lease.
+    """Keeps a key with this entry's address registered under a lease.
 
-    :param address: where other entries reach this one, ``host:port``.
+    :param address: datagram address of this entry, ``host:port``.
     """
 
     def __init__(
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -1,4 +1,4 @@
-"""Books one request's prompt at the engines that read it, here and at the peers."""
+"""Tracking of one request's prefills in the load trackers of all entries."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """A prompt booked at the engine that reads it.
+    """A running prefill.
 
-    :param tokens: prompt tokens that were thought not to be cached there.
-    :param cached: tokens before them.
-    :param predicted: seconds that it should take.
-    :param alone: whether nothing else was known to be at the engine.
+    :param tokens: prompt tokens estimated not to be cached at the engine.
+    :param cached: prompt tokens before them.
+    :param began_at: start time; a point in time.
+    :param predicted: predicted seconds, including the queueing delay.
+    :param alone: whether the engine had no other known prefill.
+    :param fetch_from: address of the engine to transfer the prefix from; may be empty.
     """
 
     key: WorkKey
@@ -33,14 +35,14 @@
 
 
 class PromptReads:
-    """Books one request's prompt."""
+    """Tracks the prefills of one request."""
 
     def __init__(self, context: Context, call: Call) -> None:
         self.context = context
         self.call = call
 
     def begin(self, engine: Upstream) -> Read:
-        """Book a prompt at the engine that is about to read it, and tell the peers."""
+        """Record a prefill that is about to start, and announce it to the peers."""
         context = self.context
         book = context.placing.engine_book(engine)
         now = asyncio.get_running_loop().time()
@@ -65,9 +67,9 @@
         )
 
     def end(self, engine: Upstream, read: Read, *, done: bool) -> None:
-        """Take a prompt off the books, and learn from the time it took.
+        """Record the end of a prefill and learn from its duration.
 
-        :param done: whether it was read to its end.
+        :param done: whether it was completed.
         """
         book = self.context.placing.engine_book(engine)
         now = asyncio.get_running_loop().time()
--- a/src/bergamotmast/direct/read_notice.py
+++ b/src/bergamotmast/direct/read_notice.py
@@ -1,4 +1,4 @@
-"""What one entry tells the others of a prompt that it sends to an engine."""
+"""The notice that entries exchange about the start or the end of a prefill."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class ReadNotice(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt's start or end at an engine.
+    """The start or the end of a prefill at an engine.
 
     :param engine: hash of the engine's name and boot.
-    :param number: the sender's number for it.
-    :param tokens: prompt tokens to read; 0 at its end.
-    :param cached: tokens before those that the engine need not read.
+    :param number: the sender's number of the prefill.
+    :param tokens: prompt tokens to prefill; 0 at the end of a prefill.
+    :param cached: prompt tokens before them, which the engine has cached.
     :param parts: hash and length of the prompt's shared parts.
-    :param done: at its end, whether it was read.
-    :param goes_first: whether it is read before the others of its rank.
+    :param done: at the end of a prefill, whether it was completed.
+    :param goes_first: whether it runs before all others of its priority rank.
     """
 
     engine: int
@@ -31,9 +31,10 @@
     goes_first: bool = False
 
     def all_parts(self, key: WorkKey) -> tuple[tuple[int, int], ...]:
-        """Return the prompt's parts, its own one under a name of its own.
+        """Return the prompt's parts, with the unshared rest under a unique hash.
 
-        Nobody else asks for that one, but the engine keeps it and forgets another.
+        No other prompt can use that part, but it occupies the engine's cache and evicts
+        others.
         """
         own = self.tokens + self.cached - sum(tokens for _, tokens in self.parts)
         return (*self.parts, (hash(key), own)) if own > 0 else self.parts
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -1,9 +1,9 @@
-"""Gives engines their roles, in whichever entry holds the planner's lease.
+"""Planner that assigns roles to engines, run by the entry that holds its lease.
 
-Authority is the product's own: the lease keeps two planners apart most of the time,
-and each order is preceded by a write of the plan that fails once another planner has
-taken it. The epoch of that write is the order's fencing token. The plan also tells
-every other entry which engine is about to change.
+The lease alone can't exclude two concurrent planners. Each order is therefore preceded
+by a compare-and-swap write of the plan, which fails once another planner has taken the
+plan over, and the epoch of that write is the order's fencing token. The other entries
+learn from the plan which engine is about to change its role.
 """
 
 from __future__ import annotations
@@ -34,29 +34,29 @@
 logger = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.5
-"""Between two looks at the fleet."""
+"""Interval between two evaluations of the fleet."""
 
 PAUSE_SECONDS = (1.0, 3.0)
-"""Between two terms of one planner: a candidate that keeps losing the plan to another
-would otherwise call the store without end."""
+"""Range of the random delay between two terms of one planner. Without it, a candidate
+that keeps losing the plan to another would call the store continuously."""
 
 MOST_READING_AGE = 1.0
-"""Seconds from the reading of an engine's count of orders to the order for just that
-count. An engine that restarts counts from 0 again and takes two seconds at least: an
-order on an older reading might meet the same count in another life."""
+"""Maximum time in seconds between reading an engine's order sequence number and sending
+the order with that number. A restart resets the number to 0 and takes at least two
+seconds: with an older reading, the number might match in another incarnation."""
 
 OVERDUE_SECONDS = 4.0
-"""An order is usually carried out within some three seconds. An engine that has not
-by then is not counted on in either role: where a role has no other, another engine is
-ordered to it."""
+"""Time after which an order is overdue; orders usually take about three seconds. An
+engine with an overdue order is counted in neither role, so that another engine is
+ordered to a role that is left without any."""
 
 UNRESOLVED_SECONDS = 13.0
-"""An order without a reply may be carried out so much later; the engine gets no other
-one until then, and is counted as changing."""
+"""How long an order without a reply may still be carried out. Until then the engine
+gets no other order and is counted as changing its role."""
 
 
 class OrderReply(enum.Enum):
-    """What an engine says to an order."""
+    """An engine's reply to an order."""
 
     TAKEN = "taken"
     HOLDS = "holds"
@@ -65,12 +65,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleOrderCall:
-    """An order as an engine gets it.
+    """A command to an engine to change its role.
 
-    :param sequence: orders that the engine must have taken before, and no more: an
-        order that is carried out late, after a newer one, then changes nothing.
-    :param holder: name of this machine.
-    :param token: authority; engines refuse a lower one than they have seen.
+    :param sequence: number of orders that the engine must have accepted so far. An
+        order that is delivered late, after a newer one, then has no effect.
+    :param holder: name of the entry that holds the planner's lease.
+    :param token: fencing token; engines refuse a lower one than they have seen.
     """
 
     upstream: Upstream
@@ -81,17 +81,17 @@
 
 
 class EngineOrders(t.Protocol):
-    """Gives orders to engines."""
+    """Sends role orders to engines."""
 
     async def sequence(self, upstream: Upstream) -> int | None:
-        """Return how many orders an engine has taken; ``None`` while one is going on.
+        """Return how many orders an engine has accepted; ``None`` while one is running.
 
-        :raises PortError: if it can't be told.
+        :raises PortError: if it can't be determined.
         """
         ...
 
     async def order(self, call: RoleOrderCall) -> OrderReply:
-        """Give an order.
+        """Send an order.
 
         :raises OrderRefusedError: if the engine has seen a higher token.
         :raises NotReachedError: if nothing was sent.
@@ -102,10 +102,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pending:
-    """An order whose end has not been seen.
+    """An order that is not known to have been carried out.
 
+    :param boot: incarnation of the engine that it was sent to.
     :param overdue_at: when it should have been carried out; a point in time.
-    :param until: when the engine may get another one; a point in time.
+    :param until: when the engine may get another order; a point in time.
     """
 
     order: RoleOrder
@@ -115,14 +116,16 @@
 
 
 class RolePlanner:
-    """One entry's share in planning.
-
-    :param name: of this machine, as orders carry it.
-    :param quiet_seconds: pause between the orders of two holders to one engine.
-    :param quiet_until: when an engine that another holder may have ordered lately may
-        get this one's first order; points in time.
-    :param all_quiet_until: when any engine may get its first order; set when a restore
-        of the store may have lost the last holder's orders; a point in time.
+    """Assigns roles to engines while this entry holds the planner's lease.
+
+    :param name: name of this entry, sent with each order.
+    :param quiet_seconds: hold-off time between two holders' orders to one engine.
+    :param controllers: role controllers, by group.
+    :param pending: orders not known to have been carried out, by engine.
+    :param quiet_until: when the hold-off ends, by engine that another holder may have
+        ordered recently; points in time.
+    :param all_quiet_until: when the hold-off ends for all engines; set after a restore
+        of the store, which may have lost the last holder's orders; a point in time.
     """
 
     def __init__(
@@ -152,7 +155,7 @@
         self.all_quiet_until = 0.0
 
     async def run(self) -> None:
-        """Plan whenever this entry holds the lease, until cancelled."""
+        """Acquire the lease and plan while it is held, repeatedly, until cancelled."""
         while True:
             await self.authority.acquire()
             logger.info(
@@ -163,9 +166,10 @@
             except (AuthorityLostError, OrderRefusedError, PortError) as error:
                 logger.warning("planner gives up", extra={"error": error.message})
             except Exception:
-                # A fault in planning would otherwise end one entry after the other, as
-                # each takes the lease. Roles stay as they are, and requests are served.
-                logger.exception("planner has failed")
+                # An unexpected error would otherwise terminate one entry after another,
+                # as each acquires the lease. Roles stay as they are, and requests are
+                # still served.
+                logger.exception("planner failed")
             finally:
                 self.pending.clear()
                 await self.authority.release()
@@ -174,7 +178,7 @@
     async def _plan(self) -> None:
         known = dict(self.fleet.planned)
         token = await self.store.open()
-        self._leave_quiet(known)
+        self._set_hold_offs(known)
         logger.info(
             "plan is open",
             extra={
@@ -189,17 +193,20 @@
             except OrderRefusedError:
                 raise
             except PortError as error:
-                # An outage, or an engine that can't be reached, stops changes of roles
-                # and nothing else; the lease tells when it has lasted too long.
+                # An outage, or an engine that can't be reached, only stops role
+                # changes. If it lasts too long, the lease expires.
                 logger.info("no order given", extra={"error": error.message})
             await asyncio.sleep(TICK_SECONDS)
 
-    def _leave_quiet(self, known: cabc.Mapping[str, Planned]) -> None:
-        """Note which engines another holder may have ordered a moment ago.
+    def _set_hold_offs(self, known: cabc.Mapping[str, Planned]) -> None:
+        """Set the hold-off of engines that another holder may have ordered recently.
 
-        Two holders that take turns at one engine would leave it torn between them. The
-        plan as it was found tells each engine's last order, and what this entry knew
-        before tells how old that is; one that it did not know of counts as new.
+        Without it, two holders that lead in turn could give one engine contradictory
+        orders. The plan holds the token of each engine's last order, and this entry's
+        earlier view of the plan tells how old that order is; one that it had not
+        received yet counts as new.
+
+        :param known: this entry's view before it opened the plan, by engine.
         """
         now = asyncio.get_running_loop().time()
         self.all_quiet_until = now + self.quiet_seconds if self.store.restored else 0.0
@@ -223,16 +230,16 @@
             order = controller.decide(engines, self.mix.decode_share, now)
             if order is None:
                 continue
-            # Engines change one at a time. Only where a role has no engine at all, and
-            # nothing is served, the order for one does not wait.
+            # Engines change one at a time, except if a role has no engine at all, as
+            # nothing is served then.
             if order.urgent or not any(m.name in self.pending for m in members):
                 chosen = next(m for m in members if m.name == order.name)
                 await self._give(chosen, order, now)
 
     def _engine_role(self, upstream: Upstream, now: float) -> EngineRole | None:
-        """Return the role that an engine has or is on its way to.
+        """Return the role that an engine has or is changing to.
 
-        ``None`` where an order is overdue: nobody can tell what becomes of the engine.
+        ``None`` if its order is overdue, as its role is then unknown.
         """
         pending = self.pending.get(upstream.name)
         if pending is not None:
@@ -249,7 +256,7 @@
         return EngineRole(upstream.name, upstream.role, load, may_change)
 
     def _settle(self, members: list[Upstream], now: float) -> None:
-        """Forget orders that are carried out, void by a restart, or long overdue."""
+        """Drop orders that were carried out, voided by a restart, or have expired."""
         for member in members:
             pending = self.pending.get(member.name)
             if pending is None:
@@ -265,13 +272,12 @@
         if sequence is None:
             return
         await self.store.write({upstream.name: Assignment(order.role)})
-        # Paused between the write and here, this machine would order on an authority
-        # that another one has taken over meanwhile. The engine's own check knows only
-        # tokens that have reached it.
+        # If this process was suspended after the write, another planner may have taken
+        # over. The engine can only refuse tokens lower than those that it has received.
         if not self.authority.in_force:
             raise AuthorityLostError("The lease may have lapsed before the order.")
         if loop.time() - read_at > MOST_READING_AGE:
-            logger.info("order is put off", extra={"upstream": upstream.name})
+            logger.info("order postponed", extra={"upstream": upstream.name})
             return
         call = RoleOrderCall(
             upstream, order, sequence, self.name, self.store.seen.epoch
--- a/src/bergamotmast/direct/routing.py
+++ b/src/bergamotmast/direct/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request belongs to, and which group of the route takes it."""
+"""Route lookup by host and path, and the weighted choice of a target group."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RouteTable:
-    """One configuration's routes, prepared for many requests."""
+    """The routes of one configuration, indexed for lookup."""
 
     def __init__(self, routing: Routing) -> None:
         self.routing = routing
@@ -21,13 +21,13 @@
         self.tightest = _tightest_objectives(routing)
 
     def tightest_objective(self, group: str) -> float:
-        """Return the least objective of the streams that a group serves, in seconds."""
+        """Return the lowest latency objective of a group's streams, in seconds."""
         return self.tightest.get(group, math.inf)
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest matching prefix; ``None`` if none matches.
 
-        :param host: the ``Host`` header; a port is left out of account.
+        :param host: the ``Host`` header; a port is ignored.
         :param target: path with query, as received.
         """
         prefixes = self.by_host.get(host.partition(":")[0].lower())
@@ -55,7 +55,7 @@
 
 
 def pick_group(route: Route, rng: random.Random) -> str:
-    """Return the name of the group that takes a request, drawn by weight."""
+    """Return the name of a request's target group, drawn at random by weight."""
     if len(route.targets) == 1:
         return route.targets[0].group
     weights = [max(0.0, target.weight) for target in route.targets]
--- a/src/bergamotmast/direct/second_sends.py
+++ b/src/bergamotmast/direct/second_sends.py
@@ -1,8 +1,8 @@
-"""Who may send a request again, and what counts it.
+"""Retry budget of an entry, by group.
 
-Every way to send again asks here: a plain call, a prompt that has to be read anew, a
-stream that goes on at another engine. What is tried again inside one request is held to
-its route by :mod:`.sends`.
+Every kind of retry is taken out of this budget: a plain request, a prefill that is
+restarted, a stream that is resumed at another engine. The number of attempts of a
+single request is limited by :mod:`.attempts`.
 """
 
 from __future__ import annotations
@@ -19,9 +19,10 @@
 
 
 class SecondSends:
-    """Keeps one entry's part of the retry budget that all entries share, by group.
+    """An entry's share of the retry budget common to all entries, by group.
 
-    :param limits: what all entries together may send a second time.
+    :param limits: retries allowed for all entries together.
+    :param windows: requests and retries of the last seconds, by group.
     """
 
     def __init__(self, fleet: Fleet, limits: RetryLimits, telemetry: Telemetry) -> None:
@@ -35,12 +36,12 @@
         self._window(group).on_request(asyncio.get_running_loop().time())
 
     def has_room(self, group: str) -> bool:
-        """Return whether the budget has room for a second send to a group."""
+        """Return whether the budget has room for a retry in a group."""
         now = asyncio.get_running_loop().time()
         return self._window(group).has_room(self._part(now), now)
 
     def spend(self, group: str) -> bool:
-        """Take a second send out of the budget, if it has room."""
+        """Take a retry out of the budget; return whether it had room."""
         now = asyncio.get_running_loop().time()
         part = self._part(now)
         window = self._window(group)
--- a/src/bergamotmast/direct/sends.py
+++ b/src/bergamotmast/direct/sends.py
@@ -1,4 +1,4 @@
-"""How often and where one request has been sent."""
+"""Bookkeeping of one request's attempts."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 
 
 class Sends:
-    """One request's sends to upstreams, held to its route and the shared budget.
+    """One request's attempts, limited by its route and the retry budget.
 
-    :param tried: upstreams that it was sent to.
-    :param maybe_ran: whether one of them may have run it.
-    :param maybe_ran_before: the same without the last send.
+    :param tried: upstreams that the request was sent to.
+    :param unreached: upstreams to which no connection could be made.
+    :param count: number of attempts.
+    :param maybe_ran: whether an upstream may have run the request.
+    :param maybe_ran_before: the same without the last attempt.
     """
 
     def __init__(self, context: Context, call: Call) -> None:
@@ -34,11 +36,11 @@
 
     @property
     def excluded(self) -> set[str]:
-        """Upstreams that need not be tried again."""
+        """Upstreams that are not to be tried again."""
         return self.tried | self.unreached
 
     def may_move(self) -> bool:
-        """Return whether the request could go on at an upstream it has not been to."""
+        """Return whether the request may be moved to an upstream not tried yet."""
         if len(self.tried) >= self.call.route.max_attempts:
             return False
         now = asyncio.get_running_loop().time()
@@ -49,9 +51,9 @@
         return self.has_room()
 
     def begin(self, upstream: Upstream) -> None:
-        """Count a send.
+        """Record the start of an attempt.
 
-        :raises RequestError: if the route or the budget allows no further one.
+        :raises RequestError: if the route or the budget allows no further attempt.
         """
         new = upstream.name not in self.tried
         if new and len(self.tried) >= self.call.route.max_attempts:
@@ -64,28 +66,28 @@
         self.maybe_ran = True
 
     def on_not_run(self) -> None:
-        """Note that the last send certainly did not run; an earlier one still may."""
+        """Record that the last attempt was not run; an earlier one may have been."""
         self.maybe_ran = self.maybe_ran_before
 
     def on_unreached(self, upstream: Upstream) -> None:
-        """Note that nothing of the last send left this process."""
+        """Record that nothing was sent in the last attempt."""
         self.on_not_run()
         self.count -= 1
         self.tried.discard(upstream.name)
         self.unreached.add(upstream.name)
 
     def exhausted(self, code: ResultCode = ResultCode.NO_UPSTREAM) -> RequestError:
-        """Return the error of a request that has no further send.
+        """Return the error of a request with no attempt left.
 
-        Whatever may have run is of unknown outcome: a refusal that says otherwise
-        would have the caller send an order twice.
+        If the request may have run, its outcome is unknown. Any other error would tell
+        the caller that it may send the request again, which would run it twice.
         """
         if self.maybe_ran:
             return RequestError(ResultCode.OUTCOME_UNKNOWN)
         return RequestError(code)
 
     def out_of_time(self) -> RequestError:
-        """Return the error of a request whose time is over, or the process's."""
+        """Return the error of a request ended by its deadline or by the shutdown."""
         if self.context.time_limits.is_over(asyncio.get_running_loop().time()):
             return self._cut_short()
         if self.maybe_ran:
@@ -100,10 +102,10 @@
     def log_failure(
         self, upstream: Upstream, error: str, outcome: str, last_event: int = 0
     ) -> None:
-        """Write the line of a send that failed.
+        """Log a failed attempt.
 
         :param outcome: what is known of the request at that upstream.
-        :param last_event: number of the last event that the caller has.
+        :param last_event: number of the last event that the caller received.
         """
         fields = {
             "upstream": upstream.name,
@@ -115,9 +117,9 @@
         logger.info("send failed", extra=fields)
 
     def has_room(self) -> bool:
-        """Return whether the budget has room for a further call to an upstream."""
+        """Return whether the retry budget has room for another attempt."""
         return self.context.second_sends.has_room(self.call.group.name)
 
     def spend(self) -> bool:
-        """Take a further call to an upstream out of the budget, if it has room."""
+        """Take an attempt out of the retry budget; return whether it had room."""
         return self.context.second_sends.spend(self.call.group.name)
--- a/src/bergamotmast/direct/silence.py
+++ b/src/bergamotmast/direct/silence.py
@@ -1,4 +1,4 @@
-"""Bounds a call by how long its engine may say nothing."""
+"""Detection of unresponsive engines: liveness probes and cancellation of calls."""
 
 from __future__ import annotations
 
@@ -16,21 +16,20 @@
 logger = logging.getLogger(__name__)
 
 CHECK_SECONDS = 0.15
-"""Between two looks whether a call still has something to wait for."""
+"""Interval between two checks of a running call."""
 
 Verdict = cabc.Callable[[], cabc.Awaitable[str]]
-"""Returns why a call is to end; empty while it may go on."""
+"""Returns why a call is to be cancelled, or an empty string to let it run."""
 
 
 @contextlib.asynccontextmanager
 async def silence_limit(verdict: Verdict) -> cabc.AsyncIterator[None]:
-    """End the body once a verdict says so.
+    """Cancel the body as soon as a check returns a reason.
 
-    A machine that lost power, or a connection that went silent, gives no error; with
-    the call's deadline as the only bound its caller would leave before another engine
-    has taken over.
+    A power loss or a dead connection causes no error. With the call's deadline as the
+    only limit, the caller would disconnect before another engine has taken over.
 
-    :raises ReplyLostError: with the verdict's reason.
+    :raises ReplyLostError: with the reason that the check returned.
     """
     reasons: list[str] = []
     try:
@@ -41,7 +40,7 @@
             finally:
                 watch.cancel()
     except TimeoutError:
-        # Without a verdict it is the system that has given the connection up.
+        # Without a reason, the operating system has timed the connection out.
         reason = reasons[0] if reasons else "the connection timed out"
         raise ReplyLostError(reason) from None
 
@@ -54,12 +53,14 @@
 
 
 class EngineChecks:
-    """Asks silent engines whether they live, each at most once at a time.
+    """Probes unresponsive engines, with at most one probe per engine at a time.
 
-    Without it every prompt that waits behind a long one is taken from an engine that
-    is only busy and begun anew at the next, which is late in turn.
+    Without probes, every prompt that queues behind a long one would be withdrawn from
+    an engine that is only busy and restarted at the next one, which then falls behind
+    as well.
 
-    :param check: how to ask; where there is none, a silent engine is taken for gone.
+    :param check: liveness probe; without one, an unresponsive engine counts as dead.
+    :param asking: running probes.
     """
 
     def __init__(self, placing: Placing, check: EngineCheck | None = None) -> None:
@@ -68,7 +69,7 @@
         self.asking: dict[BookKey, asyncio.Task[bool]] = {}
 
     async def lives(self, engine: Upstream) -> bool:
-        """Return whether an engine answers when it is asked."""
+        """Return whether an engine replies to the liveness probe."""
         if self.check is None:
             return False
         key = (engine.name, engine.boot)
@@ -77,7 +78,8 @@
             task = asyncio.create_task(self._ask(self.check, engine))
             self.asking[key] = task
             task.add_done_callback(lambda _: self.asking.pop(key, None))
-        # Others wait for the same answer: a caller that leaves must not end it.
+        # Other requests may wait for the same probe: if this one is cancelled, the
+        # probe must go on.
         return await asyncio.shield(task)
 
     async def _ask(self, check: EngineCheck, engine: Upstream) -> bool:
@@ -88,7 +90,7 @@
             self.placing.engine_book(engine).heard_at = loop.time()
         ms = round((loop.time() - began) * 1e3, 1)
         logger.info(
-            "silent engine is asked",
+            "unresponsive engine was probed",
             extra={"upstream": engine.name, "lives": lives, "ms": ms},
         )
         return lives
--- a/src/bergamotmast/direct/stream.py
+++ b/src/bergamotmast/direct/stream.py
@@ -1,4 +1,4 @@
-"""What the steps of one streamed request share."""
+"""State of one streamed request."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 from .timeline import Timeline
 
 FAILED_SECONDS = 1.0
-"""How long an engine that could not be reached, or broke off, is left alone."""
+"""Cool-down of an engine that could not be reached or dropped a connection."""
 
 
 class Stream:
-    """One streamed request and how far it has come.
-
-    :param cache: of its prompt, where an engine has read that for another.
-    :param last_event: number of the last event that the caller has.
-    :param weights: version of the weights that began the answer.
-    :param unread_at: engines that were asked to read its prompt and did not.
+    """State of one streamed request, shared by placement, prefill and decode.
+
+    :param sends: attempts to decode the stream.
+    :param reads: tracker of its prefills.
+    :param cache: KV cache exported by a prefill engine.
+    :param last_event: number of the last event that the caller received.
+    :param weights: version of the weights that the response started with.
+    :param unread_at: engines at which the prefill failed.
     """
 
     def __init__(self, context: Context, call: Call, reply: CallerReply) -> None:
@@ -40,19 +42,19 @@
 
     @property
     def excluded(self) -> set[str]:
-        """Engines that need not be tried again."""
+        """Engines that are not to be tried again."""
         return self.sends.excluded | self.unread_at
 
     def on_prompt_read(self) -> None:
-        """Note that the prompt has been read: any engine may go on with the answer."""
+        """Record a completed prefill, after which any engine may decode the stream."""
         self.unread_at.clear()
 
     def on_heard(self, engine: Upstream) -> None:
-        """Note that an engine has said something."""
+        """Record that data has arrived from an engine."""
         book = self.context.placing.engine_book(engine)
         book.heard_at = asyncio.get_running_loop().time()
 
     def leave_alone(self, engine: Upstream, seconds: float = FAILED_SECONDS) -> None:
-        """Have an engine left alone for a while, if there is another."""
+        """Exclude an engine from placements for a while, if there is another one."""
         book = self.context.placing.engine_book(engine)
         book.failed_until = asyncio.get_running_loop().time() + seconds
--- a/src/bergamotmast/direct/stream_placing.py
+++ b/src/bergamotmast/direct/stream_placing.py
@@ -1,4 +1,4 @@
-"""Where a stream goes, whether it waits for an engine, and whom it is refused for."""
+"""Placement and admission control of streams."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .stream import Stream
 
 ROLE_MARGIN_SECONDS = 0.3
-"""What a request needs once an answering engine is there."""
+"""Time that a stream needs once a decode engine has become available."""
 
 ROLE_CHECK_SECONDS = 0.05
-"""Between two looks whether an answering engine is there."""
+"""Interval between two checks for a decode engine."""
 
 
 class StreamPlacing:
-    """Places one stream, at once or as soon as an engine can take it."""
+    """Places one stream, waiting for a decode engine if there is none yet."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
@@ -28,44 +28,48 @@
         self.call = stream.call
 
     async def place(self) -> tuple[Upstream | None, Upstream]:
-        """Place the request, or wait for the engine that is on its way to answer it.
+        """Place the stream, or wait for an engine that is changing its role to decode.
 
-        :returns: the engine that reads the prompt, if another, and the answering one.
-        :raises RequestError: if there is none, or too late for this caller.
+        :returns: the prefill engine, ``None`` for the decode engine itself, and the
+            decode engine.
+        :raises RequestError: if there is no engine, or none in time for this caller.
         """
         while True:
             try:
                 return self._place()
             except RequestError as error:
-                sent = self.stream.sends.count
-                if error.code is not ResultCode.NO_UPSTREAM or sent:
+                attempts = self.stream.sends.count
+                if error.code is not ResultCode.NO_UPSTREAM or attempts:
                     raise
                 await asyncio.sleep(self._wait_for_role())
 
     def _place(self) -> tuple[Upstream | None, Upstream]:
         now = asyncio.get_running_loop().time()
-        reader, upstream, placement = self._choose()
-        if self._is_hopeless(placement, now) and self._claim_first():
-            reader, upstream, placement = self._choose()
+        prefill_upstream, upstream, placement = self._choose()
+        if self._is_too_late(placement, now) and self._claim_first():
+            prefill_upstream, upstream, placement = self._choose()
         timeline = self.stream.timeline
         timeline.placed_at = now
         timeline.on_placed(placement, self.call.leaves_at - now)
-        self._refuse_hopeless(placement, now)
-        return reader, upstream
+        self._refuse_too_late(placement, now)
+        return prefill_upstream, upstream
 
     def _choose(self) -> tuple[Upstream | None, Upstream, Placement]:
         placing = self.context.placing
         return placing.place_stream(self.call, self.stream.excluded)
 
     def _claim_first(self) -> bool:
-        """Let the prompt go first if its size is owed one; return whether it does."""
+        """Claim precedence if the prompt's size class is entitled to it.
+
+        :returns: whether the prompt goes first.
+        """
         sized = self.call.sized
         return (
             self.context.decisions.size_shares and sized is not None and sized.claim()
         )
 
-    def _is_hopeless(self, placement: Placement, now: float) -> bool:
-        """Return whether the caller would leave before its first event."""
+    def _is_too_late(self, placement: Placement, now: float) -> bool:
+        """Return whether the caller would disconnect before the first event."""
         if not self.context.decisions.refusal or self.stream.reply.started:
             return False
         seconds_left = self.call.leaves_at - now
@@ -74,29 +78,29 @@
         )
 
     def _wait_for_role(self) -> float:
-        """Return how long to wait until a placement may succeed.
+        """Return how long to wait, in seconds, before the next placement.
 
-        With all answering engines gone, another one changes its role within seconds. A
-        caller that stays so long is served soonest if it waits here; any other is told
-        when to come back.
+        If all decode engines are gone, another engine changes its role within seconds.
+        A caller that stays for so long is served soonest by waiting here; any other is
+        refused with the time after which to retry.
 
-        :raises RequestError: if the caller should come back.
+        :raises RequestError: if the caller should retry later.
         """
         now = asyncio.get_running_loop().time()
         ready_at = self.context.fleet.answers_from(self.call.group.name, now)
         if ready_at is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
-        # A change that is overdue may be over at any moment, or never.
+        # An overdue role change may complete at any moment, or never.
         if max(ready_at, now) + ROLE_MARGIN_SECONDS <= self.call.leaves_at:
             return ROLE_CHECK_SECONDS
         raise self._refusal(ResultCode.NO_UPSTREAM, ready_at - now)
 
-    def _refuse_hopeless(self, placement: Placement, now: float) -> None:
-        """Refuse at once what its caller would leave before its first event."""
-        if self._is_hopeless(placement, now):
+    def _refuse_too_late(self, placement: Placement, now: float) -> None:
+        """Raise an error if the caller would disconnect before the first event."""
+        if self._is_too_late(placement, now):
             late = placement.first_token - self.call.route.objective
             raise self._refusal(ResultCode.DEADLINE_UNREACHABLE, late)
 
     def _refusal(self, code: ResultCode, seconds: float) -> RequestError:
-        """Return the error of a request whose caller should come back."""
+        """Return the error of a request whose caller should retry later."""
         return RequestError(code, retry_after=retry_after(self.context.rng, seconds))
--- a/src/bergamotmast/direct/stream_run.py
+++ b/src/bergamotmast/direct/stream_run.py
@@ -1,4 +1,4 @@
-"""One streamed request: where it is read and answered, and how it goes on elsewhere."""
+"""Handling of one streamed request: placement, prefill, decode and resumption."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
         self.prefilling = Prefilling(self.stream)
 
     async def run(self) -> int:
-        """Answer the caller and return the status.
+        """Stream the response to the caller and return its status.
 
-        :raises RequestError: if there is no answer to give; nothing was sent then.
+        :raises RequestError: if the request failed; the stream may have started.
         """
         try:
             async with self.context.time_limits.limit(self.call.deadline):
@@ -52,14 +52,14 @@
             self.stream.cache.release()
 
     async def _engine(self) -> Upstream | None:
-        """Return the engine that answers next, once the prompt is read where it should.
+        """Return the decode engine of the next attempt, running a prefill if needed.
 
-        ``None`` where the prompt was not read and has to be placed anew.
+        ``None`` if the prefill failed and the stream has to be placed again.
         """
         cache = self.stream.cache
-        reader, upstream = await self.placing.place()
-        if reader is not None and not cache:
-            await self.prefilling.run(reader)
+        prefill_upstream, upstream = await self.placing.place()
+        if prefill_upstream is not None and not cache:
+            await self.prefilling.run(prefill_upstream)
             if not cache and self.prefilling.may_go_on:
                 return None
         if cache:
--- a/src/bergamotmast/direct/time_limits.py
+++ b/src/bergamotmast/direct/time_limits.py
@@ -1,4 +1,4 @@
-"""The time limits of requests, which the end of the process may bring forward."""
+"""Deadlines of requests, which a shutdown brings forward."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class TimeLimits:
-    """Says what is still taken, and ends what runs in time for it to be answered.
+    """Bounds running requests by their deadlines and by the shutdown of the process.
 
-    :param end: ``None`` until the process is told to end.
+    :param end: shutdown window; ``None`` until the shutdown starts.
+    :param limits: timeouts of the running requests.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -28,23 +29,23 @@
         self.limits: set[asyncio.Timeout] = set()
 
     def begin(self, end: End) -> None:
-        """Bring the limits of all requests forward to the end of the process.
+        """Bring the deadlines of all requests forward to the end of the shutdown.
 
-        A request that ran on until the process ends would have its connection closed,
-        and its caller would not know whether it ran.
+        The connection of a request that still runs when the process exits would be
+        closed, and its caller would not know whether it ran.
         """
         self.end = end
         for limit in self.limits:
-            # One that has passed can't be moved, and the attempt would end the process
-            # with all that is at work. Its request ends by itself.
+            # An expired timeout can't be rescheduled: the error would terminate the
+            # process with all running requests. Its request ends by itself.
             if not limit.expired():
                 limit.reschedule(self._capped(limit.when()))
 
     @contextlib.asynccontextmanager
     async def limit(self, deadline: float) -> cabc.AsyncIterator[None]:
-        """Bound a request's work.
+        """Cancel the body at a request's deadline or at the end of the shutdown.
 
-        :raises TimeoutError: at its deadline, or as the process ends.
+        :raises TimeoutError: if the body was cancelled.
         """
         async with asyncio.timeout_at(self._capped(deadline)) as limit:
             self.limits.add(limit)
@@ -54,20 +55,20 @@
                 self.limits.discard(limit)
 
     def check_admission(self, deadline: float, now: float) -> None:
-        """Check that a request can be finished.
+        """Check that a request can complete before the process exits.
 
-        :raises RequestError: if its caller should come back.
+        :raises RequestError: if its caller should retry later.
         """
         if self.end is not None and not is_taken(self.end, deadline, now):
             raise self.refusal()
 
     def refusal(self) -> RequestError:
-        """Return the error of a request that did not run because the process ends."""
+        """Return the error of a request that was not run because of the shutdown."""
         seconds = retry_after(self.rng, RETURN_SECONDS)
         return RequestError(ResultCode.SHUTTING_DOWN, retry_after=seconds)
 
     def is_over(self, now: float) -> bool:
-        """Return whether requests are ended now for the end of the process."""
+        """Return whether the shutdown has ended the running requests."""
         return self.end is not None and now >= self.end.end_by
 
     def _capped(self, deadline: float | None) -> float:
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -1,4 +1,4 @@
-"""How far a stream came and when, for its line in the log."""
+"""Event timeline of a stream, for its log line."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Timeline:
-    """When a stream came how far, as points in time; the last send's where it had more.
+    """Points in time and predictions of a stream's last attempt.
 
-    :param reader: engine that read the prompt for the answering one.
-    :param upstream: the answering engine.
-    :param to_read: prompt tokens that were thought not to be cached.
-    :param predicted: seconds from the choice to the first token.
-    :param waiting: the part of it in which other prompts are read.
-    :param caller_seconds: until the caller leaves, at the choice.
+    :param reader: prefill engine; empty if the decode engine prefills the prompt.
+    :param upstream: decode engine.
+    :param to_read: prompt tokens estimated not to be cached.
+    :param predicted: predicted seconds from the placement to the first token.
+    :param waiting: the part of them spent queueing behind other prompts.
+    :param caller_seconds: seconds from the placement until the caller disconnects.
     """
 
     reader: str = ""
@@ -32,7 +32,7 @@
     first_event_at: float | None = None
 
     def on_placed(self, placement: Placement, caller_seconds: float) -> None:
-        """Take a choice, and what it or a refusal went by."""
+        """Record a placement and the predictions that it, or a refusal, is based on."""
         self.reader = placement.prefill or ""
         self.predicted = placement.first_token
         self.to_read = placement.read_by.to_read
@@ -41,7 +41,7 @@
         self.caller_seconds = caller_seconds
 
     def fields(self, arrived_at: float) -> dict[str, object]:
-        """Return what a log line says of it, in milliseconds since the arrival."""
+        """Return the fields of the log line, with times in ms since arrival."""
         points = {
             "placed_ms": self.placed_at,
             "prefilled_ms": self.prefilled_at,
@@ -54,7 +54,7 @@
             if point is not None
         }
         if self.placed_at is not None:
-            # A refusal, too, was decided by the prediction.
+            # The predictions are logged for refusals as well, which depend on them.
             found |= {
                 "reader": self.reader,
                 "upstream": self.upstream,
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -1,4 +1,4 @@
-"""The composition root of an entry that reaches upstreams on the users' platform."""
+"""Composition root of a direct entry: wires up its parts, serves, and shuts down."""
 
 from __future__ import annotations
 
@@ -50,37 +50,39 @@
 logger = logging.getLogger(__name__)
 
 STILL_ROUTED_SECONDS = 2.6
-"""How long after SIGTERM new requests are taken: the balancer asks once a second and
-takes an entry out after two refusals."""
+"""How long new requests are accepted after SIGTERM: the load balancer probes readiness
+once a second and removes an entry after two failed probes."""
 
 SHUTDOWN_MARGIN_SECONDS = 1.0
-"""Left between the last answer and the platform's SIGKILL."""
+"""Time left between the last response and the platform's SIGKILL."""
 
 LAST_ANSWERS_SECONDS = 0.3
-"""Of that margin, for the answers of requests that were ended with the process."""
+"""Part of that margin for the responses to requests that the shutdown ended."""
 
 IDLE_CHECK_SECONDS = 0.05
-"""Between two looks whether the last request is answered."""
+"""Interval between two checks whether all earlier requests have completed."""
 
 PLANNER_LEASE_SECONDS = 3
-"""Time to live of the planner's lease: so long roles stay as they are after its end,
-also where all engines of one role are gone and nothing is served."""
+"""Time to live of the planner's lease. After the failure of its holder, no role changes
+for so long, even if a role has no engine left and nothing is served."""
 
 VACANCY_SPREAD_SECONDS = 0.3
-"""Within so long the entries look for a lease that has become free."""
+"""Jitter of the entries' polls after the planner's lease has become free."""
 
 FIRST_LOOK_SECONDS = 1.5
-"""Bound of the first look at the lease: roles should be settled before callers come."""
+"""Maximum delay of the first poll of the lease: roles should be assigned before the
+first callers connect."""
 
 MOST_PLAN_WRITES = 24
-"""Engines changed by one transaction; the store takes 32 entries, three are ours."""
+"""Maximum number of engines changed by one transaction. The store accepts 32 operations
+per transaction, of which the plan needs three for itself."""
 
 
 async def serve_direct(settings: DirectEntrySettings) -> None:
-    """Run an entry until it is told to end and its last answer is out.
+    """Run an entry until a signal or a failure, and shut it down gracefully.
 
-    A task beside the requests that fails ends it too, in the same steps: the requests
-    at work are not concerned, and cut off, their callers would have no answer.
+    A failed background task starts the same shutdown: the running requests are not
+    affected by it and are completed.
     """
     logger.info("starts", extra={"zone": settings.zone})
     ending = Ending(told_to_end())
@@ -134,7 +136,8 @@
         tasks = await stack.enter_async_context(running(works, ending))
         await ending.told.wait()
         core.stopping = True
-        # It gives the lease back meanwhile, which must not use up the requests' time.
+        # The planner releases its lease while requests are drained, so that a slow
+        # store does not delay the shutdown.
         tasks[-1].cancel()
         await _drain(front, callers, settings.shutdown_seconds)
     logger.info("stops")
@@ -206,11 +209,13 @@
 
 
 async def _drain(front: DirectFront, callers: Listening, seconds: float) -> None:
-    """Serve on until callers are sent elsewhere and the last request is answered.
+    """Serve until the load balancer has removed this entry and all requests are done.
 
-    It listens until all that came before is answered: where all entries are restarted
-    in turn, the balancer has no other to send callers to. What they ask for is answered
-    or refused truthfully, where a closed port would say nothing.
+    The entry keeps listening until all earlier requests have completed. If all entries
+    are restarted in turn, the load balancer may have no other entry to route to: new
+    requests then get a response or a refusal instead of a closed port.
+
+    :param seconds: time from SIGTERM to the platform's SIGKILL.
     """
     loop = asyncio.get_running_loop()
     logger.info("stops soon", extra={"running": len(front.busy)})
@@ -224,7 +229,8 @@
     await callers.close_long_idle()
     running = len(front.busy)
     logger.info("finishes its requests", extra={"running": running, "late_ms": late_ms})
-    # Those that come now are short, and must not put off the start that follows.
+    # Only requests that arrived earlier are waited for: later ones are short and must
+    # not delay a restart.
     earlier = frozenset(front.busy)
     while earlier & front.busy and loop.time() < end_by:
         await asyncio.sleep(IDLE_CHECK_SECONDS)
