--- a/tests/answer_support.py
+++ b/tests/answer_support.py
@@ -1,4 +1,4 @@
-"""Direct entries as processes, and what their callers send and get."""
+"""Fixtures: a direct entry as a process, and requests of its callers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @contextlib.asynccontextmanager
 async def entry_before(*replicas: Replica, seconds: str = SOON, store=None):
-    """Run a direct entry as a process before replicas that are started here."""
+    """Start replicas, and a direct entry as a process in front of them."""
     async with contextlib.AsyncExitStack() as stack:
         store = await stack.enter_async_context(store or Store())
         store.put("op/config", config(routes=ROUTES))
@@ -44,14 +44,14 @@
 
 
 async def send(entry: Process, data: bytes):
-    """Send a request to an entry on a connection of its own."""
+    """Send a request to an entry on a new connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", entry.port)
     writer.write(data)
     return reader, writer
 
 
 async def connect_soon(port: int, seconds: float = 2):
-    """Connect to a port that is about to be listened on."""
+    """Connect to a port, retrying until a process listens on it."""
     async with asyncio.timeout(seconds):
         while True:
             with contextlib.suppress(ConnectionError):
@@ -60,6 +60,6 @@
 
 
 async def slow_answer(replica: Replica, received: Received, writer) -> None:
-    """Answer after a second."""
+    """Respond after one second."""
     await asyncio.sleep(1.0)
     await answer()(replica, received, writer)
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -1,4 +1,4 @@
-"""A direct entry in this process, before stand-ins of the platform."""
+"""Fixtures: a direct entry in this process in front of platform stand-ins."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def route(prefix: str, kind: str, service: str = "plain", **more: t.Any) -> dict:
-    """Return a route as the operator writes it."""
+    """Return a route of the configuration document."""
     return {
         "name": f"r{prefix.replace('/', '-')}",
         "host": HOST,
@@ -53,7 +53,7 @@
 
 
 def config(version: int = 1, routes: list[dict] | None = None, **limits: int) -> dict:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration document."""
     engine = {"slots": 64, "kv-capacity-tokens": 470_000, "handle-ttl-s": 5.0}
     return {
         "version": version,
@@ -64,7 +64,7 @@
 
 
 def registration(replica: Replica) -> dict:
-    """Return a replica's entry in the store."""
+    """Return a replica's registration in the store."""
     return {
         "service": "plain",
         "address": replica.address,
@@ -79,9 +79,9 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a caller got.
+    """A response as received by a caller.
 
-    :param complete: whether the answer's end came as HTTP has it.
+    :param complete: whether it ended as HTTP requires.
     :param closed: whether the entry closed the connection afterwards.
     """
 
@@ -93,7 +93,7 @@
 
 
 class Entry:
-    """A direct entry with its parts at hand."""
+    """A running direct entry and its parts."""
 
     def __init__(self, front: DirectFront, listening: Listening, port: int) -> None:
         self.front = front
@@ -107,7 +107,7 @@
         return self.core.context.fleet
 
     def put(self, key: str, value: object) -> None:
-        """Let the entry learn a key as if the store had told it."""
+        """Apply a key to the entry's fleet as if a watch had delivered it."""
         self.revision += 1
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.fleet.put(KeyValue(key, data, self.revision))
@@ -126,7 +126,7 @@
         request_id: str = "id-1",
         **headers: str,
     ) -> Answer:
-        """Ask on a connection of its own and read the whole answer."""
+        """Send a request on a new connection and read the whole response."""
         reader, writer = await self.connect()
         try:
             writer.write(request(target, method, body, request_id, **headers))
@@ -142,7 +142,7 @@
     request_id: str = "id-1",
     **headers: str,
 ) -> bytes:
-    """Return a caller's request; header names have ``_`` for ``-``."""
+    """Return the bytes of a request; header names are given with ``_`` for ``-``."""
     sent = {"Host": HOST, "X-Request-Id": request_id, "X-Deadline-Ms": "2000"}
     sent |= {name.replace("_", "-"): value for name, value in headers.items()}
     if body:
@@ -152,7 +152,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> Answer:
-    """Read one answer, also one that breaks off."""
+    """Read one response, which may be truncated."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     status = int(head[0].split(" ")[1])
     headers = {
@@ -179,7 +179,7 @@
     document: dict | None = None,
     engine_check: EngineCheck | None = None,
 ) -> t.AsyncIterator[Entry]:
-    """Serve replicas that are entered already through a direct entry."""
+    """Run a direct entry in front of replicas that are already running."""
     fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
     rng = random.Random(7)
     placing = Placing(fleet, "entry-1", "zone-a", rng)
@@ -201,7 +201,7 @@
         port = listening.runner.addresses[0][1]
         entry = Entry(front, listening, port)
         fleet.settled = True
-        # It has served for long: its part of the retry budget has grown.
+        # As after a long uptime: its share of the retry budget is fully grown.
         fleet.entry_share.on_registered("", -math.inf)
         fleet.entry_share.on_heard(asyncio.get_running_loop().time())
         if document != {}:
@@ -220,7 +220,7 @@
     document: dict | None = None,
     engine_check: EngineCheck | None = None,
 ) -> t.AsyncIterator[Entry]:
-    """Start replicas and a direct entry before them."""
+    """Start replicas and a direct entry in front of them."""
     async with contextlib.AsyncExitStack() as stack:
         for replica in replicas:
             await stack.enter_async_context(replica)
@@ -235,7 +235,7 @@
 
 
 async def until(condition: t.Callable[[], bool], seconds: float = 2.0) -> None:
-    """Wait for something to become true."""
+    """Wait until a condition is true."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -1,7 +1,7 @@
-"""Direct entries before simulated engines, under a load of prompts of all sizes.
+"""Load simulation: direct entries and simulated engines with prompts of all sizes.
 
-Everything but the engines and the callers is the code that serves; with the event
-loop's clock simulated, seconds of load take tenths of one.
+Only the engines and the callers are simulated; the entries run the production code.
+With a simulated event loop clock, one second of load takes some tenths of a second.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 TOKENS_PER_SECOND = 45_000
 PAIR_SECONDS = 0.4e-9
-"""Of each pair of a token and one before it."""
+"""Attention cost of each pair of a token and an earlier one."""
 
 CALL_SECONDS = 0.015
 TRANSFER_SECONDS = 0.03
@@ -55,7 +55,7 @@
 
 
 class SimulatedEngine:
-    """Reads one prompt at a time, the most urgent first, and answers at once."""
+    """Prefills one prompt at a time, the most urgent first, and decodes instantly."""
 
     def __init__(self, name: str, stage: str, number: int) -> None:
         self.entry = engine(name, None, stage)
@@ -66,7 +66,10 @@
         self.busy = False
 
     async def read(self, tokens: int, priority: int) -> None:
-        """Return once a prompt is read."""
+        """Return when a prompt is prefilled.
+
+        :param tokens: length of the prompt.
+        """
         seconds = tokens / TOKENS_PER_SECOND + tokens**2 / 2 * PAIR_SECONDS
         if self.busy:
             await self._turn(priority)
@@ -97,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SimulatedReply:
-    """A reply that has come whole."""
+    """A complete reply."""
 
     headers: dict[str, str]
     body: bytes
@@ -144,23 +147,24 @@
 
 
 class SoundEngines:
-    """Says of every engine that it lives."""
+    """A liveness probe that succeeds for every engine."""
 
     async def answers(self, engine) -> bool:
         return True
 
 
 class SimulatedBody:
-    """A body that came with its head."""
+    """A body that arrived with the headers."""
 
     async def read(self, most: int) -> bytes:
         return b"hello"
 
 
 class SimulatedCaller:
-    """Takes the answer to one try.
+    """Receives the response to one attempt.
 
-    :param status: 0 until something has come.
+    :param status: HTTP status; 0 before the response starts.
+    :param heard: set when the response starts.
     """
 
     def __init__(self) -> None:
@@ -194,7 +198,7 @@
 class Prompt:
     """One request of a load.
 
-    :param at: when its caller first sends it; seconds from the beginning.
+    :param at: when its caller first sends it; seconds from the start of the load.
     :param size: prompt tokens.
     """
 
@@ -206,12 +210,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """How many callers come, and for how long.
+    """Rates and sizes of a load's prompts.
 
+    :param seconds: duration of the load.
     :param reports: long prompts a second.
     :param checks: short prompts a second.
-    :param peak: from when to when there are more.
-    :param factor: how many times more.
+    :param peak: start and end of the peak in seconds.
+    :param factor: multiple of the rates during the peak.
+    :param median: median length of long prompts in tokens.
+    :param spread: standard deviation of the logarithm of a prompt's length.
     """
 
     seconds: float = 16.0
@@ -223,7 +230,7 @@
     spread: float = 0.8
 
     def draw(self, rng: random.Random) -> list[Prompt]:
-        """Return the requests of one play."""
+        """Return the requests of one simulation, in no particular order."""
         reports = list(self._prompts("/report/x", self.reports, rng))
         return reports + list(self._prompts("/check/x", self.checks, rng))
 
@@ -243,9 +250,9 @@
 
 
 class LoadedFleet:
-    """Entries and engines in one event loop.
+    """Entries and simulated engines in one event loop.
 
-    :param served: names of the prompts whose callers have an answer.
+    :param served: names of the prompts whose callers got a response.
     """
 
     def __init__(
@@ -268,7 +275,7 @@
         self.served: set[str] = set()
 
     async def play(self, prompts: cabc.Iterable[Prompt]) -> None:
-        """Send all prompts at their times and wait for their ends."""
+        """Send all prompts at their times and wait until all have ended."""
         async with asyncio.TaskGroup() as group:
             for prompt in prompts:
                 group.create_task(self._call(prompt))
@@ -351,9 +358,9 @@
 def shares_of(
     prompts: cabc.Iterable[Prompt], served: cabc.Container[str]
 ) -> ServedShares:
-    """Return what was served of some prompts of one class.
+    """Return the served shares of some prompts of one class.
 
-    :param served: names of those that were.
+    :param served: names of the prompts that were served.
     """
     shares = served_shares((prompt.size, prompt.name in served) for prompt in prompts)
     assert shares is not None
--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -1,4 +1,4 @@
-"""Callers that break off, send what is no request, or use a connection at its end."""
+"""Tests of callers that disconnect or send invalid requests, and idle connections."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 async def test_body_that_does_not_come_by_the_deadline():
-    """A request's head has come and its body does not, until its caller's time is over.
+    """Guards against waiting for a request's body beyond the caller's deadline.
 
-    Nothing was sent on: the caller is told so in time.
+    Nothing was sent to an upstream, and the caller is told so in time.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -45,9 +45,9 @@
 
 
 async def test_body_that_breaks_off_in_a_wrong_chunk():
-    """A body comes in chunks, and one is none: the rest can't be read any more.
+    """An invalid chunk in a request's body: the caller gets an error in time.
 
-    The request was not sent on, and its caller is told so by its deadline.
+    Nothing was sent to an upstream.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -63,10 +63,7 @@
 
 
 async def test_caller_that_asks_before_it_sends_its_body():
-    """A caller sends its body only once it is told to, as HTTP allows.
-
-    Untold, it would wait for the entry, and the entry for it.
-    """
+    """Guards against a deadlock with a caller that waits for ``100 Continue``."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         reader, writer = await entry.connect()
@@ -82,10 +79,7 @@
 
 
 async def test_stream_to_a_caller_of_the_older_protocol():
-    """A caller speaks HTTP/1.0, which has no chunks: the end of the connection ends it.
-
-    An answer that breaks off must not look like one that is whole.
-    """
+    """A stream to an HTTP/1.0 caller has no chunks and ends with the connection."""
     async with serving(engine("i-1", EngineScript(last=3))) as entry:
         reader, writer = await entry.connect()
         sent = request("/talk/x", X_Token_Count="400,9")
@@ -99,7 +93,7 @@
 
 
 async def test_broken_stream_to_a_caller_of_the_older_protocol():
-    """The engine breaks off: the connection is reset, where an end would look whole."""
+    """Guards against a truncated stream that looks complete: it ends with a reset."""
     script = EngineScript(last=3, break_after=2)
     async with serving(engine("i-1", script)) as entry:
         reader, writer = await entry.connect()
@@ -111,9 +105,9 @@
 
 
 async def test_caller_that_leaves_within_its_body_is_no_fault(caplog):
-    """A caller closes its connection before its body is whole.
+    """A caller disconnects before its body is complete.
 
-    Nobody is left to answer: no fault is logged, and nothing is sent on.
+    Guards against logging that as an error, and against sending the request.
     """
     caplog.set_level(logging.INFO)
     replica = Replica("i-1", answer())
@@ -133,7 +127,7 @@
     "framing", ["Content-Length: 5000000", "Transfer-Encoding: chunked"]
 )
 async def test_body_too_large_is_refused_before_it_has_come(framing):
-    """A body is beyond the limit: its caller is told without having sent the rest."""
+    """A body over the limit is refused before the caller has sent the rest of it."""
     replica = Replica("i-1", answer())
     async with serving(replica, document=config(**{"max-body-bytes": 1000})) as entry:
         reader, writer = await entry.connect()
@@ -149,7 +143,7 @@
 
 @pytest.mark.parametrize("name", ["X-Request-Id", "X-Other"])
 async def test_header_of_a_caller_that_can_not_be_written_is_refused(name):
-    """A caller's header has a control character: no upstream could get it unchanged."""
+    """A header with a control character is refused: it can't be forwarded unchanged."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         reader, writer = await entry.connect()
@@ -167,9 +161,9 @@
 async def test_request_that_comes_as_its_connection_has_been_idle_too_long(
     turns, monkeypatch
 ):
-    """A kept connection brings a request in the moment at which it is to be closed.
+    """A request arrives on an idle connection just as its keep-alive timeout expires.
 
-    Either it was not read, or it is answered.
+    Either the request is not read, or it gets a response.
     """
     monkeypatch.setattr(front, "IDLE_SECONDS", 0.2)
     replica = Replica("i-1", answer())
@@ -200,10 +194,10 @@
 
 
 async def test_request_behind_another_on_a_connection_that_closes_never_runs():
-    """Two requests come at once on one connection, and the entry is about to end.
+    """Two pipelined requests arrive during the shutdown.
 
-    The first answer says "Connection: close": by HTTP the second has not been run, and
-    it has not.
+    The first response says "Connection: close", by which HTTP tells the caller that the
+    second request was not run: it must not run.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -219,7 +213,7 @@
 
 
 async def test_reset_of_an_idle_connection_is_no_fault(caplog):
-    """A replica resets a kept connection that carries no request: nothing is logged."""
+    """Guards against a warning when a replica resets an idle connection."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         writer.write(head(200, received.request_id, "Content-Length: 4"))
@@ -240,9 +234,10 @@
 async def test_request_that_waits_as_a_stalled_process_finds_its_connection_idle(
     monkeypatch,
 ):
-    """The event loop stands still over the end of a connection's idle time.
+    """The event loop is blocked until after a connection's keep-alive timeout.
 
-    A request has come meanwhile, found in one pass with the timer: it is answered.
+    A request that arrived meanwhile is found in the same iteration as the timer, and
+    must get a response.
     """
     monkeypatch.setattr(front, "IDLE_SECONDS", 0.2)
     replica = Replica("i-1", answer())
@@ -259,10 +254,10 @@
 
 @pytest.mark.parametrize("target", ["http://xn--/read/x", "http://[::1/x", "//[::1/x"])
 async def test_target_that_can_not_be_understood_is_refused(target):
-    """A request names a host that is none, in the form that proxies are asked in.
+    """Guards against an open connection that is no longer read.
 
-    The HTTP library fails on it between the reading of the head and the handler, and
-    would leave the connection open and read by nobody.
+    On an absolute URL with an invalid host, the HTTP library fails after it has parsed
+    the headers and before it calls the handler.
     """
     async with serving(Replica("i-1", answer())) as entry:
         reader, writer = await entry.connect()
@@ -274,7 +269,7 @@
 
 @pytest.mark.parametrize("version", ["HTTP/0.9", "HTTP/2.0"])
 async def test_stream_to_a_caller_of_another_protocol(version):
-    """The head names a version that has no chunks, or none in this form."""
+    """The request names a protocol version without chunked encoding."""
     async with serving(engine("i-1", EngineScript(last=3))) as entry:
         reader, writer = await entry.connect()
         sent = request("/talk/x", X_Token_Count="400,9", Connection="close")
@@ -287,9 +282,9 @@
 
 
 async def test_rest_of_a_refused_body_holds_no_end_up():
-    """A request was refused before its body had come, and its caller sends the rest.
+    """Guards against a shutdown delayed by the rest of a refused request's body.
 
-    Its answer is out: the connection is idle, and closed as such.
+    After the response, the connection counts as idle, although the caller still sends.
     """
     replica = Replica("i-1", answer())
     async with serving(replica, document=config(**{"max-body-bytes": 10})) as entry:
@@ -305,7 +300,7 @@
 
 
 async def test_part_of_a_head_is_forgotten_once_the_request_is_answered():
-    """A head came in two parts; its connection is idle again after the answer."""
+    """Headers that arrive in two parts: the connection is idle after the response."""
     loop = asyncio.get_running_loop()
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -1,4 +1,4 @@
-"""Plain calls through a direct entry: what reaches a replica, what comes back."""
+"""Tests of requests to plain upstreams through a direct entry."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def test_request_and_answer_pass_unchanged():
-    """Bytes that mean something to HTTP libraries pass as they are."""
+    """Guards against normalization of paths, headers and bodies by HTTP libraries."""
     replica = Replica("i-1", answer(201, b"\x00\xffbody", "X-Own: a, b"))
     async with serving(replica) as entry:
         target = "/order/a%2Fb//c/%7e;x?q=%20+&r=%zz"
@@ -43,7 +43,10 @@
 
 
 async def test_nothing_is_added_that_changes_the_answer():
-    """A replica that is asked for an encoding might use it, and sign other bytes."""
+    """Guards against added headers such as Accept-Encoding.
+
+    A replica might encode its response and sign other bytes.
+    """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         await entry.ask("/order/x")
@@ -65,9 +68,9 @@
 
 
 async def test_headers_that_are_the_systems_to_set_are_not_passed_on():
-    """A caller sends another's handle or a place in front of the queue.
+    """Guards against forwarding a forged KV handle or priority.
 
-    Passed on, its request would run on memory that belongs to someone else.
+    The request would use the KV cache of another caller or jump the queue.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -89,10 +92,10 @@
     ],
 )
 async def test_request_of_unsure_length_reaches_nobody(extra):
-    """Two lengths: what one end takes for a body the other takes for a request.
+    """Guards against request smuggling by an ambiguous body length.
 
-    The caller gets 400 and the connection is closed, since nobody can say where its
-    next request begins.
+    The caller gets a 400 and the connection is closed, as the start of its next request
+    is unknown.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -111,9 +114,9 @@
 
 
 async def test_answer_to_another_request_is_not_delivered():
-    """A kept connection holds a late answer where the next one is expected.
+    """Guards against a late reply on a reused connection.
 
-    The caller of the second request must not get the first one's answer.
+    The caller of the second request must not get the reply to the first one.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -128,10 +131,10 @@
 
 
 async def test_second_answer_on_a_kept_connection_is_discarded():
-    """A replica answers twice; the extra bytes come before the next request.
+    """Guards against taking a duplicate reply for the reply to the next request.
 
-    Both callers get their own answers, the second after another try elsewhere or on
-    another connection.
+    A replica replies twice before the next request. Each caller gets its own response,
+    if need be after a retry elsewhere or on another connection.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -154,10 +157,11 @@
 
 
 async def test_connection_with_bytes_nobody_asked_for_is_closed():
-    """A replica answers twice; the extra answer lies there when the next call comes.
+    """Guards against reusing a connection with unexpected data.
 
-    That call must not go over the connection: it would run, its answer would be taken
-    for another's, and the caller would wait for it to run a second time elsewhere.
+    A replica replies twice, and the duplicate has arrived before the next request. Sent
+    on that connection, the request would run, its reply would be rejected as another
+    request's, and it would run a second time elsewhere.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -181,10 +185,10 @@
 
 
 async def test_refusal_before_the_body_is_read_reaches_the_caller_at_once():
-    """A replica refuses a long body from its head alone and reads no further.
+    """Guards against waiting until a long body is written before reading the reply.
 
-    Its caller must not wait until the rest is written, which may be never; and no
-    other call may follow on a connection on which the rest of a body is due.
+    A replica refuses the request after its headers and reads no further, so that the
+    rest may never be written. No other request may be sent on that connection.
     """
     replica = HeadReader("i-1", b"too much")
     document = config(**{"max-body-bytes": 10_000_000})
@@ -200,7 +204,7 @@
 
 
 async def test_success_without_signature_is_none():
-    """Something that is no replica answers 200; the order may or may not have run."""
+    """Guards against forwarding a 200 that no replica has signed."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -213,7 +217,7 @@
 
 @pytest.mark.parametrize("broken", [True, False])
 async def test_body_without_length_is_whole_only_after_a_clean_end(broken):
-    """A body that ends with its connection: a reset is no end of it."""
+    """Guards against taking a reset for the end of a body without a length."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         writer.write(head(200, received.request_id) + b"half of it")
@@ -233,7 +237,10 @@
 
 @pytest.mark.parametrize("cut", ["in the head", "in the body"])
 async def test_order_whose_answer_is_cut_off_is_not_sent_again(cut):
-    """The replica ran the order and died: only "unknown" is true, and one run."""
+    """Guards against running an order twice.
+
+    The replica ran it and died, so that its outcome is unknown.
+    """
 
     async def script(replica: Replica, received: Received, writer) -> None:
         if cut == "in the body":
@@ -250,7 +257,7 @@
 
 
 async def test_refusal_that_did_not_run_is_passed_on_as_such():
-    """The one replica that an order may be sent to is full: come back, it never ran."""
+    """The only replica that an order may be sent to is full: the caller may retry."""
     replicas = [Replica(f"i-{n}", not_run()) for n in range(2)]
     async with serving(*replicas) as entry:
         got = await entry.ask("/order/x")
@@ -261,9 +268,10 @@
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 async def test_status_that_promises_too_much_is_not_passed_on(status):
-    """A replica says 503 without the mark that nothing ran: it may have run.
+    """Guards against forwarding a status that says that a request was not run.
 
-    A 421 is such a mark by itself.
+    A replica's 503 without the header that confirms it may come after the request ran.
+    A 421 needs no such header.
     """
     replica = Replica("i-1", answer(status, b"busy"))
     async with serving(replica) as entry:
@@ -272,7 +280,7 @@
 
 
 async def test_replica_that_is_not_there_costs_nothing():
-    """Nobody listens at one address: nothing was sent, so an order may go elsewhere."""
+    """If a connection is refused, nothing was sent: an order may be sent elsewhere."""
     gone, sound = Replica("i-1", answer()), Replica("i-2", answer())
     async with serving(gone, sound) as entry:
         gone.server.close()
@@ -283,7 +291,7 @@
 
 
 async def test_failure_of_an_idempotent_call_is_tried_elsewhere():
-    """One replica fails; the caller sees the other's answer, and one second send."""
+    """One replica fails, and the caller gets the other's response after one retry."""
     replicas = [Replica("i-1", answer(500, b"no")), Replica("i-2", answer())]
     async with serving(*replicas) as entry:
         statuses = [
@@ -302,9 +310,10 @@
 
 
 async def test_hanging_replica_holds_no_idempotent_call():
-    """A replica takes a call and says nothing; another answers well before the end.
+    """Guards against waiting for a hanging replica until the deadline.
 
-    The first one is told by the close that nobody waits any more.
+    Another replica responds in time, and the connection to the first one is closed to
+    cancel the request.
     """
     stuck, sound = Replica("i-1", hang()), Replica("i-2", answer())
     async with serving(stuck, sound) as entry:
@@ -318,7 +327,7 @@
 
 
 async def test_caller_that_leaves_takes_its_call_along():
-    """A caller closes its connection; within half a second the replica's is closed."""
+    """A caller disconnects: the connection to the replica is closed within 0.5 s."""
     replica = Replica("i-1", hang())
     async with serving(replica) as entry:
         _, writer = await entry.connect()
@@ -329,9 +338,9 @@
 
 
 async def test_time_left_goes_on_and_the_route_ends_a_call():
-    """The replica hears what is left, and a hanging one ends at the route's time.
+    """The remaining time is forwarded, and a request ends at its route's timeout.
 
-    The order was sent, so that the answer can't be a promise that it never ran.
+    The order was sent, so that the response must not say that it was not run.
     """
     replica = Replica("i-1", hang())
     document = config(routes=[route("/order/", "unsafe", **{"timeout-ms": 300})])
@@ -370,7 +379,7 @@
 
 
 async def test_no_configuration_yet_is_not_the_callers_fault():
-    """An entry that has just started must not say 404: nobody comes back after it."""
+    """Guards against a 404 from an entry that has just started: callers don't retry."""
     async with serving(document={}) as entry:
         got = await entry.ask("/order/x")
         assert got.status == 503
@@ -381,10 +390,11 @@
 
 
 async def test_entry_that_has_just_started_keeps_its_first_callers():
-    """All entries were down; callers come back the moment one listens again.
+    """Guards against refusing requests before the initial load from the store.
 
-    The first reading of the store takes some 40 ms more. They wait for it: refused,
-    each would come back half a second later, and late.
+    After an outage of all entries, callers connect as soon as one listens again. The
+    initial load takes about 40 ms more; a refusal would delay each caller by half a
+    second.
     """
     replica = Replica("i-1", answer())
     async with serving(replica, document={}) as entry:
@@ -409,9 +419,10 @@
 
 
 async def test_answer_before_the_body_is_read_keeps_the_connection_in_step():
-    """A replica refuses a long body before it has come and reads on later.
+    """Guards against a reused connection on which the rest of a body is still due.
 
-    The next call on that connection, or on a new one, is read from its beginning.
+    A replica responds before it has read a long body. The next request, on that
+    connection or on a new one, is read from its start.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -435,10 +446,11 @@
 
 
 async def test_order_never_goes_over_a_kept_connection():
-    """A replica drops idle connections without a word; a request on one is reset.
+    """Guards against orders of unknown outcome because of an idle connection.
 
-    For an order that reset would mean "may have run" though nobody read it. It goes
-    over a connection of its own, so that the caller gets its answer.
+    A replica closes idle connections without notice, and a request sent on one is
+    reset. An order could then have run, although it was never read. It is sent on a new
+    connection.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -451,10 +463,10 @@
 
 
 async def test_leaving_replica_gets_no_second_send_either():
-    """A call fails at one replica while the other starts to leave.
+    """Guards against a retry at a replica that is leaving.
 
-    The second send must look at the members anew: what waited is held to the bound
-    for leaving replicas, too.
+    A request fails at one replica while the other starts to leave: the retry must use
+    the current members.
     """
     leaving = Replica("i-2", answer())
 
@@ -464,7 +476,7 @@
 
     failing = Replica("i-1", script)
     async with serving(failing, leaving) as entry:
-        # In another zone, so that the first send goes to the failing one.
+        # In another zone, so that the first attempt is made at the failing replica.
         entry.register(leaving, zone="zone-b")
         got = await entry.ask("/read/x")
     assert got.status == 500
@@ -474,10 +486,10 @@
 
 @pytest.mark.parametrize("second", ["refuses", "is not there"])
 async def test_refusal_after_a_lost_answer_does_not_say_that_nothing_ran(second):
-    """One replica runs a call and its answer is lost; the next one runs nothing.
+    """Guards against a 503 for a request that may have run.
 
-    The call may have run, whatever the second replica says of itself: 503 would
-    promise the caller that it did not.
+    One replica runs the request and its reply is lost; the second one refuses it. The
+    refusal says nothing about the first attempt.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -485,7 +497,7 @@
 
     lost, refusing = Replica("i-1", script), Replica("i-2", not_run())
     async with serving(lost, refusing) as entry:
-        # In another zone, so that the first send goes to the one that loses it.
+        # In another zone, so that the first attempt is made where the reply is lost.
         entry.register(refusing, zone="zone-b")
         if second == "is not there":
             refusing.server.close()
--- a/tests/test_direct_ending.py
+++ b/tests/test_direct_ending.py
@@ -1,4 +1,4 @@
-"""An entry told to end, as a process: no closed port, and true answers to the last."""
+"""Tests of the shutdown of a direct entry: open port and correct responses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What a caller of its own connection got; status 0: closed, -1: no listener."""
+    """The response on a new connection; status 0: closed, -1: connection refused."""
 
     request_id: str
     status: int
@@ -50,16 +50,16 @@
 
 
 async def hang(replica, received, writer):
-    """Run a request and never answer it."""
+    """Run a request and never reply."""
     await asyncio.sleep(60)
 
 
 async def test_an_entry_told_to_end_takes_callers_while_it_lives():
-    """All entries are restarted in turn, and callers find closed ports for seconds.
+    """Guards against closed ports while all entries are restarted in turn.
 
-    An entry that was told to end stopped listening after 2.6 s, and lived on until its
-    last stream was over. Its balancer had no other entry to send callers to. What can
-    be answered in time is answered; anything else is told when to come back.
+    An entry stopped listening 2.6 s after SIGTERM and ran until its last stream ended,
+    while the load balancer had no other entry to route to. Requests that can complete
+    in time are served; others are refused with a Retry-After.
     """
     script = EngineScript(last=40, pause=0.14)
     async with (
@@ -91,9 +91,9 @@
 
 
 async def outcomes_until(stream: asyncio.Task, port: int) -> list[Outcome]:
-    """Call until a stream is over, with much time and with little by turns.
+    """Send requests until a stream ends, alternately with a long and short deadline.
 
-    A call that the entry may have met after its last answer is left out.
+    The last one is left out, as the entry may have received it after its last response.
     """
     outcomes = []
     while True:
@@ -106,11 +106,10 @@
 
 
 async def test_what_still_runs_at_the_very_end_is_answered():
-    """An entry's time to end is over while orders are at work.
+    """Guards against closed connections for orders that run at the end of a shutdown.
 
-    A closed connection would tell their callers nothing. They are told that their
-    outcome is unknown, or that their own time is over, and the process still ends
-    before it would be killed.
+    Their callers are told that the outcome is unknown, or that the deadline has passed,
+    and the process exits before it would be killed.
     """
     async with Store() as store, Replica("i-1", hang) as plain:
         slow = {"timeout-ms": 20_000, "target-latency-ms": 9000}
@@ -133,9 +132,9 @@
 
 
 async def test_what_waits_at_the_very_end_has_not_run(monkeypatch):
-    """An entry ends while a request waits for an engine that is on its way.
+    """A request that waits for a role change is refused when the shutdown ends.
 
-    It was sent nowhere: its caller is told so and when to come back, at once.
+    It was not sent anywhere, so that its caller may retry.
     """
     monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.6)
     one = engine("i-1", EngineScript(), "prefill")
@@ -153,10 +152,9 @@
 
 
 async def test_a_stream_that_the_end_cuts_off_looks_cut_off():
-    """A stream is not over when the process has to end.
+    """Guards against a stream that looks complete when a shutdown ends it.
 
-    What came so far was delivered; the stream's end is missing, so that nobody takes
-    it for whole.
+    The events received so far were forwarded, and the end of the stream is missing.
     """
     async with serving(engine("i-1", EngineScript(last=50, pause=0.05))) as entry:
         streaming = asyncio.create_task(entry.ask("/talk/x"))
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -1,4 +1,4 @@
-"""Configuration and upstreams of a direct entry, from a store with faults."""
+"""Tests of a direct entry's configuration and upstreams, with faults of the store."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 @contextlib.asynccontextmanager
 async def following(pause=no_pause):
-    """Yield a store, a fleet that follows it, and the adapter between."""
+    """Yield a store, a fleet that is kept up to date with it, and their adapter."""
     async with Store() as store, store_session() as session:
         fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
         adapter = PlatformStore(session, store.address, RECOVERY_SECONDS, pause)
@@ -81,7 +81,7 @@
 
 
 async def refuse_watches_until_read(store: Store) -> None:
-    """Say that the history is gone until the whole store is read anew."""
+    """Refuse watches as compacted until the whole store has been read again."""
     store.calls.clear()
     store.compacted = store.revision + 1
     await until(lambda: "GET /kv-range" in store.calls)
@@ -107,7 +107,7 @@
 
 
 async def test_full_read_makes_one_store_call():
-    """Several calls per entry would exhaust the store's calls when a fleet starts."""
+    """Guards against exceeding the store's call limit when a whole fleet starts."""
     async with following() as (store, fleet, _):
         store.page_size = 500
         store.put("op/config", config(7))
@@ -146,7 +146,7 @@
     ],
 )
 async def test_entry_of_another_writer_names_nobody(value):
-    """Bytes that can't be read, fields missing or of another type: the rest holds."""
+    """An undecodable registration is ignored and does not affect the others."""
     async with following() as (store, fleet, _):
         store.put("op/config", config())
         store.put("servers/i-1", entry())
@@ -156,7 +156,7 @@
 
 
 async def test_reborn_upstream_is_another_one():
-    """A replica starts again under its id: handles, caches and counts are void."""
+    """Guards against keeping the load of an upstream that restarted under its name."""
     async with following() as (store, fleet, _):
         store.put("op/config", config())
         store.put("servers/i-1", entry(born=1000))
@@ -170,7 +170,7 @@
 
 
 async def test_configuration_never_goes_back():
-    """A late answer brings an older version than the one in force."""
+    """A delayed reply holds an older version than the one in force."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
@@ -191,7 +191,7 @@
 
 
 async def test_outage_leaves_what_is_known():
-    """The store is down: serving goes on with the last configuration and members."""
+    """While the store is down, the last configuration and members are used."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
@@ -206,10 +206,10 @@
 
 
 async def test_entries_that_lapsed_in_an_outage_have_two_seconds():
-    """Leases ran out while the store was away, though the replicas live.
+    """Guards against losing the whole fleet after an outage of the store.
 
-    Used at once as gone, a store that was away for seconds would take the whole fleet
-    with it; one that is not back after two seconds is gone.
+    Leases expire during an outage of some seconds although the replicas are alive. A
+    replica that has not registered again after two seconds is removed.
     """
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
@@ -228,7 +228,7 @@
 
 
 async def test_history_that_is_gone_leads_to_a_new_reading():
-    """The store has dropped what the watch would go on from (410)."""
+    """The store has compacted the revision that the watch would resume from (410)."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
@@ -243,9 +243,9 @@
 
 
 async def test_watch_on_a_dead_connection_is_opened_anew():
-    """The connection went silent without a reset: nothing is heard, nothing fails.
+    """Guards against a watch that hangs on a dead connection without a reset.
 
-    The watch's own bound ends it, and what happened meanwhile is read.
+    The watch's timeout ends it, and all keys are read again.
     """
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
@@ -257,7 +257,7 @@
 
 
 async def test_configuration_applies_within_recovery_time_after_connections_go_silent():
-    """The read after a failed watch must not wait on another silent connection."""
+    """The read after a failed watch must not wait on another dead connection."""
     async with following() as (store, fleet, adapter):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
@@ -268,7 +268,7 @@
 
 
 async def test_changing_engine_is_left_alone_for_a_while():
-    """The plan gives an engine another role: it refuses all work for seconds."""
+    """Guards against sending work to an engine that is changing its role."""
     async with following() as (store, fleet, _):
         now = 0.0
         fleet.clock = lambda: now
@@ -279,7 +279,7 @@
         store.put(engine_key("i-1"), encode_record(plan))
         await until(lambda: fleet.members("llm", now) == [])
         assert len(fleet.present("llm", now)) == 1
-        # An order that was never carried out costs the engine no longer than that.
+        # An order that is never carried out must not exclude the engine for longer.
         assert len(fleet.members("llm", CHANGE_SECONDS + 0.1)) == 1
         store.put("servers/i-1", entry(service="llm", stage="prefill"))
         await until(lambda: len(fleet.members("llm", now)) == 1)
@@ -339,7 +339,7 @@
 
 
 async def test_store_that_does_not_watch_is_not_read_without_a_pause():
-    """Each watch fails at once, each reading succeeds: the pauses must still grow."""
+    """Guards against reads without backoff if only watches fail."""
     async with following() as (store, fleet, _):
         store.compacted = 1_000_000
         await until(lambda: fleet.settled)
@@ -347,12 +347,12 @@
         seconds = 3.0
         await asyncio.sleep(seconds)
         readings = sum(call.endswith("/kv-watch") for call in store.calls)
-    # A pause is drawn from zero to its longest, and the first three are shorter.
+    # A delay is drawn between zero and its maximum; the first three are shorter.
     assert readings <= 2 * (3 + 2 * seconds / LONGEST_RETRY_SECONDS)
 
 
 async def test_entry_that_left_unseen_is_forgotten():
-    """Its removal was dropped from the history before the watch came to it."""
+    """The removal of its key was compacted before the watch could deliver it."""
     async with following() as (store, fleet, _):
         key = PRESENCE_PREFIX + "entry-9"
         store.put(key, b"10.0.0.9:7380")
@@ -389,7 +389,7 @@
 
 
 async def test_lost_reply_to_a_write_is_of_unknown_outcome():
-    """The store has done it and the answer is lost: "not done" would be wrong."""
+    """Guards against reporting a write as not done if only its reply was lost."""
     async with following() as (store, _, adapter):
         store.lose_replies = 1
         with pytest.raises(KeyValueOutcomeUnknownError):
--- a/tests/test_direct_fuzz.py
+++ b/tests/test_direct_fuzz.py
@@ -1,6 +1,6 @@
-"""What callers, replicas, the store and peers may send to a direct entry.
+"""Fuzz tests of all input to a direct entry: callers, replicas, store and peers.
 
-Examples are derived from the code alone, so each run sees the same ones.
+Examples are derived from the source of the tests, so that each run uses the same ones.
 """
 
 from __future__ import annotations
@@ -205,10 +205,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 async def test_request_is_passed_on_byte_for_byte_or_refused(seed):
-    """Paths, queries and header values of any bytes that HTTP lets through.
+    """Guards against changing paths, queries and header values with unusual bytes.
 
-    Whatever reaches the replica is what the caller sent; whatever does not is refused
-    as the caller's fault, and the entry serves on.
+    A request is forwarded unchanged or refused with a 400.
     """
     rng = random.Random(seed)
     replica = Replica("i-1", answer())
@@ -228,7 +227,7 @@
 
 
 def odd_text(rng: random.Random, first: int, last: int, most: int) -> str:
-    """Return text of bytes, mostly printable ones."""
+    """Return random text of single-byte characters, mostly printable ones."""
     top = 0x7E if rng.random() < 0.7 else last
     return "".join(chr(rng.randint(first, top)) for _ in range(rng.randint(1, most)))
 
@@ -245,7 +244,7 @@
 
 
 async def test_header_that_is_no_utf8_is_refused_and_not_changed():
-    """The HTTP library writes no such bytes; it would leave them out of the value."""
+    """Guards against a changed value: the HTTP library drops invalid UTF-8."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         assert await ask_raw(entry, "/read/x", "id-1", "caf\xe9") == 400
@@ -254,7 +253,7 @@
 
 
 async def test_answer_is_delivered_without_a_header_that_can_not_be_written(caplog):
-    """The replica's answer is ready; one of its headers is no UTF-8."""
+    """Guards against losing a response because of one header with invalid UTF-8."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         lines = head(200, received.request_id, "Content-Length: 2", "X-Sound: 1")
@@ -278,21 +277,21 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("path", ["/read/x", "/order/x", "/talk/x"])
 async def test_spoilt_answer_ends_its_request_and_no_other(path, seed):
-    """A replica's answer is cut, changed, doubled or filled up at any place.
+    """Guards against corrupted replies: truncated, changed, repeated or extended.
 
-    Its caller gets an end, never an answer without signature as a success; the next
-    request gets its own answer.
+    The caller's request ends, and a success always has a signature. The next request
+    gets its own response.
     """
     rng = random.Random(f"{path}{seed}")
-    sound = STREAM if path == "/talk/x" else PLAIN
-    spoil = True
+    template = STREAM if path == "/talk/x" else PLAIN
+    corrupts = True
 
     async def script(replica: Replica, received: Received, writer) -> None:
-        whole = sound.replace(b"ID", received.request_id.encode())
-        writer.write(spoilt(rng, whole) if spoil else whole)
+        whole = template.replace(b"ID", received.request_id.encode())
+        writer.write(corrupted(rng, whole) if corrupts else whole)
         with contextlib.suppress(ConnectionError):
             await writer.drain()
-        if spoil:
+        if corrupts:
             writer.close()
 
     service = "llm" if path == "/talk/x" else "plain"
@@ -300,7 +299,7 @@
     replica.entry |= {"stage": "decode"} if service == "llm" else {}
     async with serving(replica) as entry:
         for number in range(12):
-            spoil = True
+            corrupts = True
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 got = await asyncio.wait_for(
                     entry.ask(path, request_id=f"bad-{number}", X_Deadline_Ms="600"), 3
@@ -308,7 +307,7 @@
                 if 200 <= got.status < 300 and got.complete:
                     assert "x-response-signature" in got.headers
                     assert got.headers["x-request-id"] == f"bad-{number}"
-            spoil = False
+            corrupts = False
             entry.core.context.placing.engines.clear()
             entry.core.context.placing.plain.clear()
             got = await entry.ask(path, request_id=f"good-{number}")
@@ -316,23 +315,23 @@
             assert got.headers["x-request-id"] == f"good-{number}"
 
 
-def spoilt(rng: random.Random, whole: bytes) -> bytes:
-    """Return bytes that are not, or not only, a sound answer."""
+def corrupted(rng: random.Random, whole: bytes) -> bytes:
+    """Return a reply with one random fault."""
     at = rng.randrange(len(whole))
-    how = rng.randrange(5)
-    if how == 0:
+    fault = rng.randrange(5)
+    if fault == 0:
         return whole[:at]
-    if how == 1:
+    if fault == 1:
         return whole[:at] + bytes([rng.randrange(256)]) + whole[at + 1 :]
-    if how == 2:
+    if fault == 2:
         return whole + whole[at:]
-    if how == 3:
+    if fault == 3:
         return whole[:at] + rng.randbytes(rng.randint(1, 20)) + whole[at:]
     return rng.randbytes(rng.randint(1, 200))
 
 
 async def test_streams_of_a_sound_engine_after_all_that():
-    """The stand-in itself is sound: the test above fails for the spoilt bytes only."""
+    """The stand-in's own replies are valid: the test above fails by corruption only."""
     async with serving(engine("i-1", EngineScript())) as entry:
         got = await entry.ask("/talk/x", X_Token_Count="400,80")
     assert got.complete
--- a/tests/test_direct_last_callers.py
+++ b/tests/test_direct_last_callers.py
@@ -1,9 +1,9 @@
-"""A caller that connects as the entry stops taking is closed at once, or answered.
+"""Tests of connections that are accepted just as an entry stops accepting requests.
 
-The caller's connection is taken off the queue, and the entry stops taking two turns of
-the event loop later, when the connection has no protocol yet: it is not among those
-that are closed as idle. It stays open, is nobody's to wait for, and a request that
-comes on it later is passed on to a replica and cut off when the process ends.
+Guards against a connection that is accepted but has no protocol object yet when idle
+connections are closed, two iterations of the event loop later. It would stay open and
+not be waited for, and a request that arrives on it would be forwarded to a replica and
+cut off when the process exits. Such a connection must be closed or its request served.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 async def stopping(entry, turns):
-    """Connect a caller, and stop taking so many turns of the event loop later."""
+    """Connect a caller, and stop accepting after so many event loop iterations."""
     raw = socket.create_connection(("127.0.0.1", entry.port))
     raw.setblocking(False)
     for _ in range(turns):
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("turns", range(9))
 async def test_connection_taken_as_the_entry_stops_taking_does_not_stay_open(turns):
-    """It brings no request: within a moment it is closed, or was never taken."""
+    """Without a request, the connection is closed soon or was never accepted."""
     async with serving(Replica("i-1", answer())) as entry:
         raw = await stopping(entry, turns)
         with raw, contextlib.suppress(ConnectionError):
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("turns", range(9))
 async def test_request_on_a_connection_taken_as_the_entry_stops_taking(turns):
-    """It brings a request half a second later, just before the entry ends.
+    """A request arrives half a second later, just before the entry exits.
 
-    The entry ends as soon as no request is at work. What has reached a replica is
-    answered; what the entry doesn't answer has reached none.
+    The entry exits as soon as no request is running. A request that has reached a
+    replica gets its response; one without a response has reached no replica.
     """
 
     async def slow(replica, received, writer):
--- a/tests/test_direct_last_engine.py
+++ b/tests/test_direct_last_engine.py
@@ -1,9 +1,7 @@
-"""One engine of a model is left, and it reads prompts: all callers are refused.
+"""Tests of the role controller with a single engine left.
 
-Engines are taken away one after another, as planned. The last answering one goes, and
-what is left only reads. A reading engine ends no request; an answering one reads and
-answers by itself. The planner leaves a fleet of one engine as it is, so every prompt is
-refused, for as long as no other engine comes.
+Guards against refusing every request while the only engine has the prefill role: a
+prefill engine can't complete a request alone, while a decode engine also prefills.
 """
 
 from __future__ import annotations
--- a/tests/test_direct_process.py
+++ b/tests/test_direct_process.py
@@ -1,4 +1,4 @@
-"""The direct entry as a process: start, readiness, signals, notices, metrics."""
+"""Tests of the direct entry as a process: readiness, signals, notices, metrics."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass
 class Process:
-    """A direct entry that runs."""
+    """A running direct entry and its ports."""
 
     process: asyncio.subprocess.Process
     port: int
@@ -94,17 +94,17 @@
 
 
 async def logged(entry: Process) -> list[dict]:
-    """Return the process's log lines after its end."""
+    """Wait for the process to exit and return its log lines."""
     output, _ = await entry.process.communicate()
     return [json.loads(line) for line in output.splitlines()]
 
 
 async def test_sigterm_cuts_nothing_off():
-    """SIGTERM comes while a stream runs and another connection is idle.
+    """SIGTERM arrives while a stream is running and another connection is idle.
 
-    Readiness fails at once; new requests are still taken for a moment, with
-    "Connection: close"; the idle connection is closed before the end, the stream ends
-    whole, and the process ends before the platform would kill it.
+    The readiness probe fails at once; new requests are still served for a moment, with
+    "Connection: close"; the idle connection is closed; the stream completes; and the
+    process exits before the platform would kill it.
     """
     script = EngineScript(last=30, pause=0.12)
     async with Store() as store, engine("i-1", script) as replica:
@@ -144,7 +144,7 @@
 
 
 async def test_part_of_the_retry_budget_grows_from_the_start_of_a_process():
-    """Without a part of its own an entry could send nothing again before it is busy."""
+    """Guards against an entry without any retries until it has seen enough requests."""
     replicas = [Replica(f"i-{number}", not_run()) for number in range(2)]
     async with Store() as store, replicas[0], replicas[1]:
         store.put("op/config", config())
@@ -187,7 +187,7 @@
 
 
 async def test_entries_find_and_tell_each_other():
-    """Two entries register; a long prompt at one is told to the other."""
+    """Two entries register; the prefill of a long prompt is announced to the other."""
 
     class Peer(asyncio.DatagramProtocol):
         def __init__(self) -> None:
@@ -212,7 +212,7 @@
         store.put(PRESENCE_PREFIX + "other", f"127.0.0.1:{port}".encode())
         async with process(store) as entry:
             await entry.until_ready()
-            # What is no notice must not disturb it.
+            # Invalid datagrams must have no effect.
             for noise in (b"", b"\xff" * 40, msgspec.msgpack.encode([1, 2])):
                 transport.sendto(noise, ("127.0.0.1", entry.peer_port))
             reader, writer = await asyncio.open_connection("127.0.0.1", entry.port)
@@ -235,9 +235,11 @@
 
 
 async def test_log_that_nobody_reads_holds_no_request():
-    """The collector of the logs hangs; the pipe is full after some hundred requests.
+    """Guards against blocking requests on the log.
 
-    Callers notice nothing. Once it reads again, a line says how many are missing.
+    The log collector hangs, and the pipe is full after some hundred requests. Requests
+    are still served; once the collector reads again, a line has the number of dropped
+    lines.
     """
     async with Store() as store, Replica("i-1", answer()) as replica:
         store.put("op/config", config())
--- a/tests/test_direct_stopping.py
+++ b/tests/test_direct_stopping.py
@@ -1,4 +1,4 @@
-"""An entry that is about to end: what was read is answered, the rest never read."""
+"""Tests of shutdown: requests that were read are answered, and no others are read."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def idle_connection(entry):
-    """Return a kept connection on which a request has been answered."""
+    """Return a keep-alive connection on which a request has been answered."""
     raw = socket.create_connection(("127.0.0.1", entry.port))
     raw.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=raw)
@@ -29,10 +29,10 @@
 
 @pytest.mark.parametrize("turns", range(9))
 async def test_request_that_arrives_as_the_entry_stops_taking(turns):
-    """A kept connection brings a request at the moment when idle ones are closed.
+    """Guards against cutting off a request that arrives as idle connections are closed.
 
-    Either it was never read, and its caller may send it elsewhere; or it was read, and
-    is answered whole. Cut off while it runs at a replica, its outcome would be unknown.
+    Either the request is never read, and its caller may send it elsewhere, or it is
+    read and gets a complete response. Otherwise its outcome would be unknown.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -52,21 +52,19 @@
 
 
 async def outcome(reader):
-    """Return the status that a caller got, 0 for a connection closed without any."""
+    """Return the status of a response; 0 for a connection closed without one."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         return (await asyncio.wait_for(read_answer(reader), 2)).status
     return 0
 
 
 async def test_requests_that_arrive_while_the_loop_stands_still_as_taking_ends():
-    """Callers of an entry told to end got a closed connection, though their calls ran.
-
-    The event loop stood still for 80 ms, as it does while memory is collected. When it
-    went on, it read two requests and found the time of taking over in the same pass;
-    neither had its handler yet, and both connections were closed as idle. The requests
-    still went to their upstreams: "sent at 50.982, reaches the upstream at 51.064, the
-    connection is closed at 51.069" for an entry that was told to end at 48.460 and
-    takes requests for 2.6 s more.
+    """Guards against closing a connection whose request has no handler yet.
+
+    The event loop is blocked for 80 ms, as by garbage collection, until the entry stops
+    accepting requests 2.6 s after SIGTERM. In one iteration it then reads two requests
+    and closes idle connections. Both requests would run at their upstreams, and their
+    callers would see closed connections.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -93,10 +91,10 @@
 
 
 async def test_body_that_is_still_coming_is_read_to_its_end():
-    """A request's head has been read when the entry stops taking, its body comes later.
+    """Guards against dropping a request whose body arrives during the shutdown.
 
-    The request is at work already: its caller gets its answer, then the connection is
-    closed.
+    Its headers were read before the entry stopped accepting requests: it gets its
+    response, and then the connection is closed.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -116,9 +114,10 @@
 
 
 async def test_answer_begun_before_the_end_closes_its_connection():
-    """The replica answers after the entry stopped taking; no header said "close".
+    """Guards against a connection that stays open after a response without "close".
 
-    The connection must not stay open: a next request on it would be cut off.
+    The response started before the entry stopped accepting requests; another request on
+    the connection would be cut off.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a direct entry: prefill, handles, resume, callers that leave."""
+"""Tests of streams: prefill, KV handles, resumption, disconnecting callers."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 async def ask_first(entry: Entry, path: str, one: Replica, two: Replica) -> Answer:
-    """Ask so that one engine gets the request, and another can take it over."""
+    """Send a request that one engine receives and another one can take over."""
     entry.register(two, state="draining")
     task = asyncio.create_task(entry.ask(path, **SHORT))
     await until(lambda: bool(one.received))
@@ -52,7 +52,7 @@
 
 
 async def test_long_prompt_is_read_apart():
-    """A reading engine reads, an answering one streams from its handle."""
+    """A prefill engine runs the prompt, and a decode engine imports its KV cache."""
     reader, answerer = EngineScript(), EngineScript()
     one, two = engine("i-1", reader, "prefill"), engine("i-2", answerer)
     async with serving(one, two) as entry:
@@ -66,7 +66,7 @@
 
 
 async def test_events_come_as_they_are_made():
-    """An event must not wait for the next one."""
+    """Guards against holding an event back until the next one arrives."""
     script = EngineScript(last=3, pause=0.15)
     async with serving(engine("i-1", script)) as entry:
         reader, writer = await entry.connect()
@@ -78,9 +78,10 @@
 
 
 async def test_stream_goes_on_elsewhere_with_whole_events():
-    """The engine dies within event 3; another goes on at 3, under the first's headers.
+    """The engine dies within event 3, and another one resumes the stream there.
 
-    The caller sees each event once, in order, and one complete answer.
+    The caller receives each event once, in order, in one complete response with the
+    headers of the first engine.
     """
     breaking = EngineScript(last=6, break_after=2, pause=0.05)
     sound = EngineScript(last=6)
@@ -95,7 +96,10 @@
 
 
 async def test_stream_that_may_not_resume_looks_incomplete():
-    """The engine dies within event 3 of a stream that must not run twice."""
+    """Guards against retrying a stream that must not run twice.
+
+    The engine dies within event 3.
+    """
     one = engine("i-1", EngineScript(break_after=2))
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
@@ -116,7 +120,7 @@
 
 
 async def test_callers_last_event_is_kept():
-    """A caller resumes by itself: the engine hears its number, not ours."""
+    """A caller that resumes a stream itself: its event number is forwarded."""
     one = engine("i-1", EngineScript(last=5))
     async with serving(one) as entry:
         got = await entry.ask("/long/x", Last_Event_Id="3", **SHORT)
@@ -147,7 +151,7 @@
 
 
 async def test_handle_that_nobody_takes_is_freed():
-    """The prompt is read, then the caller leaves before an engine took the KV cache."""
+    """The caller disconnects after the prefill, before the KV cache is imported."""
     reader = EngineScript()
     one, two = engine("i-1", reader, "prefill"), engine("i-2", hang())
     async with serving(one, two) as entry:
@@ -159,9 +163,10 @@
 
 
 async def test_refused_handle_leads_to_a_direct_run():
-    """The engine can't have the KV cache (503, not run): it reads the prompt itself.
+    """The decode engine can't import the KV cache (503, not run) and prefills itself.
 
-    The same engine again is no second engine, so that a route with one attempt may.
+    A second attempt at the same engine does not count against the maximum number of
+    upstreams.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -179,10 +184,10 @@
 
 
 async def test_silent_reading_engine_is_left_for_another():
-    """A reading engine loses power: nothing comes, no reset either.
+    """Guards against waiting for a prefill engine after a power loss, without a reset.
 
-    The caller gets its first event well before it would leave, and the dead engine
-    gets no further prompt for a while.
+    The caller gets its first event well before it would disconnect, and the dead engine
+    gets no other prompt during its cool-down.
     """
     dead = engine("i-1", hang(), "prefill")
     sound = engine("i-2", EngineScript(), "prefill")
@@ -199,7 +204,7 @@
 
 
 async def test_stalled_stream_goes_on_elsewhere():
-    """An engine stops in the middle without closing: the stream goes on at another."""
+    """An engine stops in the middle of a stream without closing the connection."""
 
     async def stall(replica: Replica, received: Received, writer) -> None:
         writer.write(
@@ -223,9 +228,9 @@
 
 
 async def test_engine_that_refuses_is_left_alone_for_a_moment():
-    """An engine restarted into another role answers 421 until its entry is right.
+    """An engine that restarted in another role replies 421 until it has registered.
 
-    The first request there is refused truthfully; the next ones go elsewhere.
+    The first request is refused as not run; the next ones go to another engine.
     """
     wrong, sound = engine("i-1", not_run(421)), engine("i-2", EngineScript())
     async with serving(wrong, sound) as entry:
@@ -239,7 +244,7 @@
 
 @pytest.mark.parametrize("resumable", [True, False])
 async def test_failure_before_the_first_event(resumable):
-    """An engine answers 500: passed on as it is, with its signature."""
+    """An engine's 500 is forwarded unchanged, with its signature."""
     one = engine("i-1", answer(500, b"broken"))
     async with serving(one) as entry:
         got = await entry.ask("/long/x" if resumable else "/talk/x", **SHORT)
@@ -248,10 +253,10 @@
 
 
 async def test_shared_part_is_fetched_from_the_engine_that_keeps_it():
-    """A prompt's beginning is kept by an engine that reads something else for long.
+    """A prefix is transferred from the busy engine that has it cached.
 
-    Another engine fetches it from there. While the beginning is only on its way, it
-    can't be had, and the engine that asks for it would read it all by itself.
+    Guards against asking an engine whose prefill of the prefix is still running: the
+    transfer would fail, and the whole prompt would be prefilled.
     """
     one = engine("i-1", EngineScript(prefill_seconds=0.3), "prefill")
     two = engine("i-2", EngineScript(prefill_seconds=0.3), "prefill")
@@ -274,10 +279,11 @@
 
 
 async def test_request_given_up_in_the_queue_does_not_pass_for_cached():
-    """A caller leaves while its prompt waits unread, and comes back with it.
+    """Guards against counting a cancelled prefill as cached.
 
-    Its own part was never read: taken for cached, 4,000 tokens would be read at an
-    answering engine, which begins no answer meanwhile.
+    A caller disconnects while its prompt is queued, and sends it again. If its 4,000
+    unshared tokens counted as cached, they would be prefilled at a decode engine, which
+    starts no other stream meanwhile.
     """
     one = engine("i-1", EngineScript(prefill_seconds=30), "prefill")
     two = engine("i-2", EngineScript())
@@ -295,9 +301,9 @@
 
 
 async def test_two_engines_that_refused_once_are_not_all_left_alone():
-    """Both answering engines refuse one request each, in one moment, then have room.
+    """Guards against refusing all requests while all decode engines are cooling down.
 
-    Left alone for a while, both, they would have every caller refused meanwhile.
+    Both engines refuse one request at the same time and have room again afterwards.
     """
 
     def script():
@@ -319,9 +325,9 @@
 
 
 async def test_stalled_stream_without_another_engine_waits():
-    """The only engine puts a stream back for want of memory and goes on later.
+    """Guards against cancelling a stalled stream that no other engine can resume.
 
-    Nobody else could go on with it: the caller gets the whole answer, late.
+    The only engine preempts the stream for lack of memory and resumes it later.
     """
 
     async def pausing(replica: Replica, received: Received, writer) -> None:
@@ -340,7 +346,10 @@
 
 @pytest.mark.parametrize("streamed", [0, 1])
 async def test_stalled_stream_goes_on_where_its_prompt_was_once_not_read(streamed):
-    """The stalled stream was ended for that engine, and then not sent to it."""
+    """Guards against excluding an engine from decode after a failed prefill.
+
+    The stalled stream was cancelled in favour of that engine and then not sent to it.
+    """
     full = engine("i-1", answer(503, b""), "prefill")
     reader = engine("i-2", EngineScript(prefill_seconds=0.1), "prefill")
 
@@ -356,7 +365,7 @@
     async with serving(
         full, reader, stalled, document=config(routes=[slow | {"max-attempts": 3}])
     ) as entry:
-        # Unknown to the entry, the other reader is the worse choice.
+        # Pending work makes the other prefill engine the worse choice.
         others = entry.fleet.members("llm", asyncio.get_running_loop().time())
         busy = next(member for member in others if member.name == "i-2")
         book = entry.core.context.placing.engine_book(busy)
@@ -374,10 +383,10 @@
 
 
 async def test_stream_that_nobody_would_wait_for_is_refused_at_once(caplog):
-    """Every engine has prompts for five seconds; callers leave after two.
+    """Guards against queueing a stream whose caller disconnects before it starts.
 
-    The caller hears at once that nothing ran and when to come back, and the log tells
-    what time was predicted.
+    Every engine has five seconds of work, and callers disconnect after two. The request
+    is refused at once with a Retry-After, and the log line has the predicted time.
     """
     caplog.set_level("INFO")
     one = engine("i-1", EngineScript(), "prefill")
@@ -401,9 +410,10 @@
 
 
 async def test_refused_callers_do_not_all_return_in_one_moment():
-    """A burst is refused for one cause, with the same prediction for all.
+    """Guards against refused callers that all retry at the same time.
 
-    Told the same time to come back they would be a burst again, and refused again.
+    A burst is refused with one prediction. With the same Retry-After for all, the
+    callers would return as a burst and be refused again.
     """
     one = engine("i-1", EngineScript(), "prefill")
     two = engine("i-2", EngineScript())
@@ -420,16 +430,17 @@
 
 
 def plan(entry: Entry, name: str, role: str) -> None:
-    """Let an entry learn that an engine has been ordered to change its role."""
+    """Apply a plan that changes an engine's role to an entry's fleet."""
     part = EnginePlan(1, 1, Assignment(Role(role)))
     entry.put(engine_key(name), encode_record(part))
 
 
 async def test_stream_waits_for_the_engine_that_is_about_to_answer(monkeypatch):
-    """All answering engines have left; a reading one is on its way to answering.
+    """Guards against refusing a stream that can wait for a role change.
 
-    The caller stays long enough for it: it gets its answer as soon as the engine is
-    there, where a refusal would cost it the way back and forth.
+    All decode engines have left, and a prefill engine is changing its role. The caller
+    stays long enough: its stream starts as soon as the engine is ready, without the
+    round trip that a refusal would cost.
     """
     monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.6)
     one, two = engine("i-1", EngineScript(), "prefill"), engine("i-2", EngineScript())
@@ -447,9 +458,9 @@
 
 
 async def test_stream_is_told_when_an_engine_will_answer():
-    """The engine on its way is too late for this caller: it may come back then.
+    """A caller that can't wait for a role change is told when to retry.
 
-    Callers that were all told the same moment would return in a flood.
+    Guards against a burst of retries: each caller gets another Retry-After.
     """
     one = engine("i-1", EngineScript(), "prefill")
     told = set()
@@ -466,10 +477,10 @@
 
 
 async def test_stream_does_not_wait_for_a_change_that_never_ends(monkeypatch):
-    """The engine's change is overdue: its order was lost, as nobody here can know.
+    """Guards against waiting for a role change whose order was lost.
 
-    Each caller is told to come back before it would leave by itself, two seconds after
-    it came; held to the end it would have nothing.
+    The change is overdue, and the entry can't know that it will never complete. Each
+    caller is refused before it would disconnect, two seconds after its request.
     """
     monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.1)
     one = engine("i-1", EngineScript(), "prefill")
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -1,4 +1,4 @@
-"""Faults beside the requests of an entry, which must not end any of them."""
+"""Tests of faults in background work, which must not affect running requests."""
 
 from __future__ import annotations
 
@@ -48,10 +48,9 @@
 
 @pytest.mark.parametrize("part", [Follower, Presence, RolePlanner])
 async def test_failure_beside_the_requests_ends_no_request(part, monkeypatch):
-    """A task that serves no request fails for a cause that nobody has foreseen.
+    """Guards against closed connections after an unexpected error in a background task.
 
-    The order at work gets its answer. Ended at once, the process would leave every
-    caller of the moment with a closed connection.
+    The process shuts down gracefully, and the running order gets its response.
     """
     fail = asyncio.Event()
 
@@ -92,7 +91,7 @@
 
 @contextlib.asynccontextmanager
 async def entry_in_this_process(store: Store):
-    """Run all of an entry as a task; its end is waited for and its errors are not."""
+    """Run a whole entry as a task; its end is awaited, and its errors are ignored."""
     ports = [free_port() for _ in range(3)]
     addresses = [f"127.0.0.1:{port}" for port in ports]
     settings = DirectEntrySettings(
@@ -133,10 +132,10 @@
 
 @pytest.mark.parametrize("key", UNREADABLE)
 async def test_no_value_in_the_store_ends_the_entry(key):
-    """A key of the store holds what nobody can read, whoever wrote it.
+    """Guards against a crash on a value in the store that can't be decoded.
 
-    It is left out of account. An entry that ended for it would cut off every request
-    at work, and so would each of its successors.
+    The value is ignored. A crash would cut off all running requests, and would repeat
+    after each restart.
     """
     replica = Replica("i-1", answer())
     async with entry_before(replica) as (entry, store):
@@ -161,9 +160,9 @@
 
 
 async def test_line_that_can_not_be_written_ends_no_request():
-    """A request's id has bytes that are no UTF-8, and each of its lines bears the id.
+    """Guards against a log handler that fails on a request id with invalid UTF-8.
 
-    It is refused in good order: the next request on its connection is answered.
+    The request is refused, and the next one on the connection gets its response.
     """
     readable, writable = os.pipe()
     handler = BoundedJsonHandler(writable, "entry-1")
@@ -197,10 +196,10 @@
     "address", ["host:7000", "127.0.0.1:70000", "127.0.0.1:0", "::1", ":7000", ""]
 )
 async def test_entry_is_only_told_of_prompts_at_an_ip_number_and_port(address):
-    """Another entry has registered under what is no address of datagrams.
+    """Guards against an invalid datagram address in another entry's registration.
 
-    A name would be looked up at each datagram, while all requests stand still; a port
-    out of range would close the port that datagrams are sent from.
+    A host name would be resolved for every datagram, blocking the event loop. A port
+    out of range would close the socket that sends the datagrams.
     """
     async with serving() as entry:
         entry.put(PRESENCE_PREFIX + "good", b"10.0.0.9:7380")
@@ -210,9 +209,9 @@
 
 
 async def test_fault_in_planning_ends_nothing(monkeypatch):
-    """The planner fails for a cause that nobody has foreseen, each time it plans.
+    """Guards against terminating an entry on an unexpected error in the planner.
 
-    It gives the lease back and tries again; the entry serves on.
+    The planner releases its lease and tries again, and requests are still served.
     """
     monkeypatch.setattr(role_planner, "PAUSE_SECONDS", (0.05, 0.05))
     monkeypatch.setattr(direct_daemon, "FIRST_LOOK_SECONDS", 0.01)
@@ -239,7 +238,7 @@
 
 
 async def test_log_whose_reader_is_gone_ends_no_request():
-    """Whatever reads the logs has ended: each write to them fails."""
+    """Requests are served although the log's reader has exited and writes fail."""
     replica = Replica("i-1", answer())
     async with entry_before(replica) as (entry, _):
         entry.process._transport.get_pipe_transport(1).close()
@@ -251,7 +250,7 @@
 
 
 async def order_alone(entry: Process):
-    """Ask for something on a connection that is closed after the answer."""
+    """Send an order on a new connection that is closed after the response."""
     reader, writer = await send(entry, request("/order/x", **CALLER))
     try:
         return await read_answer(reader)
@@ -260,7 +259,7 @@
 
 
 async def descriptors_held(pid: int) -> int:
-    """Return how many descriptors a process holds besides those of passing calls."""
+    """Return the number of a process's descriptors without short-lived connections."""
     counts = []
     for _ in range(20):
         counts.append(len(os.listdir(f"/proc/{pid}/fd")))
@@ -269,10 +268,10 @@
 
 
 async def test_callers_beyond_the_limit_of_descriptors_wait_for_one():
-    """A process may open no further file: connections wait to be taken in.
+    """Guards against losing requests at the limit of file descriptors.
 
-    Once others are closed they are taken, and their requests answered; none that was
-    read is lost, and an order that could not be sent on is refused as not run.
+    New connections wait in the backlog and are accepted once others are closed. Each
+    request gets a response; an order that could not be sent is refused as not run.
     """
     replica = Replica("i-1", answer())
     async with entry_before(replica, seconds="8") as (entry, _):
@@ -293,9 +292,9 @@
 
 @pytest.mark.parametrize("events", [0, 2])
 async def test_fault_of_the_entry_itself_is_told(events, monkeypatch):
-    """Something that nobody has foreseen fails, before the answer or within it.
+    """An unexpected error before a response starts or in the middle of a stream.
 
-    Before, the caller is told; within, the stream looks incomplete.
+    The caller gets a 500, or a stream that is visibly incomplete.
     """
     split = EventSplitter.feed
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Every request that an entry has read gets its one answer as the entry ends."""
+"""Tests that each request read by an entry gets one response during a shutdown."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 from test_direct_process import process
 
 ANSWER_SECONDS = 3.0
-"""By then a caller of such a process has its answer, or gets none."""
+"""Time after which a caller can't get a response any more."""
 
 
 async def answer_at_the_end(entry: Process, reader):
-    """Tell an entry to end and return the answer that a caller has by then.
+    """Send SIGTERM to an entry and return the response that a caller gets.
 
-    ``None`` where the connection is closed without one.
+    ``None`` if the connection is closed without one.
     """
     entry.process.send_signal(signal.SIGTERM)
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -55,10 +55,9 @@
 
 @pytest.mark.parametrize("path", ["/order/x", "/read/x", "/talk/x"])
 async def test_request_at_work_at_the_end_is_told_that_its_outcome_is_unknown(path):
-    """A replica has a request when the entry's time to end is over, and says nothing.
+    """Guards against a closed connection for a request that runs when a shutdown ends.
 
-    It may run there: its caller is told so, where a closed connection would leave it
-    to guess.
+    The replica has not replied: the caller is told that the outcome is unknown.
     """
     plain, llm = Replica("i-1", hang()), engine("i-2", hang())
     async with entry_before(plain, llm) as (entry, _):
@@ -71,9 +70,9 @@
 
 
 async def test_prompt_that_is_read_at_the_end_is_refused_as_not_run():
-    """A long prompt is at an engine that only reads it; nothing has been answered.
+    """A request in its prefill when a shutdown ends is refused as not run.
 
-    The request did not run: its caller is told so, and when to come back.
+    Nothing of the response was generated, so that its caller may retry.
     """
     reading = engine("i-1", EngineScript(prefill_seconds=30), "prefill")
     answering = engine("i-2", EngineScript())
@@ -90,9 +89,9 @@
 
 
 async def test_stream_that_waits_at_the_end_is_refused_as_not_run():
-    """A stream waits for the engine that is on its way to answering, and never ran.
+    """A stream that waits for a role change when a shutdown ends is refused as not run.
 
-    Its caller is told so, and when to come back, before the process ends.
+    Its caller gets a Retry-After before the process exits.
     """
     changing = engine("i-1", EngineScript(), "prefill")
     async with entry_before(changing) as (entry, store):
@@ -110,9 +109,9 @@
 
 
 async def test_request_whose_body_is_late_at_the_end_is_refused_as_not_run():
-    """A request's head has been read; its body has not come when the process ends.
+    """A request whose body has not arrived when a shutdown ends is refused as not run.
 
-    Nothing was sent on: its caller is told so, and when to come back.
+    Its caller gets a Retry-After.
     """
     replica = Replica("i-1", answer())
     async with entry_before(replica) as (entry, _):
@@ -128,9 +127,9 @@
 
 
 async def test_stream_at_work_at_the_end_looks_incomplete():
-    """A stream is under way when the entry's time to end is over.
+    """Guards against a stream that looks complete although a shutdown has cut it off.
 
-    What has been sent stays; the end that would make it whole is not sent.
+    The events received so far are sent, the end of the stream is not.
     """
     talking = engine("i-1", EngineScript(last=1000, pause=0.02))
     async with entry_before(talking) as (entry, _):
@@ -145,7 +144,7 @@
 
 
 async def small_caller(port: int) -> socket.socket:
-    """Connect a socket that takes little before it is read."""
+    """Connect a socket with a small receive buffer."""
     caller = socket.socket()
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     caller.setblocking(False)
@@ -154,7 +153,7 @@
 
 
 async def bytes_in_the_system() -> int:
-    """Return how much the system takes for a small caller that reads nothing."""
+    """Return how many bytes the kernel buffers for such a caller that reads nothing."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         caller = await small_caller(listening.getsockname()[1])
         accepted, _ = listening.accept()
@@ -164,10 +163,10 @@
 
 
 async def test_answer_that_its_caller_reads_late_is_sent_to_its_end():
-    """An answer is a little larger than the sockets' buffers, and is read late.
+    """Guards against exiting while the end of a response is in the event loop's buffer.
 
-    Its last bytes are with the event loop, not with the system, and no request is at
-    work: the entry must not end before they have gone out, for which it has the time.
+    The response is a little larger than the sockets' buffers, and the caller reads it
+    late. No request is running, and there is time left to send the rest.
     """
     size = await bytes_in_the_system() + 30_000
     replica = Replica("i-1", answer(200, b"x" * size))
@@ -184,7 +183,7 @@
 
 
 async def body_length(caller: socket.socket) -> int:
-    """Read an answer to the end of its connection and return its body's length."""
+    """Read a response until the connection ends and return the length of its body."""
     loop = asyncio.get_running_loop()
     data = bytearray()
     with contextlib.suppress(ConnectionError):
@@ -195,7 +194,7 @@
 
 
 class HangingStore(Store):
-    """A store that ends no lease and renews none once it hangs."""
+    """A store that no longer replies to calls about leases once it hangs."""
 
     hangs = False
 
@@ -212,10 +211,10 @@
 
 
 async def test_end_is_kept_to_with_a_store_that_is_silent():
-    """The store takes calls and answers none; an order hangs at its replica.
+    """Guards against a shutdown delayed by a store that does not reply.
 
-    The platform kills the process when its seconds are over: by then the caller must
-    have its answer, however long the store is waited for.
+    An order hangs at its replica. Its caller must get a response before the platform
+    kills the process.
     """
     replica = Replica("i-1", hang())
     store = HangingStore()
@@ -238,11 +237,10 @@
 
 @pytest.mark.parametrize("turns", range(8))
 async def test_connection_that_comes_as_the_entry_stops_taking_does_not_stay(turns):
-    """A caller connects in the moment at which the entry stops taking.
+    """Guards against a connection that stays open after an entry stops accepting.
 
-    Its connection is in the system's queue, on its way to a handler, or has just got
-    one. Left open and idle, it could bring a request as the process ends; left without
-    a handler, its request would be read by nobody, and its caller would wait.
+    The connection is in the kernel's queue, has been accepted, or has just got its
+    handler. A request that arrives on it later would be cut off, or never be read.
     """
     async with serving(Replica("i-1", answer())) as entry:
         caller = socket.create_connection(("127.0.0.1", entry.port))
@@ -257,10 +255,10 @@
 
 
 async def test_suspension_over_the_moment_at_which_an_entry_stops_taking():
-    """A process is suspended from before that moment to after it, and wakes.
+    """Guards against lost requests if a process is suspended as it stops accepting.
 
-    Requests arrived meanwhile, on a kept connection and on a new one. All is over in
-    one pass of the event loop: what is read in it is answered.
+    Requests have arrived on a kept connection and on a new one when it resumes, in the
+    same iteration of the event loop. Those that are read get their responses.
     """
     replica = Replica("i-1", answer())
     async with entry_before(replica, seconds="8") as (entry, _):
@@ -272,7 +270,7 @@
         await asyncio.sleep(direct_daemon.STILL_ROUTED_SECONDS - 0.4)
         entry.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
-        # Both leave before the process ends, so that both are still taken.
+        # Both have deadlines before the process exits, so that both are admitted.
         brief = CALLER | {"X_Deadline_Ms": "2000"}
         kept_writer.write(request("/read/x", request_id="kept", **brief))
         new, new_writer = await send(entry, request("/order/x", **brief))
@@ -286,7 +284,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
 async def test_second_signal_cuts_nothing_off(number):
-    """An entry that was told to end gets another signal while an order is at work."""
+    """A second signal during the shutdown does not cut off a running order."""
     replica = Replica("i-1", slow_answer)
     async with entry_before(replica, seconds="8") as (entry, _):
         reader, writer = await send(entry, request("/order/x", **CALLER))
@@ -300,9 +298,9 @@
 
 
 async def test_signal_before_the_first_reading_of_the_store():
-    """The store does not answer as an entry starts; callers come, then SIGTERM.
+    """SIGTERM before the initial load: the store is unavailable as an entry starts.
 
-    They are told that nothing ran and when to come back.
+    Callers are refused as not run, with a Retry-After.
     """
     async with Store() as store:
         store.outage = 503
@@ -318,10 +316,10 @@
 
 
 async def test_end_begins_while_a_deadline_passes():
-    """A request's time is over, and it is still closing its connection to an upstream.
+    """Guards against an error when a shutdown reschedules an expired timeout.
 
-    In that moment the entry is told to end: the limits of all requests are brought
-    forward, that of this one being past. The others end as they should.
+    A request's deadline has passed, and it is still closing its connection to an
+    upstream when the shutdown brings all deadlines forward.
     """
     loop = asyncio.get_running_loop()
     limits = TimeLimits(random.Random(1))
@@ -343,10 +341,9 @@
 
 
 async def test_head_that_comes_in_two_parts_around_the_close_of_idle_connections():
-    """Half of a request's head has come as the entry closes what is idle.
+    """Guards against closing a connection as idle after half of a request's headers.
 
-    Its connection is no idle one: closed, its caller would not know whether the request
-    was read.
+    Its caller would not know whether the request was read.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -364,10 +361,10 @@
 
 
 async def test_request_behind_a_stream_that_began_before_the_end():
-    """A stream began before anyone knew of the end, and ends after it.
+    """Guards against dropping a pipelined request behind a stream.
 
-    It did not say that its connection closes, and the next request has been read on it:
-    it is answered, and that answer says so.
+    The stream started before the shutdown and did not say "Connection: close". The
+    request behind it has been read: it gets a response, which does say so.
     """
     async with serving(
         engine("i-1", EngineScript(last=5, pause=0.05)), Replica("i-2", answer())
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -1,8 +1,8 @@
-"""The steps of spec/orders.pml, made by the real planner against one engine.
+"""Model-based tests: the planner and one engine take the steps of spec/orders.pml.
 
-Two planners follow each other, are paused between any two of their steps, lose replies;
-the engine carries orders out late and restarts under its own name. Engines compare no
-fencing tokens here, as in the specification.
+Two planners lead in turn, are suspended between any two steps and lose replies. The
+engine carries orders out late and restarts under its name. As in the specification,
+engines compare no fencing tokens.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 from bergamotmast.standins.key_value import KeyValueStandIn
 
 RESTART_SECONDS = 2.0
-"""Least time that an engine is away when it restarts."""
+"""Minimum duration of an engine's restart."""
 
 LEASE_SECONDS = 10_000
-"""Leases lapse by the rule that takes over and not by time."""
+"""Long enough that leases end only by the rule that takes over."""
 
 ENGINE = Upstream("i-1", "7", "llm", "10.0.0.1:80", "z", 64, False, Role.DECODE)
 ORDER = RoleOrder("i-1", Role.PREFILL, "by the test")
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Given:
-    """An order on its way; ``number`` counts orders as they are given."""
+    """An order in flight; ``number`` increases in the order of sending."""
 
     number: int
     token: int
@@ -54,7 +54,7 @@
 
 
 class Engine:
-    """Carries orders out, now or later, and checks that they come in order."""
+    """Carries orders out, now or later, and checks their sequence."""
 
     def __init__(self) -> None:
         self.given = 0
@@ -84,7 +84,7 @@
 
 
 class Orders:
-    """How one planner reaches the engine; ``meanwhile`` happens while it is paused."""
+    """One planner's port to the engine; ``meanwhile`` runs while it is suspended."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -221,14 +221,14 @@
 
 
 class CarelessEngine(Engine):
-    """A broken twin: carries out an order whatever count it names."""
+    """A faulty engine: ignores the sequence number of an order."""
 
     def applies(self, order: Given) -> bool:
         return True
 
 
 class BrokenMachine(OrdersMachine):
-    """The same before an engine that looks at no count."""
+    """The same state machine with a faulty engine."""
 
     def new_engine(self) -> Engine:
         return CarelessEngine()
--- a/tests/test_reply_faults.py
+++ b/tests/test_reply_faults.py
@@ -1,4 +1,4 @@
-"""Upstreams whose replies can not be passed on, and the answers that callers get."""
+"""Tests of upstreams whose replies can't be forwarded unchanged."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 async def test_answer_with_a_header_that_can_not_be_written():
-    """A replica's answer has a control character in a header.
+    """Guards against losing a response because of one invalid header.
 
-    The HTTP library reads it and refuses to write it. The answer goes out without that
-    header; nothing at all would leave the caller of an order that ran without a word.
+    The HTTP library reads a control character in a header but refuses to write it. The
+    response is sent without that header: without any response, the caller would not
+    know that its order ran.
     """
     script = answer(200, b"fine", "X-Odd: a\x07b", "X-Even: ab")
     async with serving(Replica("i-1", script)) as entry:
@@ -44,9 +45,9 @@
 
 @pytest.mark.parametrize("path", ["/order/x", "/talk/x"])
 async def test_status_that_is_no_answer_is_not_passed_on(path):
-    """A replica says that it changes the protocol, which nobody has asked it to do.
+    """Guards against forwarding an unrequested 101 (switching protocols).
 
-    Passed on, the caller would wait for the answer that HTTP has follow.
+    A caller would wait for another response after it.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -60,9 +61,10 @@
 
 
 async def test_group_that_vanishes_while_a_stream_waits():
-    """A stream waits for an engine; the operators take the route and its group out.
+    """Guards against an error when a group is removed while a stream waits for it.
 
-    The engine comes under that name all the same, or does not: the caller is told.
+    The stream waits for an engine to change its role; its route and its group are
+    removed from the configuration, and then the engine goes.
     """
     one = engine("i-1", EngineScript(), "prefill")
     async with serving(one, document=config(routes=ROUTES)) as entry:
@@ -79,10 +81,7 @@
 
 @pytest.mark.parametrize("path", ["/order/x", "/read/x", "/talk/x"])
 async def test_answer_that_breaks_off_in_a_wrong_chunk(path):
-    """A replica's answer comes in chunks, and one is none: the rest can't be read.
-
-    The call is taken for broken at once, not at its deadline.
-    """
+    """Guards against waiting until the deadline after an invalid chunk in a reply."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         lines = ("Transfer-Encoding: chunked", "Content-Type: text/event-stream")
@@ -102,10 +101,10 @@
 async def test_answer_without_an_end_takes_no_more_memory_than_it_may(
     path, monkeypatch
 ):
-    """An upstream sends one body, or one event, and never stops.
+    """Guards against exhausting memory with a body, or an event, that never ends.
 
-    Kept to its end, it would take the memory of the process, and the system would end
-    that with every request at work. It is taken for broken.
+    The process would be killed with all its running requests. The reply is treated as
+    broken once it exceeds the limit.
     """
     monkeypatch.setattr(opaque_http, "MOST_BODY_BYTES", 1 << 20)
     sent = 0
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -1,4 +1,4 @@
-"""Second sends: what all entries together give out, and what tells of it."""
+"""Tests of the retry budget that all entries share."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class Member:
-    """What one entry knows of the others, and its part of the budget."""
+    """One entry's view of the others, and its share of the budget."""
 
     def __init__(self, number: int, limits: RetryLimits) -> None:
         clock = asyncio.get_running_loop().time
@@ -77,22 +77,22 @@
             self.fleet.remove(key, 2)
 
     async def serve(self, seconds: float) -> None:
-        """Let time pass in which the store is heard."""
+        """Let time pass until the store's next reply."""
         await asyncio.sleep(seconds)
         self.fleet.entry_share.on_heard(asyncio.get_running_loop().time())
 
     def send_all(self) -> int:
-        """Send again as often as the budget lets, as if every engine failed."""
+        """Return how many retries the budget allows now, taking all of them."""
         return sum(iter(lambda: self.second_sends.spend("llm"), False))
 
 
 async def serve(members: list[Member], seconds: float) -> None:
-    """Let time pass in which all hear the store."""
+    """Let time pass until the store's next reply to all members."""
     await asyncio.gather(*(member.serve(seconds) for member in members))
 
 
 def full_members(count: int, limits: RetryLimits) -> list[Member]:
-    """Return entries that know each other."""
+    """Return entries of which each knows all others."""
     members = [Member(number, limits) for number in range(count)]
     keys = [member.key for member in members]
     for member in members:
@@ -103,10 +103,10 @@
 def over_budget(
     requests: list[float], repeats: list[float], limits: RetryLimits
 ) -> float:
-    """Return by how many second sends the worst window is over what is allowed.
+    """Return by how many retries the worst window exceeds the budget.
 
-    Allowed is a share of the requests of the window, of the one before it or of the one
-    that began half a window earlier, whichever has most, and the few.
+    A window's budget is a share of the requests in it, in the window before it or in
+    the one that began half a window earlier, whichever has most, plus the free retries.
     """
 
     def count(times: list[float], since: float) -> int:
@@ -127,7 +127,11 @@
 @pytest.mark.looptime
 @pytest.mark.parametrize("entries", [5, 28, 330])
 async def test_entries_that_heard_of_few_others_stay_within_the_budget(entries):
-    """All start at once and lose the store: each knows those that came before it."""
+    """Guards against shares that are too large if entries don't know all others.
+
+    All entries start at the same time and then lose the store, so that each knows only
+    those that registered before it.
+    """
     limits = RetryLimits(0.2, 40.0 * entries)
     members = [Member(number, limits) for number in range(entries)]
     keys = [member.key for member in members]
@@ -141,7 +145,11 @@
 @pytest.mark.looptime
 @pytest.mark.parametrize("entries", [5, 28, 330])
 async def test_entries_whose_registrations_lapse_stay_within_the_budget(entries):
-    """The store is away for longer than the leases; on its return it lists nobody."""
+    """Guards against shares that grow as registrations lapse.
+
+    The store is unavailable for longer than the leases last, and no entry is registered
+    when it returns.
+    """
     limits = RetryLimits(0.2, 40.0 * entries)
     members = full_members(entries, limits)
     await serve(members, WINDOW_SECONDS)
@@ -154,7 +162,7 @@
 @pytest.mark.looptime
 @pytest.mark.parametrize("entries", [5, 28])
 async def test_entries_that_start_again_and_again_stay_within_the_budget(entries):
-    """Each start gives out the entry's part anew, three times in one window."""
+    """Guards against a full share at each restart, three times in one window."""
     limits = RetryLimits(0.2, 40.0 * entries)
     members = full_members(entries, limits)
     await serve(members, WINDOW_SECONDS)
@@ -183,7 +191,7 @@
 def drawn_times(
     rng: random.Random, bursts: tuple[tuple[float, float, float], ...]
 ) -> cabc.Iterator[float]:
-    """Yield when requests come: 75 a second, more or fewer in bursts."""
+    """Yield the arrival times of requests: 75 a second, more or fewer in bursts."""
     now = 0.0
     while now < 40.0:
         factors = [factor for since, end, factor in bursts if since <= now < end]
@@ -194,7 +202,10 @@
 @pytest.mark.parametrize("bursts", BURSTS.values(), ids=BURSTS)
 @pytest.mark.parametrize("entries", [1, 5, 28])
 def test_failures_between_two_bursts_stay_within_the_budget(entries, bursts):
-    """Engines fail as the second burst comes; the first one's requests pay twice."""
+    """Guards against counting the requests of the first burst in two windows.
+
+    Engines fail as the second burst arrives.
+    """
     limits = RetryLimits(0.2, 58.0)
     rng = random.Random(entries)
     windows = [RetryWindow(limits) for _ in range(entries)]
@@ -210,7 +221,7 @@
 
 
 def closes_unanswered() -> Script:
-    """Return the script of an engine that is gone: it ends each connection."""
+    """Return the script of a dead engine: it resets each connection."""
 
     async def script(
         replica: Replica, received: Received, writer: asyncio.StreamWriter
@@ -222,7 +233,10 @@
 
 @pytest.mark.parametrize("entries", [1, 28])
 async def test_prompts_that_gone_engines_drop_stay_within_the_budget(entries):
-    """Every prompt is dropped by an engine that is still registered, and sent on."""
+    """Guards against retries over the budget while dead engines are still registered.
+
+    Each of them drops the prompts that it gets, and each prompt is sent to another.
+    """
     gone = [engine(f"i-{n}", closes_unanswered(), "prefill") for n in range(40)]
     last = engine("i-last", EngineScript())
     patient = route("/talk/", "streaming", "llm", **{"target-latency-ms": 700})
@@ -240,7 +254,7 @@
 
 
 async def test_engine_that_drops_a_stream_does_not_draw_the_next_ones():
-    """An engine that is gone but still registered has no work and looks best to all."""
+    """Guards against a dead engine that attracts requests because it looks idle."""
     gone = engine("i-1", closes_unanswered())
     busy = engine("i-2", EngineScript(pause=0.2))
     patient = route("/long/", "streaming", "llm", **{"timeout-ms": 20_000})
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -1,4 +1,4 @@
-"""Prompts at engines that say nothing: busy, dead, or answering everything but one."""
+"""Tests of unresponsive engines: busy ones, dead ones, and ones that skip a prompt."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Check:
-    """Says of every engine whether it lives."""
+    """A liveness probe with a fixed result."""
 
     def __init__(self, lives: bool) -> None:
         self.lives = lives
@@ -44,11 +44,11 @@
 
 
 async def test_engine_that_is_only_busy_keeps_a_long_prompt():
-    """A long prompt is begun anew at one engine after the other; its caller leaves.
+    """Guards against restarting a long prefill at one engine after another.
 
-    It is being read, and the book takes the short one behind it for the one under way.
-    Nothing is heard for longer than that one takes. Taken for dead, the engine loses
-    what it has read, and the next one is late in turn.
+    The engine prefills the long prompt while the load tracker assumes that it works on
+    the short one, and it does not reply for longer than the short one takes. If it were
+    considered dead, its progress would be lost, and the next engine would be late too.
     """
     busy = engine("i-1", EngineScript(prefill_seconds=1.2), "prefill")
     idle = engine("i-2", EngineScript(), "prefill")
@@ -76,7 +76,7 @@
 
 
 async def test_prompt_that_a_living_engine_never_reads_goes_elsewhere():
-    """An engine answers everything but this prompt: its caller is served by another."""
+    """Guards against waiting for an engine that is alive but never runs a prompt."""
     mute = engine("i-2", hang(), "prefill")
     sound = engine("i-1", EngineScript(), "prefill")
     async with serving(
@@ -145,7 +145,7 @@
 
 
 async def test_one_question_serves_all_that_wait():
-    """A dozen prompts wait at an engine without power; it is asked once at a time."""
+    """Guards against one probe per waiting prompt: a dozen wait at a dead engine."""
     dead = engine("i-1", hang(), "prefill")
     sound = engine("i-2", EngineScript(), "prefill")
     check = Check(lives=False)
@@ -178,11 +178,12 @@
 
 @pytest.mark.parametrize("entries", [1, 4, 31])
 async def test_prompts_that_fail_everywhere_stay_within_the_budget(entries):
-    """All reading engines die: each request begins anew until the budget is spent.
+    """Guards against prefill retries that the budget does not count.
 
-    A prompt whose engine never took it is a send like any other. Counted only from the
-    second one on, requests that fail twice make one send more than the budget knows.
-    The others are told that theirs did not run.
+    All prefill engines are dead, so that each request is retried until the budget is
+    exhausted. If the first failed prefill were not counted, requests that fail twice
+    would make one attempt more than the budget allows. The other callers are told that
+    their requests were not run.
     """
     dead = [engine(f"i-{n}", hang(), "prefill") for n in range(3)]
     last = engine("i-9", EngineScript())
@@ -201,10 +202,12 @@
 
 
 def test_a_long_prompt_is_given_the_time_it_takes():
-    """44,000 tokens behind 17,000: at 1.2 s, the first half of it is read.
+    """Guards against restarting a long prefill that is making progress.
 
-    The caller leaves after 2.4 s. Begun anew elsewhere then, it would be read there by
-    2.3 s at best, and everything behind it would wait a second longer.
+    A prompt of 44,000 tokens queues behind one of 17,000; its first half is prefilled
+    at 1.2 s, and its caller disconnects after 2.4 s. Restarted elsewhere at 1.2 s, the
+    prefill would complete at 2.3 s at best, and all prompts behind it would wait one
+    second longer.
     """
     book = EngineBook(500_000)
     book.begin(("e", 1), READING_GUESS.occupied(17_000, 0), 5, 0.0)
@@ -240,9 +243,10 @@
 
 
 async def test_a_time_out_of_the_call_itself_is_a_lost_reply():
-    """The system gives a connection up while the engine is not yet taken for silent.
+    """Guards against reporting a TCP timeout as an internal error.
 
-    That ends the call as any lost reply does; it must not pass for a fault of ours.
+    The operating system times the connection out before the engine is considered
+    unresponsive. The call must end like one whose reply was lost.
     """
 
     async def goes_on() -> str:
