--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -1,4 +1,7 @@
-"""One entry's connection to one side, in one task written straight down."""
+"""An entry's connection to one side: session, heartbeats, offers and their events.
+
+One task runs the connection sequentially: hello, welcome, messages, reconnection.
+"""
 
 from __future__ import annotations
 
@@ -36,20 +39,32 @@
 
 
 class Peer:
-    """A side as one entry knows it.
+    """The connection of one entry to one side, and what the side last reported.
 
     :param entry: name of the entry.
-    :param incarnation: random for each start of the entry.
-    :param info: the upstream, as the instance list names it.
-    :param counters: numbers the hellos of this incarnation, over all its peers: a
-        side refuses a hello that is not above the last it took.
+    :param incarnation: random identifier of this start of the entry.
+    :param info: the upstream's record in the instance list.
+    :param dialer: opens the connection.
+    :param holder: the configuration in force.
+    :param counters: numbers the hellos of this incarnation over all its peers; a side
+        ignores a hello whose number is not above that of the last one it accepted.
     :param interval: seconds between heartbeats; longer for a side that is only
-        observed and given no work.
-    :param session: open session, or ``None``.
-    :param version: protocol version of the session last opened.
-    :param plan_seen: highest plan that a side of this upstream has told of.
-    :param reconnect_by: until when a lost session may well come back.
-    :param report: the side's last word, or ``None`` without a session.
+        observed and gets no work.
+    :param telemetry: receives metrics; none are recorded without it.
+    :param session: name of the open session, or ``None``.
+    :param version: protocol version of the last session.
+    :param side_incarnation: identifier of the start of the side's process.
+    :param counter: number of the latest hello.
+    :param report: the side's last report, or ``None`` without a session.
+    :param reported_at: local monotonic time of that report.
+    :param reconnect_by: local monotonic time until which a lost session is likely to
+        be replaced by a new one.
+    :param generation: generation of the configuration that the side has in force.
+    :param frame_dropped: whether a frame could not be handed to the transport.
+    :param plan_seen: highest plan token that any side of this upstream has reported.
+    :param attempts: attempts offered to this side, by name.
+    :param offered_since_report: cost of the offers since the last report, which does
+        not contain them yet.
     """
 
     def __init__(
@@ -60,7 +75,7 @@
         dialer: Dialer,
         holder: ConfigHolder,
         counters: cabc.Iterator[int],
-        interval: float = timing.BEAT_INTERVAL,
+        interval: float = timing.HEARTBEAT_INTERVAL_SECONDS,
         telemetry: Telemetry | None = None,
     ) -> None:
         self.entry = entry
@@ -80,27 +95,27 @@
         self.reported_at = 0.0
         self.reconnect_by = 0.0
         self.generation = 0
-        self.frame_lost = False
+        self.frame_dropped = False
         self.plan_seen = NO_TOKEN
         self.attempts: dict[str, EntryAttempt] = {}
-        self.since_report = Cost(0, 0)
+        self.offered_since_report = Cost(0, 0)
 
-    # What the rest of the entry asks of it
+    # Offers and their attempts
 
     @property
     def is_observer(self) -> bool:
-        """Whether the session only observes."""
-        return self.interval > timing.BEAT_INTERVAL
+        """Whether the side is only observed and gets no work."""
+        return self.interval > timing.HEARTBEAT_INTERVAL_SECONDS
 
     @property
     def is_ready(self) -> bool:
-        """Whether new work may be offered."""
+        """Whether new work may be offered to the side."""
         if self.is_observer or self.session is None or self.report is None:
             return False
         return self.report.readiness is Readiness.READY
 
     def candidate(self) -> Candidate:
-        """Return what the policy needs to know."""
+        """Return the side's state as input for the routing policy."""
         attempts = self.attempts.values()
         return Candidate(
             name=self.info.name,
@@ -110,20 +125,20 @@
             own_running=len(self.attempts),
             own_prefill=sum(a.prefill_left for a in attempts),
             own_decode=sum(a.decode_left for a in attempts),
-            own_since_report=self.since_report,
+            own_since_report=self.offered_since_report,
         )
 
     async def offer(self, attempt: EntryAttempt, offer: messages.Offer) -> None:
-        """Hand an offer to the side; the attempt hears what becomes of it.
+        """Send an offer to the side; later messages about it become attempt events.
 
-        :raises NotReachedError: if it was certainly not handed over.
+        :raises NotReachedError: if the offer was certainly not handed over.
         """
         if self.session is None or self.link is None:
             raise NotReachedError(f"no session with {self.info.name}")
         self.attempts[attempt.name] = attempt
-        self.since_report = Cost(
-            self.since_report.prefill + attempt.cost.prefill,
-            self.since_report.decode + attempt.cost.decode,
+        self.offered_since_report = Cost(
+            self.offered_since_report.prefill + attempt.cost.prefill,
+            self.offered_since_report.decode + attempt.cost.decode,
         )
         try:
             await self.link.send(messages.encode(offer))
@@ -132,53 +147,54 @@
             raise
 
     async def cancel(self, attempt: EntryAttempt) -> bool:
-        """Ask for an attempt's end; ``False`` if the side can't be asked now."""
+        """Ask the side to cancel an attempt; ``False`` if it can't be reached now."""
         if self.session is None:
             return False
         return await self._send(messages.Cancel(self.session, attempt.name))
 
     async def grant(self, attempt: EntryAttempt, chunks: int) -> None:
-        """Let the side send more chunks."""
+        """Grant credit for more chunks of an attempt's stream."""
         if self.session is not None:
             await self._send(messages.Credit(self.session, attempt.name, chunks))
 
     def forget(self, attempt: EntryAttempt) -> None:
-        """Ignore everything that still comes of an attempt."""
+        """Stop tracking an attempt; later messages about it are ignored."""
         self.attempts.pop(attempt.name, None)
 
     # The connection
 
     async def run(self) -> None:
-        """Keep a session with the side until cancelled."""
+        """Maintain a session with the side until cancelled."""
         while True:
-            retry = timing.HELLO_RETRY
+            retry = timing.HELLO_RETRY_SECONDS
             link = self.dialer.dial(self.info.side_address)
             try:
-                await self._connection(link)
+                await self._run_session(link)
             except TimeoutError:
                 logger.info("side %s is not heard", self.info.name)
             except VersionError as error:
                 logger.warning("no session with side %s: %s", self.info.name, error)
-                retry = timing.VERSION_RETRY
+                retry = timing.VERSION_RETRY_SECONDS
             finally:
-                self._on_lost()
+                self._on_session_lost()
                 link.close()
             await asyncio.sleep(retry)
 
-    async def _connection(self, link: Link) -> None:
-        welcome = await self._open(link)
+    async def _run_session(self, link: Link) -> None:
+        welcome = await self._open_session(link)
         self.link = link
-        await self._on_open(welcome)
-        beats = asyncio.create_task(self._beat(welcome.session))
+        await self._on_session_open(welcome)
+        heartbeats = asyncio.create_task(self._send_heartbeats(welcome.session))
         try:
             await self._receive(link, welcome.session)
         finally:
-            beats.cancel()
+            heartbeats.cancel()
 
-    async def _open(self, link: Link) -> messages.Welcome:
-        """Say hello until the side answers the latest one.
+    async def _open_session(self, link: Link) -> messages.Welcome:
+        """Send hellos until the side welcomes the latest one.
 
-        :raises VersionError: if one of the two is too old for the other.
+        :raises VersionError: if the two have no protocol version in common.
+        :raises TimeoutError: if the side does not reply in time.
         """
         while True:
             self.counter = next(self.counters)
@@ -194,17 +210,17 @@
             )
             try:
                 await link.send(messages.encode(hello))
-                async with asyncio.timeout(timing.SIDE_TIMEOUT):
-                    return await self._welcome(link)
+                async with asyncio.timeout(timing.SIDE_TIMEOUT_SECONDS):
+                    return await self._wait_for_welcome(link)
             except NotReachedError:
-                await asyncio.sleep(timing.HELLO_RETRY)
+                await asyncio.sleep(timing.HELLO_RETRY_SECONDS)
 
-    async def _welcome(self, link: Link) -> messages.Welcome:
+    async def _wait_for_welcome(self, link: Link) -> messages.Welcome:
         while True:
             message = self._decode(await link.receive())
             if isinstance(message, messages.Welcome):
                 if message.counter == self.counter:
-                    self.version = _agreed(message)
+                    self.version = _negotiated_version(message)
                     return message
             elif isinstance(message, messages.VersionRefused):
                 if message.counter == self.counter:
@@ -216,11 +232,14 @@
                 await self._on_message(message)
 
     async def _receive(self, link: Link, session: str) -> None:
-        """Take messages until the side falls silent or does not know us."""
+        """Handle messages until the side does not know the session or a frame is lost.
+
+        :raises TimeoutError: if the side sends nothing for too long.
+        """
         while True:
             for frame in await self._next_frames(link):
                 message = self._decode(frame)
-                if self.frame_lost:
+                if self.frame_dropped:
                     return
                 if isinstance(message, messages.SessionUnknown):
                     if message.session == session:
@@ -229,17 +248,22 @@
                     await self._on_message(message)
 
     async def _next_frames(self, link: Link) -> list[bytes]:
-        """Return the next frames, or raise if the side is silent for too long.
+        """Return the next frames.
 
-        The silence may be this process's own: it was stopped, and the beats wait in
-        its socket while every timer has run out. Without a last look, all sessions
-        would be given up on waking and requests refused for want of an upstream.
+        After the timeout the socket is read once more. If this process was suspended,
+        the side's heartbeats wait in the socket while the timer has already expired;
+        without another read, every session would end on resumption and requests would
+        be refused for lack of an upstream.
+
+        :raises TimeoutError: if the side sent nothing for too long.
         """
         try:
-            async with asyncio.timeout(self.interval * timing.MISSED_BY_ENTRY):
+            async with asyncio.timeout(
+                self.interval * timing.ENTRY_MAX_MISSED_HEARTBEATS
+            ):
                 return await link.receive_many()
         except TimeoutError:
-            async with asyncio.timeout(timing.LAST_LOOK):
+            async with asyncio.timeout(timing.FINAL_RECEIVE_SECONDS):
                 return await link.receive_many()
 
     def _decode(self, frame: bytes) -> messages.ToEntry | None:
@@ -252,11 +276,11 @@
             logger.warning("frame of %s refused: %s", self.info.name, error)
             return None
 
-    async def _on_open(self, welcome: messages.Welcome) -> None:
+    async def _on_session_open(self, welcome: messages.Welcome) -> None:
         replaced = welcome.incarnation != self.side_incarnation
         self.side_incarnation = welcome.incarnation
         self.session = welcome.session
-        self.frame_lost = False
+        self.frame_dropped = False
         for attempt in list(self.attempts.values()):
             if replaced:
                 attempt.events.put_nowait(SideReplaced())
@@ -265,19 +289,21 @@
                 await self.cancel(attempt)
         await self._compare_generation(welcome.generation)
 
-    def _on_lost(self) -> None:
+    def _on_session_lost(self) -> None:
         if self.session is None:
             return
         self.session = None
         self.report = None
         self.link = None
-        self.reconnect_by = asyncio.get_running_loop().time() + timing.RECONNECT_GRACE
+        self.reconnect_by = (
+            asyncio.get_running_loop().time() + timing.RECONNECT_GRACE_SECONDS
+        )
         for attempt in list(self.attempts.values()):
             attempt.events.put_nowait(SessionLost())
             if not attempt.survives_session:
                 self.forget(attempt)
 
-    async def _beat(self, session: str) -> None:
+    async def _send_heartbeats(self, session: str) -> None:
         while True:
             await self._send(messages.Heartbeat(session, self.holder.generation))
             await asyncio.sleep(self.interval)
@@ -286,7 +312,7 @@
         match message:
             case messages.Chunk():
                 self._on_chunk(message)
-            case messages.ReportBeat():
+            case messages.ReportHeartbeat():
                 await self._on_report(message)
             case messages.Started():
                 if attempt := self.attempts.get(message.attempt):
@@ -303,7 +329,7 @@
             case messages.ConfigPull():
                 await self._send_document(message.generation)
             case messages.ConfigDocument():
-                config_exchange.take_document(self.holder, message)
+                config_exchange.offer_document(self.holder, message)
 
     def _on_chunk(self, chunk: messages.Chunk) -> None:
         attempt = self.attempts.get(chunk.attempt)
@@ -312,25 +338,25 @@
         attempt.on_progress(chunk.tokens)
         attempt.events.put_nowait(chunk)
 
-    async def _on_report(self, beat: messages.ReportBeat) -> None:
+    async def _on_report(self, beat: messages.ReportHeartbeat) -> None:
         if beat.session != self.session:
             return
         self.report = beat.report
         self.reported_at = asyncio.get_running_loop().time()
-        told = FencingToken(beat.report.plan_epoch, beat.report.plan_revision)
-        self.plan_seen = max(self.plan_seen, told)
-        self.since_report = Cost(0, 0)
+        reported_plan = FencingToken(beat.report.plan_epoch, beat.report.plan_revision)
+        self.plan_seen = max(self.plan_seen, reported_plan)
+        self.offered_since_report = Cost(0, 0)
         await self._compare_generation(beat.generation)
 
     # Configuration
 
     async def _compare_generation(self, generation: int) -> None:
         self.generation = generation
-        if question := config_exchange.pull(self.holder, generation):
-            await self._send(question)
+        if request := config_exchange.config_pull(self.holder, generation):
+            await self._send(request)
 
     async def _send_document(self, generation: int) -> None:
-        if document := config_exchange.newer_document(self.holder, generation):
+        if document := config_exchange.newer_config_document(self.holder, generation):
             await self._send(document)
 
     async def _send(self, message: messages.ToSide) -> bool:
@@ -339,18 +365,18 @@
         try:
             await self.link.send(messages.encode(message))
         except NotReachedError:
-            # A lost grant of credit would stall its stream until the deadline, so
-            # the session ends with the first frame lost.
-            self.frame_lost = True
+            # Without a lost credit message its stream would stall until the deadline,
+            # so the session ends with the first frame that is dropped.
+            self.frame_dropped = True
             return False
         return True
 
 
-def _agreed(welcome: messages.Welcome) -> int:
-    version = messages.agreed_version(welcome.version)
+def _negotiated_version(welcome: messages.Welcome) -> int:
+    version = messages.negotiate_version(welcome.version)
     if version is None:
         raise VersionError(
             f"it speaks protocol {welcome.version}, this entry takes "
-            f"{messages.OLDEST_VERSION} to {messages.PROTOCOL_VERSION}"
+            f"{messages.MIN_PROTOCOL_VERSION} to {messages.PROTOCOL_VERSION}"
         )
     return version
