--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -49,7 +49,7 @@
 
     Points in time are on the event loop's clock.
 
-    :param read: the tracked prefill if this engine also prefills the prompt.
+    :param prefill: the tracked prefill if this engine also prefills the prompt.
     :param heard_at: when data last arrived from the engine; infinity before that.
     :param streaming: whether the engine has sent an event.
     :param began_at: when the attempt started.
@@ -61,8 +61,8 @@
         self.context = stream.context
         self.call = stream.call
         self.upstream = upstream
-        self.book = stream.context.placing.engine_book(upstream)
-        self.read: Read | None = None
+        self.tracker = stream.context.placing.engine_book(upstream)
+        self.prefill: Read | None = None
         self.heard_at = math.inf
         self.streaming = False
         self.sent_at: float | None = None
@@ -74,7 +74,7 @@
         :raises RequestError: if it must not be retried, or no attempt is left.
         """
         self.stream.sends.begin(self.upstream)
-        self._book()
+        self._track_prefill()
         try:
             return await self._exchange()
         except NotReachedError as error:
@@ -89,19 +89,19 @@
                 self.stream.leave_alone(self.upstream)
             # The engine may have imported the KV cache, which can be imported once.
             self.stream.cache.release()
-            self._refuse_unrepeatable()
+            self._raise_if_not_repeatable()
         finally:
-            self._unbook()
+            self._untrack()
         return None
 
-    def _book(self) -> None:
+    def _track_prefill(self) -> None:
         """Track the prefill at this engine unless another engine has done it."""
         timeline = self.stream.timeline
         timeline.upstream = self.upstream.name
         if not self.stream.cache:
-            self.read = self.stream.reads.begin(self.upstream)
-            timeline.reader = ""
-            timeline.to_read = self.read.tokens
+            self.prefill = self.stream.prefills.begin(self.upstream)
+            timeline.prefill_engine = ""
+            timeline.to_read = self.prefill.tokens
 
     def _on_event(self) -> None:
         """Record that the prefill is complete when the first event arrives."""
@@ -109,29 +109,29 @@
             return
         self.streaming = True
         self.stream.on_prompt_read()
-        self.book.streams += 1
-        if self.read is not None:
-            self.stream.reads.end(self.upstream, self.read, done=True)
+        self.tracker.streams += 1
+        if self.prefill is not None:
+            self.stream.prefills.end(self.upstream, self.prefill, done=True)
         elif self.sent_at is not None and self.context.decisions.learning:
             seconds = asyncio.get_running_loop().time() - self.sent_at
-            transfers = self.book.reads.transfers
+            transfers = self.tracker.reads.transfers
             transfers.learn(self.call.traits.prompt_tokens, 0, seconds)
 
-    def _unbook(self) -> None:
+    def _untrack(self) -> None:
         if self.streaming:
-            self.book.streams -= 1
-        elif self.read is not None:
-            self.stream.reads.end(self.upstream, self.read, done=False)
+            self.tracker.streams -= 1
+        elif self.prefill is not None:
+            self.stream.prefills.end(self.upstream, self.prefill, done=False)
 
     async def _exchange(self) -> int:
         async with contextlib.AsyncExitStack() as stack:
-            async with self._reply_limit():
+            async with self._abort_without_reply():
                 reply = await stack.enter_async_context(self._open())
             traits = self._check(reply)
             self.stream.cache.taken()
             if not 200 <= reply.status < 300:
                 return await self._on_failure_status(reply)
-            async with self._stall_limit():
+            async with self._abort_if_stalled():
                 async for event in self._events(reply):
                     self._on_event()
                     await self._forward(event, reply, traits)
@@ -140,7 +140,7 @@
         return reply.status
 
     def _open(self) -> contextlib.AbstractAsyncContextManager[Reply]:
-        call, read = self.call, self.read
+        call, prefill = self.call, self.prefill
         now = asyncio.get_running_loop().time()
         if self.stream.cache:
             self.sent_at = now
@@ -149,7 +149,7 @@
             call.deadline,
             priority=self._priority(),
             kv_source=self.stream.cache.source,
-            fetch_from=read.fetch_from if read is not None else "",
+            fetch_from=prefill.fetch_from if prefill is not None else "",
             last_event=self.stream.last_event,
             weights=self.stream.weights,
         )
@@ -165,8 +165,8 @@
 
     def _priority(self) -> int:
         traits, rank = self.call.traits, self.call.route.rank
-        if self.read is not None:
-            return self.read.priority
+        if self.prefill is not None:
+            return self.prefill.priority
         return answer_priority(
             rank, traits.prompt_tokens, traits.max_tokens, self.context.decisions
         )
@@ -198,7 +198,7 @@
         """
         splitter = EventSplitter()
         async for data in reply.chunks():
-            self.book.heard_at = self.heard_at = asyncio.get_running_loop().time()
+            self.tracker.heard_at = self.heard_at = asyncio.get_running_loop().time()
             for event in splitter.feed(data):
                 yield event
             if len(splitter.rest) > MOST_EVENT_BYTES:
@@ -208,12 +208,12 @@
         if splitter.rest:
             raise BrokenStreamError("the stream ended within an event")
 
-    def _reply_limit(self) -> contextlib.AbstractAsyncContextManager[None]:
+    def _abort_without_reply(self) -> contextlib.AbstractAsyncContextManager[None]:
         if self.call.route.repeatable and self.context.decisions.silence:
-            return silence_limit(self._reply_verdict)
+            return silence_limit(self._no_reply_reason)
         return contextlib.nullcontext()
 
-    async def _reply_verdict(self) -> str:
+    async def _no_reply_reason(self) -> str:
         """Return why to stop waiting for a reply, or an empty string to keep waiting.
 
         After a power loss, an engine never replies and the caller disconnects before
@@ -221,18 +221,18 @@
         but it passes the liveness probe and keeps the request.
         """
         now = asyncio.get_running_loop().time()
-        silent = now >= self.book.silent_at(self.began_at, now)
+        silent = now >= self.tracker.silent_at(self.began_at, now)
         if not silent or not self.stream.sends.may_move():
             return ""
         lives = await self.context.engine_checks.lives(self.upstream)
         return "" if lives else SILENT
 
-    def _stall_limit(self) -> contextlib.AbstractAsyncContextManager[None]:
+    def _abort_if_stalled(self) -> contextlib.AbstractAsyncContextManager[None]:
         if self.call.route.resumable:
-            return silence_limit(self._stall_verdict)
+            return silence_limit(self._stall_reason)
         return contextlib.nullcontext()
 
-    async def _stall_verdict(self) -> str:
+    async def _stall_reason(self) -> str:
         """Return why to move a stalled stream, or an empty string to keep it.
 
         An engine that preempts a request when it runs out of KV memory resumes it
@@ -269,7 +269,7 @@
         last_event = self.stream.last_event
         self.stream.sends.log_failure(self.upstream, error, outcome, last_event)
 
-    def _refuse_unrepeatable(self) -> None:
+    def _raise_if_not_repeatable(self) -> None:
         """Raise an error if the request may have run and must not run again."""
         if self.stream.sends.maybe_ran and not self.call.route.repeatable:
             raise RequestError(ResultCode.OUTCOME_UNKNOWN) from None
--- a/src/bergamotmast/direct/caller.py
+++ b/src/bergamotmast/direct/caller.py
@@ -12,10 +12,10 @@
 class CallerBody(t.Protocol):
     """Reads a request's body, which may arrive after the headers or not at all."""
 
-    async def read(self, most: int) -> bytes | None:
+    async def read(self, max_bytes: int) -> bytes | None:
         """Return the whole body, or ``None`` if it is longer than the limit.
 
-        :param most: maximum length in bytes.
+        :param max_bytes: maximum length in bytes.
         """
         ...
 
--- a/src/bergamotmast/direct/context.py
+++ b/src/bergamotmast/direct/context.py
@@ -71,7 +71,7 @@
         """The optional decisions that are switched on."""
         return self.placing.decisions
 
-    def _tells(self, tokens: int) -> bool:
+    def _is_announced(self, tokens: int) -> bool:
         """Return whether prefills of so many tokens are announced to other entries."""
         return self.decisions.notices and tokens >= LEAST_TOKENS
 
@@ -87,7 +87,7 @@
         goes_first: bool,
     ) -> None:
         """Announce to the other entries that a prefill is about to start."""
-        if self.notices is not None and self._tells(tokens):
+        if self.notices is not None and self._is_announced(tokens):
             # The last part is used by this request or its session only.
             notice = ReadNotice(
                 upstream_hash(engine),
@@ -107,7 +107,7 @@
 
         :param done: whether it was completed.
         """
-        if self.notices is not None and self._tells(tokens):
+        if self.notices is not None and self._is_announced(tokens):
             notice = ReadNotice(upstream_hash(engine), key[1], 0, 0, done=done)
             self.notices.tell(notice)
 
--- a/src/bergamotmast/direct/fleet.py
+++ b/src/bergamotmast/direct/fleet.py
@@ -215,7 +215,7 @@
         elif item.key.startswith(self.directory.upstream_prefix):
             self._put_upstream(item)
         elif item.key.startswith(ENGINES_PREFIX):
-            self._put_planned(item)
+            self._put_planned_role(item)
         elif item.key.startswith(PRESENCE_PREFIX):
             self._put_entry(item)
 
@@ -274,7 +274,7 @@
             elif now >= seen.gone_at:
                 self.remove(key, seen.revision + 1)
         self.settled = True
-        self._note_ready()
+        self._signal_ready()
 
     def _is_outdated(self, item: KeyValue) -> bool:
         """Return whether a restored registration is older than the known state.
@@ -313,7 +313,7 @@
         self.existing_keys.discard(key)
         self.on_removal[key]()
 
-    def _note_ready(self) -> None:
+    def _signal_ready(self) -> None:
         if self.ready:
             self.first_ready.set()
 
@@ -330,7 +330,7 @@
         if self.entries.pop(key, None) is not None:
             self.entry_share.on_lapsed(key, self.clock())
 
-    def _put_planned(self, item: KeyValue) -> None:
+    def _put_planned_role(self, item: KeyValue) -> None:
         try:
             part = decode_engine_plan(item.value)
         except msgspec.DecodeError as error:
@@ -359,7 +359,7 @@
         if routing.generation <= self.generation:
             return
         self.table = RouteTable(routing)
-        self._note_ready()
+        self._signal_ready()
         logger.info(
             "configuration is in force",
             extra={
--- a/src/bergamotmast/direct/following.py
+++ b/src/bergamotmast/direct/following.py
@@ -33,7 +33,7 @@
     delay.
 
     :param heard_at: when the store last replied; a point in time.
-    :param lost: whether the store is currently considered unreachable.
+    :param disconnected: whether the store is currently considered unreachable.
     :param restored: whether the store was restored from a backup since the last read.
     """
 
@@ -42,7 +42,7 @@
         self.fleet = fleet
         self.backoff = Backoff(rng, first=0.1, longest=LONGEST_RETRY_SECONDS)
         self.heard_at: float | None = None
-        self.lost = True
+        self.disconnected = True
         self.restored = False
 
     async def run(self) -> None:
@@ -52,7 +52,7 @@
                 revision = await self._read()
                 await self._watch(revision)
             except PortError as error:
-                self._on_lost(error)
+                self._on_disconnected(error)
             await asyncio.sleep(self.backoff.next_delay())
 
     async def _read(self) -> int:
@@ -63,13 +63,13 @@
         reason = self._read_reason(now)
         self.restored = False
         self.fleet.replace_all(result.items, now, reason)
-        self._on_heard(now)
+        self._on_reply(now)
         return result.revision
 
     async def _watch(self, revision: int) -> None:
         loop = asyncio.get_running_loop()
         async for event in self.kv.watch("", revision + 1):
-            self._on_heard(loop.time())
+            self._on_reply(loop.time())
             self.backoff.reset()
             if event is None:
                 continue
@@ -89,16 +89,16 @@
             return ReadReason.OUTAGE
         return ReadReason.RESYNC
 
-    def _on_heard(self, now: float) -> None:
+    def _on_reply(self, now: float) -> None:
         self.heard_at = now
         self.fleet.entry_share.on_heard(now)
-        if self.lost:
-            self.lost = False
+        if self.disconnected:
+            self.disconnected = False
             logger.info("store is reached", extra={"dependency": "store"})
 
-    def _on_lost(self, error: PortError) -> None:
-        if not self.lost:
-            self.lost = True
+    def _on_disconnected(self, error: PortError) -> None:
+        if not self.disconnected:
+            self.disconnected = True
             logger.warning(
                 "store is lost", extra={"dependency": "store", "error": error.message}
             )
--- a/src/bergamotmast/direct/front.py
+++ b/src/bergamotmast/direct/front.py
@@ -42,15 +42,15 @@
     def __init__(self, request: web.BaseRequest) -> None:
         self.request = request
 
-    async def read(self, most: int) -> bytes | None:
+    async def read(self, max_bytes: int) -> bytes | None:
         """Return the whole body, or ``None`` if it is longer than the limit."""
-        if (self.request.content_length or 0) > most:
+        if (self.request.content_length or 0) > max_bytes:
             return None
         await self._send_continue()
         body = bytearray()
         while part := await self.request.content.readany():
             body += part
-            if len(body) > most:
+            if len(body) > max_bytes:
                 return None
         return bytes(body)
 
--- a/src/bergamotmast/direct/notices.py
+++ b/src/bergamotmast/direct/notices.py
@@ -46,7 +46,7 @@
     :param name: name of this entry.
     :param peers: returns the addresses of the other entries.
     :param send: sends a datagram without blocking.
-    :param waiting: notices that have not been sent yet.
+    :param pending: notices that have not been sent yet.
     """
 
     def __init__(
@@ -60,14 +60,14 @@
         self.placing = placing
         self.peers = peers
         self.send = send
-        self.waiting: list[ReadNotice] = []
+        self.pending: list[ReadNotice] = []
         self.decoder = msgspec.msgpack.Decoder(Datagram)
 
     def tell(self, notice: ReadNotice) -> None:
         """Add a notice to the next batch, which is sent shortly."""
-        if not self.waiting:
+        if not self.pending:
             asyncio.get_running_loop().call_later(GATHER_SECONDS, self._flush)
-        self.waiting.append(notice)
+        self.pending.append(notice)
 
     def receive(self, data: bytes) -> None:
         """Apply another entry's datagram; invalid data is dropped."""
@@ -83,10 +83,10 @@
             self.placing.on_notice(datagram.sender, notice, now)
 
     def _flush(self) -> None:
-        waiting, self.waiting = self.waiting, []
+        pending, self.pending = self.pending, []
         addresses = list(self.peers())
-        for start in range(0, len(waiting), MOST_NOTICES):
-            part = tuple(waiting[start : start + MOST_NOTICES])
+        for start in range(0, len(pending), MOST_NOTICES):
+            part = tuple(pending[start : start + MOST_NOTICES])
             data = msgspec.msgpack.encode(Datagram(self.name, part))
             for address in addresses:
                 self.send(data, address)
--- a/src/bergamotmast/direct/placing.py
+++ b/src/bergamotmast/direct/placing.py
@@ -90,26 +90,26 @@
     def engine_book(self, upstream: Upstream) -> EngineBook:
         """Return the load tracker of an engine."""
         key = (upstream.name, upstream.boot)
-        book = self.engines.get(key)
-        if book is None:
+        tracker = self.engines.get(key)
+        if tracker is None:
             self._forget_gone()
             engine = self.fleet.group(upstream.group).engine
             reads = self.reads.setdefault(upstream.group, GroupReads())
             kv_capacity = engine.kv_capacity if engine else 1
-            book = EngineBook(kv_capacity, reads, self.rng.getrandbits(32))
-            self.engines[key] = book
+            tracker = EngineBook(kv_capacity, reads, self.rng.getrandbits(32))
+            self.engines[key] = tracker
             self.by_hash[upstream_hash(upstream)] = key
-        book.role = upstream.role or Role.MIXED
-        return book
+        tracker.role = upstream.role or Role.MIXED
+        return tracker
 
     def plain_book(self, upstream: Upstream) -> PlainBook:
         """Return the load tracker of a plain upstream."""
         key = (upstream.name, upstream.boot)
-        book = self.plain.get(key)
-        if book is None:
+        tracker = self.plain.get(key)
+        if tracker is None:
             self._forget_gone()
-            book = self.plain[key] = PlainBook()
-        return book
+            tracker = self.plain[key] = PlainBook()
+        return tracker
 
     def new_key(self) -> WorkKey:
         """Return a key for a prefill that this entry is about to start."""
@@ -128,25 +128,29 @@
 
     def on_notice(self, sender: str, notice: ReadNotice, now: float) -> None:
         """Apply another entry's notice about a prefill."""
-        book = self.engines.get(self.by_hash.get(notice.engine, ("", "")))
-        if book is None:
+        tracker = self.engines.get(self.by_hash.get(notice.engine, ("", "")))
+        if tracker is None:
             return
         key = (sender, notice.number)
         if notice.tokens:
-            seconds = book.occupied(notice.tokens, notice.cached)
-            book.begin(key, seconds, notice.priority, now, goes_first=notice.goes_first)
-            book.prefix.expect(key, notice.all_parts(key))
+            seconds = tracker.occupied(notice.tokens, notice.cached)
+            tracker.begin(
+                key, seconds, notice.priority, now, goes_first=notice.goes_first
+            )
+            tracker.prefix.expect(key, notice.all_parts(key))
         else:
-            book.end(key, now, done=notice.done)
+            tracker.end(key, now, done=notice.done)
             if notice.done:
-                book.heard_at = now
+                tracker.heard_at = now
 
-    def reading(self, call: Call, upstream: Upstream) -> Reading:
+    def lookup_prefix(self, call: Call, upstream: Upstream) -> Reading:
         """Return how much of a prompt an engine would have to prefill, as estimated."""
         now = asyncio.get_running_loop().time()
         members = self.fleet.members(call.group.name, now)
         replicas = self._kept(call, members)
-        return self._reading(call, upstream, replicas, _best_sources(members, replicas))
+        return self._lookup_prefix(
+            call, upstream, replicas, _best_sources(members, replicas)
+        )
 
     def priority(self, call: Call, tokens: int) -> int:
         """Return the engines' priority for the prefill of a prompt.
@@ -235,25 +239,29 @@
         replicas = self._kept(call, everyone)
         sources = _best_sources(everyone, replicas)
         for member in self._sound(members, now):
-            book = self.engine_book(member)
-            lookup = self._reading(call, member, replicas, sources)
+            tracker = self.engine_book(member)
+            lookup = self._lookup_prefix(call, member, replicas, sources)
             uncached = lookup.tokens
             priority = self.priority(call, uncached)
-            wait = book.wait(priority, now)
+            wait = tracker.wait(priority, now)
             if self.decisions.urgent_load:
-                wait = book.expected_wait(priority, now)
+                wait = tracker.expected_wait(priority, now)
             candidates.append(
                 EngineView(
                     member.name,
                     member.role or Role.MIXED,
                     self._is_near(member),
                     wait,
-                    book.read_seconds(uncached, call.traits.prompt_tokens - uncached),
-                    book.slow(now),
-                    book.answers(now),
-                    book.reads.transfers.times.seconds(call.traits.prompt_tokens, 0),
-                    book.occupied(lookup.fetched, 0) if self.decisions.copies else 0.0,
-                    book.tie_break,
+                    tracker.read_seconds(
+                        uncached, call.traits.prompt_tokens - uncached
+                    ),
+                    tracker.slow(now),
+                    tracker.answers(now),
+                    tracker.reads.transfers.times.seconds(call.traits.prompt_tokens, 0),
+                    tracker.occupied(lookup.fetched, 0)
+                    if self.decisions.copies
+                    else 0.0,
+                    tracker.tie_break,
                     uncached,
                     priority,
                 )
@@ -276,7 +284,7 @@
         decode_engines = [m for m in members if m.role is not Role.PREFILL]
         return eligible + decode_engines
 
-    def _reading(
+    def _lookup_prefix(
         self,
         call: Call,
         upstream: Upstream,
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -77,19 +77,19 @@
 
     async def _send(self, upstream: Upstream) -> PlainAnswer | None:
         """Make one attempt; return ``None`` if another upstream may be tried."""
-        book = self.context.placing.plain_book(upstream)
+        tracker = self.context.placing.plain_book(upstream)
         loop = asyncio.get_running_loop()
-        book.running += 1
+        tracker.running += 1
         try:
             async with asyncio.timeout_at(self._give_up_at(loop.time())):
                 return await self._exchange(upstream)
         except NotReachedError as error:
-            book.failed(loop.time())
+            tracker.failed(loop.time())
             self.sends.on_unreached(upstream)
             self.sends.log_failure(upstream, error.message, "not reached")
             return None
         except (ReplyLostError, TimeoutError) as error:
-            book.failed(loop.time())
+            tracker.failed(loop.time())
             self.sends.log_failure(
                 upstream, str(error) or "no reply within the timeout", "unknown"
             )
@@ -99,7 +99,7 @@
                 raise RequestError(ResultCode.DEADLINE_EXCEEDED) from None
             return None
         finally:
-            book.running -= 1
+            tracker.running -= 1
 
     def _give_up_at(self, now: float) -> float:
         route = self.call.route
@@ -129,9 +129,9 @@
             self.context.check_reply(call, reply, traits)
             body = await reply.read()
             answer = PlainAnswer(reply.status, answer_headers(reply), body)
-        book = self.context.placing.plain_book(upstream)
+        tracker = self.context.placing.plain_book(upstream)
         if 200 <= answer.status < 300:
-            book.succeeded()
+            tracker.succeeded()
             return answer
         return self._on_failure_status(upstream, answer)
 
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/prefilling.py
@@ -47,7 +47,7 @@
         """Whether another engine may be tried."""
         return self.count < MOST_PREFILLS
 
-    async def run(self, reader: Upstream) -> None:
+    async def run(self, engine: Upstream) -> None:
         """Run a prefill; on success, the stream's KV cache handle is set."""
         stream = self.stream
         if self.done and not stream.sends.spend():
@@ -55,24 +55,24 @@
             return
         self.count += 1
         loop = asyncio.get_running_loop()
-        read = stream.reads.begin(reader)
+        prefill = stream.prefills.begin(engine)
         done = False
         try:
-            async with silence_limit(lambda: self._verdict(reader, read)):
-                stream.cache.source = await self._exchange(reader, read)
+            async with silence_limit(lambda: self._abort_reason(engine, prefill)):
+                stream.cache.source = await self._exchange(engine, prefill)
             done = self.done = True
             stream.on_prompt_read()
             stream.timeline.prefilled_at = loop.time()
-            stream.timeline.to_read = read.tokens
+            stream.timeline.to_read = prefill.tokens
         except NotReachedError as error:
-            self._on_failure(reader, error.message)
+            self._on_failure(engine, error.message)
         except ReplyLostError as error:
-            self._on_failure(reader, error.message)
-            self._spend_or_refuse()
+            self._on_failure(engine, error.message)
+            self._spend_or_raise()
         finally:
-            stream.reads.end(reader, read, done=done)
+            stream.prefills.end(engine, prefill, done=done)
 
-    def _spend_or_refuse(self) -> None:
+    def _spend_or_raise(self) -> None:
         """Take the next attempt after a failed prefill out of the retry budget.
 
         :raises RequestError: if the budget is exhausted. If every engine fails, more
@@ -83,26 +83,28 @@
             seconds = retry_after(self.context.rng, RETURN_SECONDS)
             raise RequestError(ResultCode.RETRY_BUDGET_SPENT, retry_after=seconds)
 
-    def _on_failure(self, reader: Upstream, error: str) -> None:
-        self.stream.unread_at.add(reader.name)
+    def _on_failure(self, engine: Upstream, error: str) -> None:
+        self.stream.unread_at.add(engine.name)
         if error != OVERDUE:
-            self.stream.leave_alone(reader)
-        self.stream.sends.log_failure(reader, error, "prefill")
+            self.stream.leave_alone(engine)
+        self.stream.sends.log_failure(engine, error, "prefill")
 
-    async def _verdict(self, reader: Upstream, read: Read) -> str:
+    async def _abort_reason(self, engine: Upstream, prefill: Read) -> str:
         """Return why to restart a pending prefill elsewhere; empty to keep waiting."""
         if not self.context.decisions.silence:
             return ""
-        book = self.context.placing.engine_book(reader)
+        tracker = self.context.placing.engine_book(engine)
         now = asyncio.get_running_loop().time()
-        if now >= book.silent_at(read.began_at, now):
-            if not await self.context.engine_checks.lives(reader):
+        if now >= tracker.silent_at(prefill.began_at, now):
+            if not await self.context.engine_checks.lives(engine):
                 return SILENT
-        if now >= book.overdue_at(read.key) and self._is_in_time_elsewhere(reader):
+        if now >= tracker.overdue_at(prefill.key) and self._is_in_time_elsewhere(
+            engine
+        ):
             return OVERDUE
         return ""
 
-    def _is_in_time_elsewhere(self, reader: Upstream) -> bool:
+    def _is_in_time_elsewhere(self, engine: Upstream) -> bool:
         """Return whether another engine could still serve this stream in time.
 
         Restarting a prefill discards what a live engine has done of it. If the caller
@@ -111,7 +113,7 @@
         stream = self.stream
         if not self.may_go_on or not stream.sends.has_room():
             return False
-        excluded = {*stream.excluded, reader.name}
+        excluded = {*stream.excluded, engine.name}
         try:
             *_, placement = self.context.placing.place_stream(stream.call, excluded)
         except RequestError:
@@ -119,27 +121,27 @@
         now = asyncio.get_running_loop().time()
         return now + placement.first_token <= stream.call.leaves_at
 
-    async def _exchange(self, reader: Upstream, read: Read) -> str:
+    async def _exchange(self, engine: Upstream, prefill: Read) -> str:
         """Send the prompt and return the address of its exported KV cache."""
         call = self.stream.call
         dialect = self.context.dialect
         now = asyncio.get_running_loop().time()
         attempt = Attempt(
-            reader.name,
+            engine.name,
             call.deadline,
-            priority=read.priority,
+            priority=prefill.priority,
             prefill_only=True,
-            fetch_from=read.fetch_from,
+            fetch_from=prefill.fetch_from,
             last_event=self.stream.last_event,
         )
         headers = dialect.write_headers(call.headers, attempt, now)
         async with self.context.client.send(
-            reader.address, call.method, call.target, headers, call.body, fresh=False
+            engine.address, call.method, call.target, headers, call.body, fresh=False
         ) as reply:
-            self.context.read_reply(call, reader, reply)
+            self.context.read_reply(call, engine, reply)
             body = await reply.read()
-            self.stream.on_heard(reader)
+            self.stream.on_heard(engine)
             if reply.status != 200:
                 raise ReplyLostError(f"prefill failed with status {reply.status}")
             prefilled = dialect.read_prefilled(body)
-        return dialect.kv_source(reader.address, prefilled.handle)
+        return dialect.kv_source(engine.address, prefilled.handle)
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -44,43 +44,45 @@
     def begin(self, engine: Upstream) -> Read:
         """Record a prefill that is about to start, and announce it to the peers."""
         context = self.context
-        book = context.placing.engine_book(engine)
+        tracker = context.placing.engine_book(engine)
         now = asyncio.get_running_loop().time()
-        reading = context.placing.reading(self.call, engine)
-        tokens = reading.tokens
+        lookup = context.placing.lookup_prefix(self.call, engine)
+        tokens = lookup.tokens
         priority = context.placing.priority(self.call, tokens)
         cached = max(0, self.call.traits.prompt_tokens - tokens)
-        wait = book.wait(priority, now)
-        predicted = wait + book.read_seconds(tokens, cached)
-        alone = not book.reading
+        wait = tracker.wait(priority, now)
+        predicted = wait + tracker.read_seconds(tokens, cached)
+        alone = not tracker.reading
         key = context.placing.new_key()
         parts = self.call.parts
         goes_first = self.call.goes_first
-        seconds = book.occupied(tokens, cached)
-        book.begin(key, seconds, priority, now, goes_first=goes_first)
-        book.prefix.expect(key, parts)
+        seconds = tracker.occupied(tokens, cached)
+        tracker.begin(key, seconds, priority, now, goes_first=goes_first)
+        tracker.prefix.expect(key, parts)
         context.tell_begun(
             engine, key, priority, tokens, cached, parts, goes_first=goes_first
         )
         return Read(
-            key, tokens, cached, priority, now, predicted, alone, reading.fetch_from
+            key, tokens, cached, priority, now, predicted, alone, lookup.fetch_from
         )
 
-    def end(self, engine: Upstream, read: Read, *, done: bool) -> None:
+    def end(self, engine: Upstream, prefill: Read, *, done: bool) -> None:
         """Record the end of a prefill and learn from its duration.
 
         :param done: whether it was completed.
         """
-        book = self.context.placing.engine_book(engine)
+        tracker = self.context.placing.engine_book(engine)
         now = asyncio.get_running_loop().time()
-        work = book.end(read.key, now, done=done)
+        work = tracker.end(prefill.key, now, done=done)
         if done and work is not None and not work.overtaken:
-            self._learn(book, read, now - read.began_at, now)
-        self.context.tell_ended(engine, read.key, read.tokens, done=done)
+            self._learn(tracker, prefill, now - prefill.began_at, now)
+        self.context.tell_ended(engine, prefill.key, prefill.tokens, done=done)
 
-    def _learn(self, book: EngineBook, read: Read, seconds: float, now: float) -> None:
+    def _learn(
+        self, tracker: EngineBook, prefill: Read, seconds: float, now: float
+    ) -> None:
         decisions = self.context.decisions
         if decisions.slowness:
-            book.measure(read.predicted, seconds, now)
-        if decisions.learning and read.alone:
-            book.learn(read.tokens, read.cached, seconds)
+            tracker.measure(prefill.predicted, seconds, now)
+        if decisions.learning and prefill.alone:
+            tracker.learn(prefill.tokens, prefill.cached, seconds)
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -221,7 +221,7 @@
         now = asyncio.get_running_loop().time()
         for group in self.fleet.engine_groups():
             members = self.fleet.present(group, now)
-            self._settle(members, now)
+            self._drop_finished_orders(members, now)
             found = [self._engine_role(member, now) for member in members]
             engines = [engine for engine in found if engine is not None]
             controller = self.controllers.setdefault(group, RoleController())
@@ -232,7 +232,7 @@
             # nothing is served then.
             if order.urgent or not any(m.name in self.pending for m in members):
                 chosen = next(m for m in members if m.name == order.name)
-                await self._give(chosen, order, now)
+                await self._send_order(chosen, order, now)
 
     def _engine_role(self, upstream: Upstream, now: float) -> EngineRole | None:
         """Return the role that an engine has or is changing to.
@@ -245,15 +245,15 @@
                 return None
             return EngineRole(upstream.name, pending.order.role, changing=True)
         assert upstream.role is not None
-        book = self.placing.engine_book(upstream)
-        load = book.answers(now) + len(book.reading)
+        tracker = self.placing.engine_book(upstream)
+        load = tracker.answers(now) + len(tracker.reading)
         quiet_until = max(
             self.quiet_until.get(upstream.name, 0.0), self.all_quiet_until
         )
         may_change = now >= quiet_until
         return EngineRole(upstream.name, upstream.role, load, may_change)
 
-    def _settle(self, members: list[Upstream], now: float) -> None:
+    def _drop_finished_orders(self, members: list[Upstream], now: float) -> None:
         """Drop orders that were carried out, voided by a restart, or have expired."""
         for member in members:
             pending = self.pending.get(member.name)
@@ -263,7 +263,9 @@
             if done or now >= pending.until:
                 del self.pending[member.name]
 
-    async def _give(self, upstream: Upstream, order: RoleOrder, now: float) -> None:
+    async def _send_order(
+        self, upstream: Upstream, order: RoleOrder, now: float
+    ) -> None:
         loop = asyncio.get_running_loop()
         read_at = loop.time()
         sequence = await self.orders.sequence(upstream)
--- a/src/bergamotmast/direct/second_sends.py
+++ b/src/bergamotmast/direct/second_sends.py
@@ -38,12 +38,12 @@
     def has_room(self, group: str) -> bool:
         """Return whether the budget has room for a retry in a group."""
         now = asyncio.get_running_loop().time()
-        return self._window(group).has_room(self._part(now), now)
+        return self._window(group).has_room(self._share(now), now)
 
     def spend(self, group: str) -> bool:
         """Take a retry out of the budget; return whether it had room."""
         now = asyncio.get_running_loop().time()
-        part = self._part(now)
+        part = self._share(now)
         window = self._window(group)
         account = window.account(part, now)
         allowed = window.spend(part, now)
@@ -61,7 +61,7 @@
         )
         return allowed
 
-    def _part(self, now: float) -> float:
+    def _share(self, now: float) -> float:
         return self.fleet.entry_share.part(self.fleet.entries, now)
 
     def _window(self, group: str) -> RetryWindow:
--- a/src/bergamotmast/direct/sends.py
+++ b/src/bergamotmast/direct/sends.py
@@ -89,12 +89,12 @@
     def out_of_time(self) -> RequestError:
         """Return the error of a request ended by its deadline or by the shutdown."""
         if self.context.time_limits.is_over(asyncio.get_running_loop().time()):
-            return self._cut_short()
+            return self._shutdown_error()
         if self.maybe_ran:
             return RequestError(ResultCode.DEADLINE_EXCEEDED)
         return RequestError(ResultCode.DEADLINE_UNREACHABLE)
 
-    def _cut_short(self) -> RequestError:
+    def _shutdown_error(self) -> RequestError:
         if self.maybe_ran:
             return RequestError(ResultCode.OUTCOME_UNKNOWN)
         return self.context.time_limits.refusal()
--- a/src/bergamotmast/direct/silence.py
+++ b/src/bergamotmast/direct/silence.py
@@ -23,7 +23,7 @@
 
 
 @contextlib.asynccontextmanager
-async def silence_limit(verdict: Verdict) -> cabc.AsyncIterator[None]:
+async def silence_limit(check: Verdict) -> cabc.AsyncIterator[None]:
     """Cancel the body as soon as a check returns a reason.
 
     A power loss or a dead connection causes no error. With the call's deadline as the
@@ -34,19 +34,21 @@
     reasons: list[str] = []
     try:
         async with asyncio.timeout(None) as limit:
-            watch = asyncio.create_task(_watch(verdict, limit, reasons))
+            poll_task = asyncio.create_task(_poll_check(check, limit, reasons))
             try:
                 yield
             finally:
-                watch.cancel()
+                poll_task.cancel()
     except TimeoutError:
         # Without a reason, the operating system has timed the connection out.
         reason = reasons[0] if reasons else "the connection timed out"
         raise ReplyLostError(reason) from None
 
 
-async def _watch(verdict: Verdict, limit: asyncio.Timeout, reasons: list[str]) -> None:
-    while not (reason := await verdict()):
+async def _poll_check(
+    check: Verdict, limit: asyncio.Timeout, reasons: list[str]
+) -> None:
+    while not (reason := await check()):
         await asyncio.sleep(CHECK_SECONDS)
     reasons.append(reason)
     limit.reschedule(asyncio.get_running_loop().time())
@@ -59,33 +61,35 @@
     an engine that is only busy and restarted at the next one, which then falls behind
     as well.
 
-    :param check: liveness probe; without one, an unresponsive engine counts as dead.
-    :param asking: running probes.
+    :param liveness_probe: if missing, an unresponsive engine is considered dead.
+    :param running_probes: running probes, by engine.
     """
 
-    def __init__(self, placing: Placing, check: EngineCheck | None = None) -> None:
+    def __init__(
+        self, placing: Placing, liveness_probe: EngineCheck | None = None
+    ) -> None:
         self.placing = placing
-        self.check = check
-        self.asking: dict[BookKey, asyncio.Task[bool]] = {}
+        self.liveness_probe = liveness_probe
+        self.running_probes: dict[BookKey, asyncio.Task[bool]] = {}
 
     async def lives(self, engine: Upstream) -> bool:
         """Return whether an engine replies to the liveness probe."""
-        if self.check is None:
+        if self.liveness_probe is None:
             return False
         key = (engine.name, engine.boot)
-        task = self.asking.get(key)
+        task = self.running_probes.get(key)
         if task is None:
-            task = asyncio.create_task(self._ask(self.check, engine))
-            self.asking[key] = task
-            task.add_done_callback(lambda _: self.asking.pop(key, None))
+            task = asyncio.create_task(self._run_probe(self.liveness_probe, engine))
+            self.running_probes[key] = task
+            task.add_done_callback(lambda _: self.running_probes.pop(key, None))
         # Other requests may wait for the same probe: if this one is cancelled, the
         # probe must go on.
         return await asyncio.shield(task)
 
-    async def _ask(self, check: EngineCheck, engine: Upstream) -> bool:
+    async def _run_probe(self, liveness_probe: EngineCheck, engine: Upstream) -> bool:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        lives = await check.answers(engine)
+        lives = await liveness_probe.answers(engine)
         if lives:
             self.placing.engine_book(engine).heard_at = loop.time()
         ms = round((loop.time() - began) * 1e3, 1)
--- a/src/bergamotmast/direct/stream.py
+++ b/src/bergamotmast/direct/stream.py
@@ -21,7 +21,7 @@
     """State of one streamed request, shared by placement, prefill and decode.
 
     :param sends: attempts to decode the stream.
-    :param reads: tracker of its prefills.
+    :param prefills: tracker of its prefills.
     :param cache: KV cache exported by a prefill engine.
     :param last_event: number of the last event that the caller received.
     :param weights: version of the weights that the response started with.
@@ -33,7 +33,7 @@
         self.call = call
         self.reply = reply
         self.sends = Sends(context, call)
-        self.reads = PromptReads(context, call)
+        self.prefills = PromptReads(context, call)
         self.cache = ExportedCache(context)
         self.timeline = Timeline()
         self.last_event = call.traits.last_event
@@ -51,10 +51,10 @@
 
     def on_heard(self, engine: Upstream) -> None:
         """Record that data has arrived from an engine."""
-        book = self.context.placing.engine_book(engine)
-        book.heard_at = asyncio.get_running_loop().time()
+        tracker = self.context.placing.engine_book(engine)
+        tracker.heard_at = asyncio.get_running_loop().time()
 
     def leave_alone(self, engine: Upstream, seconds: float = FAILED_SECONDS) -> None:
         """Exclude an engine from placements for a while, if there is another one."""
-        book = self.context.placing.engine_book(engine)
-        book.failed_until = asyncio.get_running_loop().time() + seconds
+        tracker = self.context.placing.engine_book(engine)
+        tracker.failed_until = asyncio.get_running_loop().time() + seconds
--- a/src/bergamotmast/direct/stream_placing.py
+++ b/src/bergamotmast/direct/stream_placing.py
@@ -46,7 +46,7 @@
     def _place(self) -> tuple[Upstream | None, Upstream]:
         now = asyncio.get_running_loop().time()
         prefill_upstream, upstream, placement = self._choose()
-        if self._is_too_late(placement, now) and self._claim_first():
+        if self._is_too_late(placement, now) and self._claim_precedence():
             prefill_upstream, upstream, placement = self._choose()
         timeline = self.stream.timeline
         timeline.placed_at = now
@@ -58,7 +58,7 @@
         placing = self.context.placing
         return placing.place_stream(self.call, self.stream.excluded)
 
-    def _claim_first(self) -> bool:
+    def _claim_precedence(self) -> bool:
         """Claim precedence if the prompt's size class is entitled to it.
 
         :returns: whether the prompt goes first.
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -11,34 +11,34 @@
 class Timeline:
     """Points in time and predictions of a stream's last attempt.
 
-    :param reader: prefill engine; empty if the decode engine prefills the prompt.
-    :param upstream: decode engine.
+    :param prefill_engine: name; empty if the decode engine prefills the prompt.
+    :param upstream: name of the decode engine.
     :param to_read: prompt tokens estimated not to be cached.
     :param predicted: predicted seconds from the placement to the first token.
     :param waiting: the part of them spent queueing behind other prompts.
-    :param caller_seconds: seconds from the placement until the caller disconnects.
+    :param seconds_to_timeout: seconds from the placement until the caller disconnects.
     """
 
-    reader: str = ""
+    prefill_engine: str = ""
     upstream: str = ""
     to_read: int = 0
     predicted: float = 0.0
     waiting: float = 0.0
     priority: int = 0
-    caller_seconds: float = 0.0
+    seconds_to_timeout: float = 0.0
     placed_at: float | None = None
     prefilled_at: float | None = None
     replied_at: float | None = None
     first_event_at: float | None = None
 
-    def on_placed(self, placement: Placement, caller_seconds: float) -> None:
+    def on_placed(self, placement: Placement, seconds_to_timeout: float) -> None:
         """Record a placement and the predictions that it, or a refusal, is based on."""
-        self.reader = placement.prefill or ""
+        self.prefill_engine = placement.prefill or ""
         self.predicted = placement.first_token
         self.to_read = placement.read_by.to_read
         self.waiting = placement.read_by.wait * placement.read_by.slow
         self.priority = placement.read_by.priority
-        self.caller_seconds = caller_seconds
+        self.seconds_to_timeout = seconds_to_timeout
 
     def fields(self, arrived_at: float) -> dict[str, object]:
         """Return the fields of the log line, with times in ms since arrival."""
@@ -56,12 +56,12 @@
         if self.placed_at is not None:
             # The predictions are logged for refusals as well, which depend on them.
             found |= {
-                "reader": self.reader,
+                "reader": self.prefill_engine,
                 "upstream": self.upstream,
                 "to_read": self.to_read,
                 "predicted_ms": round(self.predicted * 1e3, 1),
                 "waiting_ms": round(self.waiting * 1e3, 1),
                 "priority": self.priority,
-                "caller_ms": round(self.caller_seconds * 1e3, 1),
+                "caller_ms": round(self.seconds_to_timeout * 1e3, 1),
             }
         return found
--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -156,7 +156,7 @@
 class SimulatedBody:
     """A body that arrived with the headers."""
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         return b"hello"
 
 
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -201,7 +201,7 @@
     now = asyncio.get_running_loop().time()
     for upstream in planner.fleet.present("llm", now):
         order = RoleOrder(upstream.name, Role.PREFILL, "reads too little")
-        await planner._give(upstream, order, now)
+        await planner._send_order(upstream, order, now)
 
 
 async def test_engine_that_nobody_ordered_lately_is_ordered_at_once():
@@ -215,7 +215,7 @@
         await one.election.acquire()
         await one.store.open()
         first = one.fleet.present("llm", 0.0)[0]
-        await one._give(first, RoleOrder(first.name, Role.PREFILL, ""), 0.0)
+        await one._send_order(first, RoleOrder(first.name, Role.PREFILL, ""), 0.0)
         store.end_lease(one.election.lease)
         async with run(two):
             await until(lambda: scripts[1].orders, seconds=2.0)
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -368,8 +368,8 @@
         # Pending work makes the other prefill engine the worse choice.
         others = entry.fleet.members("llm", asyncio.get_running_loop().time())
         busy = next(member for member in others if member.name == "i-2")
-        book = entry.core.context.placing.engine_book(busy)
-        book.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
+        tracker = entry.core.context.placing.engine_book(busy)
+        tracker.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
         asking = asyncio.create_task(
             entry.ask("/slow/x", X_Deadline_Ms="60000", **LONG)
         )
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -158,7 +158,7 @@
         if not planner.election.lease:
             await self.take_over(number)
         try:
-            await planner._give(ENGINE, ORDER, self.loop.time())
+            await planner._send_order(ENGINE, ORDER, self.loop.time())
         except AuthorityLostError:
             await planner.election.release()
         except PortError:
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -209,37 +209,39 @@
     prefill would complete at 2.3 s at best, and all prompts behind it would wait one
     second longer.
     """
-    book = EngineBook(500_000)
-    book.begin(("e", 1), READING_GUESS.occupied(17_000, 0), 5, 0.0)
-    book.begin(("e", 2), READING_GUESS.occupied(44_000, 0), 8, 0.0)
+    tracker = EngineBook(500_000)
+    tracker.begin(("e", 1), READING_GUESS.occupied(17_000, 0), 5, 0.0)
+    tracker.begin(("e", 2), READING_GUESS.occupied(44_000, 0), 8, 0.0)
     takes = READING_GUESS.occupied(17_000, 0) + READING_GUESS.occupied(44_000, 0)
-    assert book.overdue_at(("e", 2)) == pytest.approx(
+    assert tracker.overdue_at(("e", 2)) == pytest.approx(
         OVERDUE_FACTOR * takes + SILENT_SECONDS
     )
-    assert book.overdue_at(("e", 1)) < book.overdue_at(("e", 2))
+    assert tracker.overdue_at(("e", 1)) < tracker.overdue_at(("e", 2))
 
 
 def test_what_overtakes_a_prompt_puts_its_end_off():
-    book = EngineBook(500_000)
-    book.begin(("e", 1), 0.5, 8, 0.0)
-    before = book.overdue_at(("e", 1))
-    book.begin(("e", 2), 0.3, 2, 0.1)
-    assert book.overdue_at(("e", 1)) == pytest.approx(before + OVERDUE_FACTOR * 0.3)
+    tracker = EngineBook(500_000)
+    tracker.begin(("e", 1), 0.5, 8, 0.0)
+    before = tracker.overdue_at(("e", 1))
+    tracker.begin(("e", 2), 0.3, 2, 0.1)
+    assert tracker.overdue_at(("e", 1)) == pytest.approx(before + OVERDUE_FACTOR * 0.3)
 
 
 def test_a_slow_engine_is_given_longer():
-    book = EngineBook(500_000)
+    tracker = EngineBook(500_000)
     for number in range(12):
-        book.measure(0.1, 0.3, number * 0.05)
-    book.begin(("e", 1), 0.5, 8, 0.6)
-    assert book.overdue_at(("e", 1)) > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + SILENT_SECONDS
+        tracker.measure(0.1, 0.3, number * 0.05)
+    tracker.begin(("e", 1), 0.5, 8, 0.6)
+    assert (
+        tracker.overdue_at(("e", 1)) > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + SILENT_SECONDS
+    )
 
 
 def test_a_forgotten_prompt_is_overdue():
-    book = EngineBook(500_000)
-    book.begin(("e", 1), 0.5, 8, 0.0)
-    book.wait(9, FORGET_SECONDS + 0.1)
-    assert book.overdue_at(("e", 1)) < 0.0
+    tracker = EngineBook(500_000)
+    tracker.begin(("e", 1), 0.5, 8, 0.0)
+    tracker.wait(9, FORGET_SECONDS + 0.1)
+    assert tracker.overdue_at(("e", 1)) < 0.0
 
 
 async def test_a_time_out_of_the_call_itself_is_a_lost_reply():
