--- a/src/bergamotmast/direct/stream_placing.py
+++ b/src/bergamotmast/direct/stream_placing.py
@@ -38,8 +38,8 @@
             try:
                 return self._place()
             except RequestError as error:
-                attempts = self.stream.sends.count
-                if error.code is not ResultCode.NO_UPSTREAM or attempts:
+                attempt_count = self.stream.sends.count
+                if error.code is not ResultCode.NO_UPSTREAM or attempt_count:
                     raise
                 await asyncio.sleep(self._wait_for_role())
 
