--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -14,7 +14,7 @@
 from ..policy.direct_placement import answer_priority
 from .events import Event
 from .events import EventSplitter
-from .forwarding import answer_headers
+from .forwarding import response_headers
 from .model import Upstream
 from .ports import Attempt
 from .ports import Reply
@@ -128,7 +128,7 @@
             async with self._abort_without_reply():
                 reply = await stack.enter_async_context(self._open())
             traits = self._check(reply)
-            self.stream.cache.taken()
+            self.stream.cache.on_imported()
             if not 200 <= reply.status < 300:
                 return await self._on_failure_status(reply)
             async with self._abort_if_stalled():
@@ -184,8 +184,8 @@
         if traits.not_run:
             self.stream.sends.on_not_run()
             wrong = traits.wrong_upstream
-            pause = WRONG_UPSTREAM_SECONDS if wrong else REFUSED_SECONDS
-            self.stream.leave_alone(self.upstream, pause)
+            cool_down = WRONG_UPSTREAM_SECONDS if wrong else REFUSED_SECONDS
+            self.stream.leave_alone(self.upstream, cool_down)
             raise BrokenStreamError(f"status {reply.status}, not run")
         self.context.check_reply(self.call, reply, traits)
         return traits
@@ -221,8 +221,8 @@
         but it passes the liveness probe and keeps the request.
         """
         now = asyncio.get_running_loop().time()
-        silent = now >= self.tracker.silent_at(self.began_at, now)
-        if not silent or not self.stream.sends.may_move():
+        unresponsive = now >= self.tracker.silent_at(self.began_at, now)
+        if not unresponsive or not self.stream.sends.may_move():
             return ""
         lives = await self.context.engine_checks.lives(self.upstream)
         return "" if lives else SILENT
@@ -240,8 +240,8 @@
         cancelling it would lose a response that the caller still waits for.
         """
         now = asyncio.get_running_loop().time()
-        stalls = now >= self.heard_at + STALL_SECONDS
-        return SILENT if stalls and self.stream.sends.may_move() else ""
+        stalled = now >= self.heard_at + STALL_SECONDS
+        return SILENT if stalled and self.stream.sends.may_move() else ""
 
     async def _forward(self, event: Event, reply: Reply, traits: ReplyTraits) -> None:
         if event.number is not None:
@@ -256,13 +256,13 @@
             return
         self.stream.timeline.first_event_at = asyncio.get_running_loop().time()
         self.stream.weights = traits.weights
-        await self.stream.reply.start(reply.status, answer_headers(reply))
+        await self.stream.reply.start(reply.status, response_headers(reply))
 
     async def _on_failure_status(self, reply: Reply) -> int:
         body = await reply.read()
         if self.stream.reply.started:
             raise BrokenStreamError(f"status {reply.status} in a stream")
-        await self.stream.reply.answer(reply.status, answer_headers(reply), body)
+        await self.stream.reply.respond(reply.status, response_headers(reply), body)
         return reply.status
 
     def _log_failure(self, error: str, outcome: str) -> None:
--- a/src/bergamotmast/direct/caller.py
+++ b/src/bergamotmast/direct/caller.py
@@ -48,7 +48,7 @@
         """Whether status and headers have been sent."""
         ...
 
-    async def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    async def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
         ...
 
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -204,7 +204,7 @@
             headers.append(("Retry-After", f"{error.retry_after:.2f}"))
         body = f"{int(error.code)} {error.message}\n".encode()
         headers.append(("Content-Type", "text/plain"))
-        await reply.answer(error.info.status, tuple(headers), body)
+        await reply.respond(error.info.status, tuple(headers), body)
         return error.info.status
 
     def _log_end(
--- a/src/bergamotmast/direct/exported_cache.py
+++ b/src/bergamotmast/direct/exported_cache.py
@@ -29,7 +29,7 @@
         """Return whether there is a KV cache to import."""
         return bool(self.source)
 
-    def taken(self) -> None:
+    def on_imported(self) -> None:
         """Record that an engine has imported it, which releases it at its source."""
         self.source = ""
 
--- a/src/bergamotmast/direct/forwarding.py
+++ b/src/bergamotmast/direct/forwarding.py
@@ -43,7 +43,7 @@
     return tuple(item for item in items if item[0].lower() not in dropped)
 
 
-def answer_headers(reply: Reply) -> Headers:
+def response_headers(reply: Reply) -> Headers:
     """Return the headers of a reply that are forwarded to the caller.
 
     When writing a header, the HTTP library silently drops bytes that are not valid
--- a/src/bergamotmast/direct/front.py
+++ b/src/bergamotmast/direct/front.py
@@ -77,7 +77,7 @@
         """Whether status and headers have been sent."""
         return self.response is not None
 
-    async def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    async def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
         response = self._new(status, headers)
         response.content_length = len(body)
@@ -171,14 +171,14 @@
         connection = request.protocol
         self.busy.add(connection)
         try:
-            response = await self._answer(request)
+            response = await self._respond(request)
             if self.ending and not _has_next(connection):
                 response.force_close()
             return response
         finally:
             self.busy.discard(connection)
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
         reply = HttpCallerReply(request, self.core)
         received = CallerRequest(
             method=request.method,
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -11,7 +11,7 @@
 from ..errors import ResultCode
 from .caller import CallerReply
 from .context import Context
-from .forwarding import answer_headers
+from .forwarding import response_headers
 from .model import Call
 from .model import Upstream
 from .ports import Attempt
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlainAnswer:
+class PlainResponse:
     """An upstream's complete response."""
 
     status: int
@@ -43,7 +43,7 @@
         self.call = call
         self.reply = reply
         self.sends = Sends(context, call)
-        self.last_failure: PlainAnswer | None = None
+        self.last_failure: PlainResponse | None = None
 
     async def run(self) -> int:
         """Send the response to the caller and return its status.
@@ -52,13 +52,13 @@
         """
         try:
             async with self.context.time_limits.limit(self.call.deadline):
-                answer = await self._answer()
+                response = await self._run_attempts()
         except TimeoutError:
             raise self.sends.out_of_time() from None
-        await self.reply.answer(answer.status, answer.headers, answer.body)
-        return answer.status
+        await self.reply.respond(response.status, response.headers, response.body)
+        return response.status
 
-    async def _answer(self) -> PlainAnswer:
+    async def _run_attempts(self) -> PlainResponse:
         while True:
             try:
                 upstream = self.context.placing.choose_plain(
@@ -71,11 +71,11 @@
                 if self.sends.maybe_ran:
                     raise self.sends.exhausted() from None
                 raise
-            answer = await self._send(upstream)
-            if answer is not None:
-                return answer
+            response = await self._send(upstream)
+            if response is not None:
+                return response
 
-    async def _send(self, upstream: Upstream) -> PlainAnswer | None:
+    async def _send(self, upstream: Upstream) -> PlainResponse | None:
         """Make one attempt; return ``None`` if another upstream may be tried."""
         tracker = self.context.placing.plain_book(upstream)
         loop = asyncio.get_running_loop()
@@ -107,7 +107,7 @@
             return self.call.deadline
         return min(self.call.deadline, now + PATIENCE * route.objective)
 
-    async def _exchange(self, upstream: Upstream) -> PlainAnswer | None:
+    async def _exchange(self, upstream: Upstream) -> PlainResponse | None:
         call = self.call
         dialect = self.context.dialect
         now = asyncio.get_running_loop().time()
@@ -128,18 +128,18 @@
                 return None
             self.context.check_reply(call, reply, traits)
             body = await reply.read()
-            answer = PlainAnswer(reply.status, answer_headers(reply), body)
+            response = PlainResponse(reply.status, response_headers(reply), body)
         tracker = self.context.placing.plain_book(upstream)
-        if 200 <= answer.status < 300:
+        if 200 <= response.status < 300:
             tracker.succeeded()
-            return answer
-        return self._on_failure_status(upstream, answer)
+            return response
+        return self._on_failure_status(upstream, response)
 
     def _on_failure_status(
-        self, upstream: Upstream, answer: PlainAnswer
-    ) -> PlainAnswer | None:
+        self, upstream: Upstream, response: PlainResponse
+    ) -> PlainResponse | None:
         """Return a failed response to forward, or ``None`` to retry elsewhere first."""
-        self.sends.log_failure(upstream, f"status {answer.status}", "ran")
-        self.last_failure = answer
-        may_repeat = self.call.route.repeatable and answer.status >= 500
-        return None if may_repeat else answer
+        self.sends.log_failure(upstream, f"status {response.status}", "ran")
+        self.last_failure = response
+        may_repeat = self.call.route.repeatable and response.status >= 500
+        return None if may_repeat else response
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/prefilling.py
@@ -59,7 +59,7 @@
         done = False
         try:
             async with silence_limit(lambda: self._abort_reason(engine, prefill)):
-                stream.cache.source = await self._exchange(engine, prefill)
+                stream.cache.source = await self._send_prompt(engine, prefill)
             done = self.done = True
             stream.on_prompt_read()
             stream.timeline.prefilled_at = loop.time()
@@ -121,7 +121,7 @@
         now = asyncio.get_running_loop().time()
         return now + placement.first_token <= stream.call.leaves_at
 
-    async def _exchange(self, engine: Upstream, prefill: Read) -> str:
+    async def _send_prompt(self, engine: Upstream, prefill: Read) -> str:
         """Send the prompt and return the address of its exported KV cache."""
         call = self.stream.call
         dialect = self.context.dialect
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -20,7 +20,7 @@
     :param cached: prompt tokens before them.
     :param began_at: start time; a point in time.
     :param predicted: predicted seconds, including the queueing delay.
-    :param alone: whether the engine had no other known prefill.
+    :param engine_was_idle: whether the engine had no other known prefill.
     :param fetch_from: address of the engine to transfer the prefix from; may be empty.
     """
 
@@ -30,7 +30,7 @@
     priority: int
     began_at: float
     predicted: float
-    alone: bool
+    engine_was_idle: bool
     fetch_from: str
 
 
@@ -52,7 +52,7 @@
         cached = max(0, self.call.traits.prompt_tokens - tokens)
         wait = tracker.wait(priority, now)
         predicted = wait + tracker.read_seconds(tokens, cached)
-        alone = not tracker.reading
+        engine_was_idle = not tracker.reading
         key = context.placing.new_key()
         parts = self.call.parts
         goes_first = self.call.goes_first
@@ -63,7 +63,14 @@
             engine, key, priority, tokens, cached, parts, goes_first=goes_first
         )
         return Read(
-            key, tokens, cached, priority, now, predicted, alone, lookup.fetch_from
+            key,
+            tokens,
+            cached,
+            priority,
+            now,
+            predicted,
+            engine_was_idle,
+            lookup.fetch_from,
         )
 
     def end(self, engine: Upstream, prefill: Read, *, done: bool) -> None:
@@ -84,5 +91,5 @@
         decisions = self.context.decisions
         if decisions.slowness:
             tracker.measure(prefill.predicted, seconds, now)
-        if decisions.learning and prefill.alone:
+        if decisions.learning and prefill.engine_was_idle:
             tracker.learn(prefill.tokens, prefill.cached, seconds)
--- a/src/bergamotmast/direct/stream_run.py
+++ b/src/bergamotmast/direct/stream_run.py
@@ -30,11 +30,11 @@
         """
         try:
             async with self.context.time_limits.limit(self.call.deadline):
-                return await self._answer()
+                return await self._run_attempts()
         except TimeoutError:
             raise self.stream.sends.out_of_time() from None
 
-    async def _answer(self) -> int:
+    async def _run_attempts(self) -> int:
         sends = self.stream.sends
         try:
             while True:
--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -176,7 +176,7 @@
     def started(self) -> bool:
         return self.status != 0
 
-    async def answer(self, status, headers, body) -> None:
+    async def respond(self, status, headers, body) -> None:
         self.retry_after = float(dict(headers).get("Retry-After", "0"))
         await self.start(status, headers)
 
