--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -44,7 +44,7 @@
     assert replica.received == []
 
 
-async def test_body_that_breaks_off_in_a_wrong_chunk():
+async def test_request_body_with_an_invalid_chunk_is_refused():
     """An invalid chunk in a request's body: the caller gets an error in time.
 
     Nothing was sent to an upstream.
@@ -62,7 +62,7 @@
     assert replica.received == []
 
 
-async def test_caller_that_asks_before_it_sends_its_body():
+async def test_caller_that_expects_100_continue():
     """Guards against a deadlock with a caller that waits for ``100 Continue``."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -78,7 +78,7 @@
     assert replica.received[0].body == b"x" * 1000
 
 
-async def test_stream_to_a_caller_of_the_older_protocol():
+async def test_stream_to_an_http_1_0_caller():
     """A stream to an HTTP/1.0 caller has no chunks and ends with the connection."""
     async with serving(engine("i-1", EngineScript(last=3))) as entry:
         reader, writer = await entry.connect()
@@ -92,7 +92,7 @@
     assert body.count(b"id:") == 3
 
 
-async def test_broken_stream_to_a_caller_of_the_older_protocol():
+async def test_truncated_stream_to_an_http_1_0_caller_ends_with_a_reset():
     """Guards against a truncated stream that looks complete: it ends with a reset."""
     script = EngineScript(last=3, break_after=2)
     async with serving(engine("i-1", script)) as entry:
@@ -104,7 +104,7 @@
         writer.close()
 
 
-async def test_caller_that_leaves_within_its_body_is_no_fault(caplog):
+async def test_disconnect_within_the_body_is_not_logged_as_an_error(caplog):
     """A caller disconnects before its body is complete.
 
     Guards against logging that as an error, and against sending the request.
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize(
     "framing", ["Content-Length: 5000000", "Transfer-Encoding: chunked"]
 )
-async def test_body_too_large_is_refused_before_it_has_come(framing):
+async def test_body_too_large_is_refused_before_it_has_arrived(framing):
     """A body over the limit is refused before the caller has sent the rest of it."""
     replica = Replica("i-1", answer())
     async with serving(replica, document=config(**{"max-body-bytes": 1000})) as entry:
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("name", ["X-Request-Id", "X-Other"])
-async def test_header_of_a_caller_that_can_not_be_written_is_refused(name):
+async def test_header_with_a_control_character_is_refused(name):
     """A header with a control character is refused: it can't be forwarded unchanged."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -193,7 +193,7 @@
     assert got.startswith(b"HTTP/1.1 200") is bool(replica.received)
 
 
-async def test_request_behind_another_on_a_connection_that_closes_never_runs():
+async def test_pipelined_request_on_a_closing_connection_never_runs():
     """Two pipelined requests arrive during the shutdown.
 
     The first response says "Connection: close", by which HTTP tells the caller that the
@@ -212,7 +212,7 @@
     assert [received.request_id for received in replica.received] == ["first"]
 
 
-async def test_reset_of_an_idle_connection_is_no_fault(caplog):
+async def test_reset_of_an_idle_connection_is_not_logged(caplog):
     """Guards against a warning when a replica resets an idle connection."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -231,7 +231,7 @@
     assert not [r for r in caplog.records if r.levelno >= logging.WARNING]
 
 
-async def test_request_that_waits_as_a_stalled_process_finds_its_connection_idle(
+async def test_request_received_while_the_event_loop_is_blocked_is_served(
     monkeypatch,
 ):
     """The event loop is blocked until after a connection's keep-alive timeout.
@@ -253,7 +253,7 @@
 
 
 @pytest.mark.parametrize("target", ["http://xn--/read/x", "http://[::1/x", "//[::1/x"])
-async def test_target_that_can_not_be_understood_is_refused(target):
+async def test_target_with_an_invalid_host_is_refused(target):
     """Guards against an open connection that is no longer read.
 
     On an absolute URL with an invalid host, the HTTP library fails after it has parsed
@@ -268,7 +268,7 @@
 
 
 @pytest.mark.parametrize("version", ["HTTP/0.9", "HTTP/2.0"])
-async def test_stream_to_a_caller_of_another_protocol(version):
+async def test_stream_to_a_caller_of_another_http_version(version):
     """The request names a protocol version without chunked encoding."""
     async with serving(engine("i-1", EngineScript(last=3))) as entry:
         reader, writer = await entry.connect()
@@ -281,7 +281,7 @@
     assert body.count(b"id:") == 3
 
 
-async def test_rest_of_a_refused_body_holds_no_end_up():
+async def test_rest_of_a_refused_body_does_not_delay_a_shutdown():
     """Guards against a shutdown delayed by the rest of a refused request's body.
 
     After the response, the connection counts as idle, although the caller still sends.
@@ -299,7 +299,7 @@
         writer.close()
 
 
-async def test_part_of_a_head_is_forgotten_once_the_request_is_answered():
+async def test_connection_is_idle_after_headers_in_two_parts():
     """Headers that arrive in two parts: the connection is idle after the response."""
     loop = asyncio.get_running_loop()
     replica = Replica("i-1", answer())
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -42,7 +42,7 @@
     assert got.headers["x-own"] == "a, b"
 
 
-async def test_nothing_is_added_that_changes_the_answer():
+async def test_no_header_is_added_to_a_request():
     """Guards against added headers such as Accept-Encoding.
 
     A replica might encode its response and sign other bytes.
@@ -67,7 +67,7 @@
 }
 
 
-async def test_headers_that_are_the_systems_to_set_are_not_passed_on():
+async def test_reserved_headers_of_callers_are_not_forwarded():
     """Guards against forwarding a forged KV handle or priority.
 
     The request would use the KV cache of another caller or jump the queue.
@@ -91,7 +91,7 @@
         "Content-Length: +5\r\n",
     ],
 )
-async def test_request_of_unsure_length_reaches_nobody(extra):
+async def test_request_of_ambiguous_length_is_refused(extra):
     """Guards against request smuggling by an ambiguous body length.
 
     The caller gets a 400 and the connection is closed, as the start of its next request
@@ -113,7 +113,7 @@
     assert replica.received == []
 
 
-async def test_answer_to_another_request_is_not_delivered():
+async def test_reply_to_another_request_is_not_forwarded():
     """Guards against a late reply on a reused connection.
 
     The caller of the second request must not get the reply to the first one.
@@ -130,7 +130,7 @@
     assert "x-response-signature" not in got.headers
 
 
-async def test_second_answer_on_a_kept_connection_is_discarded():
+async def test_duplicate_reply_on_a_reused_connection_is_discarded():
     """Guards against taking a duplicate reply for the reply to the next request.
 
     A replica replies twice before the next request. Each caller gets its own response,
@@ -156,7 +156,7 @@
     assert bodies == [(200, f"for id-{n}".encode()) for n in range(4)]
 
 
-async def test_connection_with_bytes_nobody_asked_for_is_closed():
+async def test_connection_with_unexpected_data_is_not_reused():
     """Guards against reusing a connection with unexpected data.
 
     A replica replies twice, and the duplicate has arrived before the next request. Sent
@@ -203,7 +203,7 @@
     assert replica.connections == 2
 
 
-async def test_success_without_signature_is_none():
+async def test_success_without_signature_is_not_forwarded():
     """Guards against forwarding a 200 that no replica has signed."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("broken", [True, False])
-async def test_body_without_length_is_whole_only_after_a_clean_end(broken):
+async def test_body_without_length_is_complete_only_after_a_normal_close(broken):
     """Guards against taking a reset for the end of a body without a length."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize("cut", ["in the head", "in the body"])
-async def test_order_whose_answer_is_cut_off_is_not_sent_again(cut):
+async def test_order_with_truncated_reply_is_not_retried(cut):
     """Guards against running an order twice.
 
     The replica ran it and died, so that its outcome is unknown.
@@ -256,7 +256,7 @@
     assert sum(len(replica.received) for replica in replicas) == 1
 
 
-async def test_refusal_that_did_not_run_is_passed_on_as_such():
+async def test_refusal_as_not_run_is_forwarded():
     """The only replica that an order may be sent to is full: the caller may retry."""
     replicas = [Replica(f"i-{n}", not_run()) for n in range(2)]
     async with serving(*replicas) as entry:
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-async def test_status_that_promises_too_much_is_not_passed_on(status):
+async def test_unconfirmed_not_run_status_is_not_forwarded(status):
     """Guards against forwarding a status that says that a request was not run.
 
     A replica's 503 without the header that confirms it may come after the request ran.
@@ -279,7 +279,7 @@
     assert got.status == (503 if status == 421 else 502)
 
 
-async def test_replica_that_is_not_there_costs_nothing():
+async def test_refused_connection_does_not_count_as_an_attempt():
     """If a connection is refused, nothing was sent: an order may be sent elsewhere."""
     gone, sound = Replica("i-1", answer()), Replica("i-2", answer())
     async with serving(gone, sound) as entry:
@@ -290,7 +290,7 @@
     assert len(sound.received) == 6
 
 
-async def test_failure_of_an_idempotent_call_is_tried_elsewhere():
+async def test_failed_idempotent_request_is_retried_elsewhere():
     """One replica fails, and the caller gets the other's response after one retry."""
     replicas = [Replica("i-1", answer(500, b"no")), Replica("i-2", answer())]
     async with serving(*replicas) as entry:
@@ -300,7 +300,7 @@
     assert statuses == [200] * 4
 
 
-async def test_failure_everywhere_is_the_replicas_own_answer():
+async def test_last_failure_is_forwarded_if_all_attempts_fail():
     replicas = [Replica(f"i-{n}", answer(500, b"no")) for n in range(3)]
     async with serving(*replicas) as entry:
         got = await entry.ask("/read/x")
@@ -309,7 +309,7 @@
     assert sum(len(replica.received) for replica in replicas) == 2
 
 
-async def test_hanging_replica_holds_no_idempotent_call():
+async def test_hanging_replica_does_not_delay_idempotent_requests():
     """Guards against waiting for a hanging replica until the deadline.
 
     Another replica responds in time, and the connection to the first one is closed to
@@ -326,7 +326,7 @@
     assert time.monotonic() - began < 1.0
 
 
-async def test_caller_that_leaves_takes_its_call_along():
+async def test_disconnect_of_a_caller_cancels_its_request():
     """A caller disconnects: the connection to the replica is closed within 0.5 s."""
     replica = Replica("i-1", hang())
     async with serving(replica) as entry:
@@ -337,7 +337,7 @@
         await until(lambda: replica.closed == ["id-1"], 0.5)
 
 
-async def test_time_left_goes_on_and_the_route_ends_a_call():
+async def test_remaining_time_is_forwarded_and_bounded_by_the_route():
     """The remaining time is forwarded, and a request ends at its route's timeout.
 
     The order was sent, so that the response must not say that it was not run.
@@ -353,7 +353,7 @@
     assert 0 < int(replica.received[0].headers["x-deadline-ms"]) <= 300
 
 
-async def test_callers_own_time_goes_before_the_routes():
+async def test_shorter_deadline_of_a_caller_overrides_the_routes_timeout():
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         await entry.ask("/order/x", X_Deadline_Ms="700")
@@ -370,7 +370,7 @@
         ({"Host": "elsewhere.example"}, 404),
     ],
 )
-async def test_request_that_makes_no_sense_is_refused(headers, status):
+async def test_invalid_request_is_refused(headers, status):
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         got = await entry.ask("/order/x", **headers)
@@ -378,7 +378,7 @@
     assert replica.received == []
 
 
-async def test_no_configuration_yet_is_not_the_callers_fault():
+async def test_missing_configuration_is_refused_as_temporary():
     """Guards against a 404 from an entry that has just started: callers don't retry."""
     async with serving(document={}) as entry:
         got = await entry.ask("/order/x")
@@ -389,7 +389,7 @@
         assert (await entry.ask("/nowhere/x")).status == 404
 
 
-async def test_entry_that_has_just_started_keeps_its_first_callers():
+async def test_first_requests_wait_for_the_initial_load():
     """Guards against refusing requests before the initial load from the store.
 
     After an outage of all entries, callers connect as soon as one listens again. The
@@ -409,7 +409,7 @@
     assert got.status == 200
 
 
-async def test_body_beyond_the_operators_limit():
+async def test_body_over_the_configured_limit_is_refused():
     replica = Replica("i-1", answer())
     document = config(**{"max-body-bytes": 100})
     async with serving(replica, document=document) as entry:
@@ -418,7 +418,7 @@
     assert replica.received == []
 
 
-async def test_answer_before_the_body_is_read_keeps_the_connection_in_step():
+async def test_reply_before_the_body_is_read_does_not_corrupt_the_connection():
     """Guards against a reused connection on which the rest of a body is still due.
 
     A replica responds before it has read a long body. The next request, on that
@@ -445,7 +445,7 @@
         writer.close()
 
 
-async def test_order_never_goes_over_a_kept_connection():
+async def test_order_is_sent_on_a_new_connection():
     """Guards against orders of unknown outcome because of an idle connection.
 
     A replica closes idle connections without notice, and a request sent on one is
@@ -462,7 +462,7 @@
     assert replica.connections == before + 3
 
 
-async def test_leaving_replica_gets_no_second_send_either():
+async def test_leaving_replica_gets_no_retry():
     """Guards against a retry at a replica that is leaving.
 
     A request fails at one replica while the other starts to leave: the retry must use
@@ -485,7 +485,7 @@
 
 
 @pytest.mark.parametrize("second", ["refuses", "is not there"])
-async def test_refusal_after_a_lost_answer_does_not_say_that_nothing_ran(second):
+async def test_refusal_after_a_lost_reply_is_of_unknown_outcome(second):
     """Guards against a 503 for a request that may have run.
 
     One replica runs the request and its reply is lost; the second one refuses it. The
--- a/tests/test_direct_ending.py
+++ b/tests/test_direct_ending.py
@@ -54,7 +54,7 @@
     await asyncio.sleep(60)
 
 
-async def test_an_entry_told_to_end_takes_callers_while_it_lives():
+async def test_an_entry_accepts_connections_until_it_exits():
     """Guards against closed ports while all entries are restarted in turn.
 
     An entry stopped listening 2.6 s after SIGTERM and ran until its last stream ended,
@@ -131,7 +131,9 @@
     assert [outcome.status for outcome in outcomes] == [502, 504]
 
 
-async def test_what_waits_at_the_very_end_has_not_run(monkeypatch):
+async def test_request_waiting_at_the_end_of_a_shutdown_is_refused_as_not_run(
+    monkeypatch,
+):
     """A request that waits for a role change is refused when the shutdown ends.
 
     It was not sent anywhere, so that its caller may retry.
@@ -151,7 +153,7 @@
     assert one.received == []
 
 
-async def test_a_stream_that_the_end_cuts_off_looks_cut_off():
+async def test_a_stream_that_a_shutdown_ends_is_visibly_truncated():
     """Guards against a stream that looks complete when a shutdown ends it.
 
     The events received so far were forwarded, and the end of the stream is missing.
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -97,7 +97,7 @@
     return registration(Replica("i", answer())) | {"address": "10.0.0.1:80"} | changes
 
 
-async def test_entry_is_ready_once_it_knows_both():
+async def test_entry_is_ready_with_configuration_and_upstreams():
     async with following() as (store, fleet, _):
         await until(lambda: fleet.settled)
         assert not fleet.ready
@@ -120,7 +120,7 @@
     assert store.calls[start : start + 2] == ["GET /kv-range", "GET /kv-watch"]
 
 
-async def test_leaving_and_gone_upstreams_get_nothing_more():
+async def test_leaving_and_removed_upstreams_are_not_members():
     async with following() as (store, fleet, _):
         store.put("op/config", config())
         for number in range(3):
@@ -145,7 +145,7 @@
         json.dumps({k: v for k, v in entry().items() if k != "zone"}).encode(),
     ],
 )
-async def test_entry_of_another_writer_names_nobody(value):
+async def test_undecodable_registration_is_ignored(value):
     """An undecodable registration is ignored and does not affect the others."""
     async with following() as (store, fleet, _):
         store.put("op/config", config())
@@ -155,7 +155,7 @@
         await until(lambda: names(fleet) == {"i-1", "i-3"})
 
 
-async def test_reborn_upstream_is_another_one():
+async def test_restarted_upstream_gets_a_new_load_tracker():
     """Guards against keeping the load of an upstream that restarted under its name."""
     async with following() as (store, fleet, _):
         store.put("op/config", config())
@@ -180,7 +180,7 @@
         assert fleet.generation == 7
 
 
-async def test_configuration_that_is_not_understood_changes_nothing():
+async def test_invalid_configuration_is_ignored():
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
@@ -190,7 +190,7 @@
         await until(lambda: fleet.generation == 9)
 
 
-async def test_outage_leaves_what_is_known():
+async def test_outage_of_the_store_keeps_the_last_known_state():
     """While the store is down, the last configuration and members are used."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
@@ -227,7 +227,7 @@
         await until(lambda: names(fleet) == {"i-1"}, seconds=RETURN_SECONDS + 1.0)
 
 
-async def test_history_that_is_gone_leads_to_a_new_reading():
+async def test_compacted_history_leads_to_a_full_read():
     """The store has compacted the revision that the watch would resume from (410)."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
@@ -242,7 +242,7 @@
         await until(lambda: names(fleet) == {"i-2"}, seconds=4.0)
 
 
-async def test_watch_on_a_dead_connection_is_opened_anew():
+async def test_watch_on_a_dead_connection_is_reopened():
     """Guards against a watch that hangs on a dead connection without a reset.
 
     The watch's timeout ends it, and all keys are read again.
@@ -267,7 +267,7 @@
         await until(lambda: fleet.generation == 8, seconds=RECOVERY_SECONDS)
 
 
-async def test_changing_engine_is_left_alone_for_a_while():
+async def test_engine_that_changes_its_role_is_not_a_member():
     """Guards against sending work to an engine that is changing its role."""
     async with following() as (store, fleet, _):
         now = 0.0
@@ -285,7 +285,7 @@
         await until(lambda: len(fleet.members("llm", now)) == 1)
 
 
-async def test_entries_know_each_other_while_they_live():
+async def test_entries_are_registered_under_a_lease():
     async with following() as (store, fleet, adapter):
         presence = Presence(adapter, "entry-9", "10.0.0.9:7380", random.Random(1))
         task = asyncio.create_task(presence.run())
@@ -338,7 +338,7 @@
         assert notifications == ["gone"]
 
 
-async def test_store_that_does_not_watch_is_not_read_without_a_pause():
+async def test_failing_watches_are_retried_with_backoff():
     """Guards against reads without backoff if only watches fail."""
     async with following() as (store, fleet, _):
         store.compacted = 1_000_000
@@ -351,7 +351,7 @@
     assert readings <= 2 * (3 + 2 * seconds / LONGEST_RETRY_SECONDS)
 
 
-async def test_entry_that_left_unseen_is_forgotten():
+async def test_entry_whose_removal_was_missed_is_removed():
     """The removal of its key was compacted before the watch could deliver it."""
     async with following() as (store, fleet, _):
         key = PRESENCE_PREFIX + "entry-9"
@@ -425,7 +425,7 @@
     assert (found.name if found else None) == name
 
 
-def test_split_follows_its_weights():
+def test_traffic_split_matches_its_weights():
     split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     document = config(routes=[route("/a/", "safe", **{"traffic-split": split})])
     routing = PlatformDirectory().decode_routing(json.dumps(document).encode())
@@ -434,7 +434,7 @@
     assert 120 < drawn.count("b") < 280
 
 
-def test_kinds_say_what_may_be_repeated():
+def test_kind_of_a_route_decides_whether_requests_may_be_retried():
     kinds = {"safe": True, "unsafe": False, "streaming": False}
     routes = [route(f"/{kind}/", kind) for kind in kinds]
     routes.append(route("/resumed/", "streaming", resumable=True))
@@ -445,14 +445,14 @@
     assert routing.routes[2].kind is CallKind.STREAM
 
 
-def test_unknown_fields_are_left_out_of_account():
+def test_unknown_fields_are_ignored():
     document = config() | {"new-field": {"deep": [1]}}
     assert PlatformDirectory().decode_routing(json.dumps(document).encode()).routes
     with pytest.raises(ConfigError):
         PlatformDirectory().decode_routing(b"nothing")
 
 
-def test_older_reading_of_an_upstream_changes_nothing():
+def test_outdated_registration_is_ignored():
     fleet = Fleet(PlatformDirectory(), lambda: 0.0)
     fleet.put(KeyValue("servers/i-1", json.dumps(entry(state="draining")).encode(), 9))
     fleet.put(KeyValue("servers/i-1", json.dumps(entry()).encode(), 5))
--- a/tests/test_direct_fuzz.py
+++ b/tests/test_direct_fuzz.py
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-async def test_request_is_passed_on_byte_for_byte_or_refused(seed):
+async def test_request_is_forwarded_unchanged_or_refused(seed):
     """Guards against changing paths, queries and header values with unusual bytes.
 
     A request is forwarded unchanged or refused with a 400.
@@ -252,7 +252,7 @@
     assert [r.headers["x-odd"] for r in replica.received] == ["caf\xc3\xa9"]
 
 
-async def test_answer_is_delivered_without_a_header_that_can_not_be_written(caplog):
+async def test_response_is_sent_without_a_header_of_invalid_utf8(caplog):
     """Guards against losing a response because of one header with invalid UTF-8."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -330,7 +330,7 @@
     return rng.randbytes(rng.randint(1, 200))
 
 
-async def test_streams_of_a_sound_engine_after_all_that():
+async def test_stream_of_an_engine_without_faults_is_complete():
     """The stand-in's own replies are valid: the test above fails by corruption only."""
     async with serving(engine("i-1", EngineScript())) as entry:
         got = await entry.ask("/talk/x", X_Token_Count="400,80")
--- a/tests/test_direct_last_callers.py
+++ b/tests/test_direct_last_callers.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("turns", range(9))
-async def test_connection_taken_as_the_entry_stops_taking_does_not_stay_open(turns):
+async def test_connection_accepted_as_the_entry_stops_accepting_is_closed(turns):
     """Without a request, the connection is closed soon or was never accepted."""
     async with serving(Replica("i-1", answer())) as entry:
         raw = await stopping(entry, turns)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("turns", range(9))
-async def test_request_on_a_connection_taken_as_the_entry_stops_taking(turns):
+async def test_request_on_a_connection_accepted_as_the_entry_stops_accepting(turns):
     """A request arrives half a second later, just before the entry exits.
 
     The entry exits as soon as no request is running. A request that has reached a
--- a/tests/test_direct_last_engine.py
+++ b/tests/test_direct_last_engine.py
@@ -14,21 +14,21 @@
 
 
 @pytest.mark.parametrize("decode_share", [0.0, 0.06, 1.0])
-def test_last_engine_that_only_reads_is_ordered_to_answer_at_once(decode_share):
+def test_last_engine_with_the_prefill_role_is_ordered_to_decode(decode_share):
     controller = RoleController()
     order = controller.decide([EngineRole("i-1", Role.PREFILL, 3)], decode_share, 100.0)
     assert order is not None
     assert (order.name, order.role, order.urgent) == ("i-1", Role.DECODE, True)
 
 
-def test_last_engine_that_answers_is_left_alone():
+def test_last_engine_with_the_decode_role_gets_no_order():
     controller = RoleController()
     for now in (100.0, 110.0, 130.0):
         engines = [EngineRole("i-1", Role.DECODE)]
         assert controller.decide(engines, 0.0, now) is None
 
 
-def test_last_engine_that_is_on_its_way_gets_no_second_order():
+def test_last_engine_that_is_changing_its_role_gets_no_second_order():
     controller = RoleController()
     engines = [EngineRole("i-1", Role.DECODE, changing=True)]
     assert controller.decide(engines, 0.0, 100.0) is None
--- a/tests/test_direct_process.py
+++ b/tests/test_direct_process.py
@@ -99,7 +99,7 @@
     return [json.loads(line) for line in output.splitlines()]
 
 
-async def test_sigterm_cuts_nothing_off():
+async def test_sigterm_cuts_off_no_request():
     """SIGTERM arrives while a stream is running and another connection is idle.
 
     The readiness probe fails at once; new requests are still served for a moment, with
@@ -165,7 +165,7 @@
     assert 0.0 < asked[0]["part"] < asked[1]["part"] < 1.0
 
 
-async def test_sighup_disturbs_nothing_and_metrics_are_served():
+async def test_sighup_has_no_effect_on_requests_and_metrics_are_served():
     async with Store() as store, Replica("i-1", answer()) as replica:
         store.put("op/config", config())
         store.put("servers/i-1", registration(replica))
@@ -186,7 +186,7 @@
     assert "reload" in [line["event"] for line in lines]
 
 
-async def test_entries_find_and_tell_each_other():
+async def test_entries_announce_prefills_to_each_other():
     """Two entries register; the prefill of a long prompt is announced to the other."""
 
     class Peer(asyncio.DatagramProtocol):
@@ -234,7 +234,7 @@
     assert isinstance(notices[0], ReadNotice)
 
 
-async def test_log_that_nobody_reads_holds_no_request():
+async def test_blocked_log_pipe_delays_no_request():
     """Guards against blocking requests on the log.
 
     The log collector hangs, and the pipe is full after some hundred requests. Requests
@@ -269,7 +269,7 @@
         ("BERGAMOTMAST_RETRY_SHARE", "much", "BERGAMOTMAST_RETRY_SHARE"),
     ],
 )
-async def test_setting_that_is_not_allowed_is_named(name, value, said):
+async def test_invalid_setting_is_named(name, value, said):
     settings = {
         "BERGAMOTMAST_NAME": "entry-1",
         "BERGAMOTMAST_ZONE": "zone-a",
--- a/tests/test_direct_stopping.py
+++ b/tests/test_direct_stopping.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("turns", range(9))
-async def test_request_that_arrives_as_the_entry_stops_taking(turns):
+async def test_request_that_arrives_as_the_entry_stops_accepting(turns):
     """Guards against cutting off a request that arrives as idle connections are closed.
 
     Either the request is never read, and its caller may send it elsewhere, or it is
@@ -58,7 +58,7 @@
     return 0
 
 
-async def test_requests_that_arrive_while_the_loop_stands_still_as_taking_ends():
+async def test_requests_that_arrive_while_the_event_loop_is_blocked_are_served():
     """Guards against closing a connection whose request has no handler yet.
 
     The event loop is blocked for 80 ms, as by garbage collection, until the entry stops
@@ -90,7 +90,7 @@
     assert ids == {"before", "late-0", "late-1"}
 
 
-async def test_body_that_is_still_coming_is_read_to_its_end():
+async def test_body_that_is_still_arriving_is_read_to_its_end():
     """Guards against dropping a request whose body arrives during the shutdown.
 
     Its headers were read before the entry stopped accepting requests: it gets its
@@ -113,7 +113,7 @@
         writer.close()
 
 
-async def test_answer_begun_before_the_end_closes_its_connection():
+async def test_response_started_before_the_shutdown_closes_its_connection():
     """Guards against a connection that stays open after a response without "close".
 
     The response started before the entry stopped accepting requests; another request on
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -51,7 +51,7 @@
     return await task
 
 
-async def test_long_prompt_is_read_apart():
+async def test_long_prompt_is_prefilled_at_a_prefill_engine():
     """A prefill engine runs the prompt, and a decode engine imports its KV cache."""
     reader, answerer = EngineScript(), EngineScript()
     one, two = engine("i-1", reader, "prefill"), engine("i-2", answerer)
@@ -65,7 +65,7 @@
     assert reader.freed == []
 
 
-async def test_events_come_as_they_are_made():
+async def test_events_are_forwarded_without_delay():
     """Guards against holding an event back until the next one arrives."""
     script = EngineScript(last=3, pause=0.15)
     async with serving(engine("i-1", script)) as entry:
@@ -77,7 +77,7 @@
         writer.close()
 
 
-async def test_stream_goes_on_elsewhere_with_whole_events():
+async def test_stream_resumes_elsewhere_with_complete_events():
     """The engine dies within event 3, and another one resumes the stream there.
 
     The caller receives each event once, in order, in one complete response with the
@@ -95,7 +95,7 @@
     assert resumed["x-expect-version"] == "1"
 
 
-async def test_stream_that_may_not_resume_looks_incomplete():
+async def test_stream_that_may_not_resume_is_visibly_truncated():
     """Guards against retrying a stream that must not run twice.
 
     The engine dies within event 3.
@@ -119,7 +119,7 @@
     assert sum(len(replica.received) for replica in replicas) == 2
 
 
-async def test_callers_last_event_is_kept():
+async def test_last_event_id_of_a_caller_is_forwarded():
     """A caller that resumes a stream itself: its event number is forwarded."""
     one = engine("i-1", EngineScript(last=5))
     async with serving(one) as entry:
@@ -128,7 +128,7 @@
     assert got.body == events(4, 5)
 
 
-async def test_caller_that_leaves_a_stream_ends_it_at_the_engine():
+async def test_disconnect_during_a_stream_cancels_it_at_the_engine():
     one = engine("i-1", EngineScript(last=1000, pause=0.02))
     async with serving(one) as entry:
         reader, writer = await entry.connect()
@@ -138,7 +138,7 @@
         await until(lambda: one.closed == ["id-1"], 0.5)
 
 
-async def test_caller_that_leaves_during_the_prefill_ends_that():
+async def test_disconnect_during_the_prefill_cancels_it():
     one = engine("i-1", EngineScript(prefill_seconds=30), "prefill")
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
@@ -150,7 +150,7 @@
     assert two.received == []
 
 
-async def test_handle_that_nobody_takes_is_freed():
+async def test_unused_kv_handle_is_released():
     """The caller disconnects after the prefill, before the KV cache is imported."""
     reader = EngineScript()
     one, two = engine("i-1", reader, "prefill"), engine("i-2", hang())
@@ -162,7 +162,7 @@
         await until(lambda: reader.freed == ["h0"])
 
 
-async def test_refused_handle_leads_to_a_direct_run():
+async def test_refused_kv_handle_leads_to_a_prefill_at_the_decode_engine():
     """The decode engine can't import the KV cache (503, not run) and prefills itself.
 
     A second attempt at the same engine does not count against the maximum number of
@@ -183,7 +183,7 @@
         assert "retry-after" in got.headers
 
 
-async def test_silent_reading_engine_is_left_for_another():
+async def test_unresponsive_prefill_engine_is_replaced():
     """Guards against waiting for a prefill engine after a power loss, without a reset.
 
     The caller gets its first event well before it would disconnect, and the dead engine
@@ -203,7 +203,7 @@
     assert len(dead.received) == 1
 
 
-async def test_stalled_stream_goes_on_elsewhere():
+async def test_stalled_stream_resumes_elsewhere():
     """An engine stops in the middle of a stream without closing the connection."""
 
     async def stall(replica: Replica, received: Received, writer) -> None:
@@ -227,7 +227,7 @@
     assert got.body == events(1, 4)
 
 
-async def test_engine_that_refuses_is_left_alone_for_a_moment():
+async def test_engine_that_refuses_a_request_cools_down():
     """An engine that restarted in another role replies 421 until it has registered.
 
     The first request is refused as not run; the next ones go to another engine.
@@ -252,7 +252,7 @@
     assert "x-response-signature" in got.headers
 
 
-async def test_shared_part_is_fetched_from_the_engine_that_keeps_it():
+async def test_shared_prefix_is_transferred_from_the_engine_that_has_it_cached():
     """A prefix is transferred from the busy engine that has it cached.
 
     Guards against asking an engine whose prefill of the prefix is still running: the
@@ -278,7 +278,7 @@
     assert fetches == [one.address]
 
 
-async def test_request_given_up_in_the_queue_does_not_pass_for_cached():
+async def test_cancelled_prefill_does_not_count_as_cached():
     """Guards against counting a cancelled prefill as cached.
 
     A caller disconnects while its prompt is queued, and sends it again. If its 4,000
@@ -300,7 +300,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-async def test_two_engines_that_refused_once_are_not_all_left_alone():
+async def test_cool_down_never_excludes_all_decode_engines():
     """Guards against refusing all requests while all decode engines are cooling down.
 
     Both engines refuse one request at the same time and have room again afterwards.
@@ -345,7 +345,7 @@
 
 
 @pytest.mark.parametrize("streamed", [0, 1])
-async def test_stalled_stream_goes_on_where_its_prompt_was_once_not_read(streamed):
+async def test_stalled_stream_resumes_at_an_engine_whose_prefill_failed(streamed):
     """Guards against excluding an engine from decode after a failed prefill.
 
     The stalled stream was cancelled in favour of that engine and then not sent to it.
@@ -382,7 +382,7 @@
     assert got.body == events(1, 2)
 
 
-async def test_stream_that_nobody_would_wait_for_is_refused_at_once(caplog):
+async def test_stream_that_starts_after_the_callers_timeout_is_refused_at_once(caplog):
     """Guards against queueing a stream whose caller disconnects before it starts.
 
     Every engine has five seconds of work, and callers disconnect after two. The request
@@ -409,7 +409,7 @@
     assert ended.size == "rest"
 
 
-async def test_refused_callers_do_not_all_return_in_one_moment():
+async def test_retries_of_refused_callers_are_spread():
     """Guards against refused callers that all retry at the same time.
 
     A burst is refused with one prediction. With the same Retry-After for all, the
@@ -435,7 +435,7 @@
     entry.put(engine_key(name), encode_record(part))
 
 
-async def test_stream_waits_for_the_engine_that_is_about_to_answer(monkeypatch):
+async def test_stream_waits_for_a_role_change_to_decode(monkeypatch):
     """Guards against refusing a stream that can wait for a role change.
 
     All decode engines have left, and a prefill engine is changing its role. The caller
@@ -457,7 +457,7 @@
     assert got.body == events(1, 4)
 
 
-async def test_stream_is_told_when_an_engine_will_answer():
+async def test_retry_after_covers_a_running_role_change():
     """A caller that can't wait for a role change is told when to retry.
 
     Guards against a burst of retries: each caller gets another Retry-After.
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("part", [Follower, Presence, RolePlanner])
-async def test_failure_beside_the_requests_ends_no_request(part, monkeypatch):
+async def test_failure_of_a_background_task_ends_no_request(part, monkeypatch):
     """Guards against closed connections after an unexpected error in a background task.
 
     The process shuts down gracefully, and the running order gets its response.
@@ -159,7 +159,7 @@
         assert got.body == b"late"
 
 
-async def test_line_that_can_not_be_written_ends_no_request():
+async def test_request_id_of_invalid_utf8_is_refused():
     """Guards against a log handler that fails on a request id with invalid UTF-8.
 
     The request is refused, and the next one on the connection gets its response.
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize(
     "address", ["host:7000", "127.0.0.1:70000", "127.0.0.1:0", "::1", ":7000", ""]
 )
-async def test_entry_is_only_told_of_prompts_at_an_ip_number_and_port(address):
+async def test_invalid_datagram_address_is_ignored(address):
     """Guards against an invalid datagram address in another entry's registration.
 
     A host name would be resolved for every datagram, blocking the event loop. A port
@@ -208,7 +208,7 @@
         assert list(entry.fleet.entries.values()) == [("10.0.0.9", 7380)]
 
 
-async def test_fault_in_planning_ends_nothing(monkeypatch):
+async def test_error_in_the_planner_ends_nothing_else(monkeypatch):
     """Guards against terminating an entry on an unexpected error in the planner.
 
     The planner releases its lease and tries again, and requests are still served.
@@ -237,7 +237,7 @@
         await until(lambda: HOLDER_KEY not in store.items)
 
 
-async def test_log_whose_reader_is_gone_ends_no_request():
+async def test_closed_log_pipe_ends_no_request():
     """Requests are served although the log's reader has exited and writes fail."""
     replica = Replica("i-1", answer())
     async with entry_before(replica) as (entry, _):
@@ -267,7 +267,7 @@
     return min(counts)
 
 
-async def test_callers_beyond_the_limit_of_descriptors_wait_for_one():
+async def test_connections_over_the_descriptor_limit_wait_in_the_backlog():
     """Guards against losing requests at the limit of file descriptors.
 
     New connections wait in the backlog and are accepted once others are closed. Each
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.parametrize("events", [0, 2])
-async def test_fault_of_the_entry_itself_is_told(events, monkeypatch):
+async def test_internal_error_is_reported_to_the_caller(events, monkeypatch):
     """An unexpected error before a response starts or in the middle of a stream.
 
     The caller gets a 500, or a stream that is visibly incomplete.
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("path", ["/order/x", "/read/x", "/talk/x"])
-async def test_request_at_work_at_the_end_is_told_that_its_outcome_is_unknown(path):
+async def test_request_running_at_the_end_of_a_shutdown_is_of_unknown_outcome(path):
     """Guards against a closed connection for a request that runs when a shutdown ends.
 
     The replica has not replied: the caller is told that the outcome is unknown.
@@ -69,7 +69,7 @@
     assert got.status in (502, 504)
 
 
-async def test_prompt_that_is_read_at_the_end_is_refused_as_not_run():
+async def test_prefill_at_the_end_of_a_shutdown_is_refused_as_not_run():
     """A request in its prefill when a shutdown ends is refused as not run.
 
     Nothing of the response was generated, so that its caller may retry.
@@ -88,7 +88,7 @@
     assert float(got.headers["retry-after"]) > 0
 
 
-async def test_stream_that_waits_at_the_end_is_refused_as_not_run():
+async def test_stream_waiting_at_the_end_of_a_shutdown_is_refused_as_not_run():
     """A stream that waits for a role change when a shutdown ends is refused as not run.
 
     Its caller gets a Retry-After before the process exits.
@@ -108,7 +108,7 @@
     assert float(got.headers["retry-after"]) > 0
 
 
-async def test_request_whose_body_is_late_at_the_end_is_refused_as_not_run():
+async def test_request_without_body_at_the_end_of_a_shutdown_is_refused_as_not_run():
     """A request whose body has not arrived when a shutdown ends is refused as not run.
 
     Its caller gets a Retry-After.
@@ -126,7 +126,7 @@
     assert float(got.headers["retry-after"]) > 0
 
 
-async def test_stream_at_work_at_the_end_looks_incomplete():
+async def test_stream_running_at_the_end_of_a_shutdown_is_visibly_truncated():
     """Guards against a stream that looks complete although a shutdown has cut it off.
 
     The events received so far are sent, the end of the stream is not.
@@ -162,7 +162,7 @@
             return accepted.send(b"x" * 16_000_000)
 
 
-async def test_answer_that_its_caller_reads_late_is_sent_to_its_end():
+async def test_response_that_is_read_late_is_sent_completely():
     """Guards against exiting while the end of a response is in the event loop's buffer.
 
     The response is a little larger than the sockets' buffers, and the caller reads it
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize("turns", range(8))
-async def test_connection_that_comes_as_the_entry_stops_taking_does_not_stay(turns):
+async def test_connection_made_as_the_entry_stops_accepting_is_closed(turns):
     """Guards against a connection that stays open after an entry stops accepting.
 
     The connection is in the kernel's queue, has been accepted, or has just got its
@@ -254,7 +254,7 @@
             assert await asyncio.wait_for(loop.sock_recv(caller, 1), 1) == b""
 
 
-async def test_suspension_over_the_moment_at_which_an_entry_stops_taking():
+async def test_suspension_while_the_entry_stops_accepting():
     """Guards against lost requests if a process is suspended as it stops accepting.
 
     Requests have arrived on a kept connection and on a new one when it resumes, in the
@@ -283,7 +283,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
-async def test_second_signal_cuts_nothing_off(number):
+async def test_second_signal_cuts_off_no_request(number):
     """A second signal during the shutdown does not cut off a running order."""
     replica = Replica("i-1", slow_answer)
     async with entry_before(replica, seconds="8") as (entry, _):
@@ -315,7 +315,7 @@
     assert float(got.headers["retry-after"]) > 0
 
 
-async def test_end_begins_while_a_deadline_passes():
+async def test_shutdown_starts_while_a_deadline_expires():
     """Guards against an error when a shutdown reschedules an expired timeout.
 
     A request's deadline has passed, and it is still closing its connection to an
@@ -340,7 +340,7 @@
     assert loop.time() - now < 1.0
 
 
-async def test_head_that_comes_in_two_parts_around_the_close_of_idle_connections():
+async def test_headers_in_two_parts_around_the_close_of_idle_connections():
     """Guards against closing a connection as idle after half of a request's headers.
 
     Its caller would not know whether the request was read.
@@ -360,7 +360,7 @@
     assert got.status == 200
 
 
-async def test_request_behind_a_stream_that_began_before_the_end():
+async def test_pipelined_request_behind_a_stream_is_answered_in_a_shutdown():
     """Guards against dropping a pipelined request behind a stream.
 
     The stream started before the shutdown and did not say "Connection: close". The
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("tokens", [700, 3_000])
-async def test_entries_that_know_of_no_load_do_not_choose_one_engine(tokens):
+async def test_entries_without_load_data_do_not_all_choose_one_engine(tokens):
     """Guards against a tie-break order common to all entries, which overloads the
     first engines in that order."""
     fleet = make_fleet(ENGINES)
--- a/tests/test_reply_faults.py
+++ b/tests/test_reply_faults.py
@@ -27,7 +27,7 @@
 from platform_standin import head
 
 
-async def test_answer_with_a_header_that_can_not_be_written():
+async def test_response_with_an_invalid_header_is_sent_without_it():
     """Guards against losing a response because of one invalid header.
 
     The HTTP library reads a control character in a header but refuses to write it. The
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("path", ["/order/x", "/talk/x"])
-async def test_status_that_is_no_answer_is_not_passed_on(path):
+async def test_interim_status_is_not_forwarded(path):
     """Guards against forwarding an unrequested 101 (switching protocols).
 
     A caller would wait for another response after it.
@@ -60,7 +60,7 @@
     assert got.status == 502
 
 
-async def test_group_that_vanishes_while_a_stream_waits():
+async def test_group_removed_while_a_stream_waits():
     """Guards against an error when a group is removed while a stream waits for it.
 
     The stream waits for an engine to change its role; its route and its group are
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("path", ["/order/x", "/read/x", "/talk/x"])
-async def test_answer_that_breaks_off_in_a_wrong_chunk(path):
+async def test_reply_with_an_invalid_chunk_fails_at_once(path):
     """Guards against waiting until the deadline after an invalid chunk in a reply."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -98,9 +98,7 @@
 
 
 @pytest.mark.parametrize("path", ["/order/x", "/talk/x"])
-async def test_answer_without_an_end_takes_no_more_memory_than_it_may(
-    path, monkeypatch
-):
+async def test_endless_reply_is_limited_in_size(path, monkeypatch):
     """Guards against exhausting memory with a body, or an event, that never ends.
 
     The process would be killed with all its running requests. The reply is treated as
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -39,7 +39,7 @@
 LONG = {"X_Token_Count": "12000,80", "X_Prompt_Prefix": "aa:2000,bb:10000"}
 
 
-async def test_each_second_send_says_what_the_budget_went_by(caplog):
+async def test_each_retry_logs_the_state_of_the_budget(caplog):
     caplog.set_level(logging.INFO)
     metrics = OpenTelemetryMetrics("p")
     replicas = [Replica(f"r-{number}", not_run()) for number in range(2)]
@@ -126,7 +126,7 @@
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("entries", [5, 28, 330])
-async def test_entries_that_heard_of_few_others_stay_within_the_budget(entries):
+async def test_entries_that_know_few_others_stay_within_the_budget(entries):
     """Guards against shares that are too large if entries don't know all others.
 
     All entries start at the same time and then lose the store, so that each knows only
@@ -161,7 +161,7 @@
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("entries", [5, 28])
-async def test_entries_that_start_again_and_again_stay_within_the_budget(entries):
+async def test_entries_that_restart_repeatedly_stay_within_the_budget(entries):
     """Guards against a full share at each restart, three times in one window."""
     limits = RetryLimits(0.2, 40.0 * entries)
     members = full_members(entries, limits)
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("entries", [1, 28])
-async def test_prompts_that_gone_engines_drop_stay_within_the_budget(entries):
+async def test_prompts_dropped_by_dead_engines_stay_within_the_budget(entries):
     """Guards against retries over the budget while dead engines are still registered.
 
     Each of them drops the prompts that it gets, and each prompt is sent to another.
@@ -253,7 +253,7 @@
     assert {got.status for got in answers} <= {200, 503}
 
 
-async def test_engine_that_drops_a_stream_does_not_draw_the_next_ones():
+async def test_engine_that_drops_a_stream_does_not_attract_the_next_ones():
     """Guards against a dead engine that attracts requests because it looks idle."""
     gone = engine("i-1", closes_unanswered())
     busy = engine("i-2", EngineScript(pause=0.2))
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -43,7 +43,7 @@
         return self.lives
 
 
-async def test_engine_that_is_only_busy_keeps_a_long_prompt():
+async def test_busy_engine_keeps_a_long_prompt():
     """Guards against restarting a long prefill at one engine after another.
 
     The engine prefills the long prompt while the load tracker assumes that it works on
@@ -75,7 +75,7 @@
     assert "long" not in [received.request_id for received in idle.received]
 
 
-async def test_prompt_that_a_living_engine_never_reads_goes_elsewhere():
+async def test_prompt_that_a_live_engine_never_prefills_is_moved():
     """Guards against waiting for an engine that is alive but never runs a prompt."""
     mute = engine("i-2", hang(), "prefill")
     sound = engine("i-1", EngineScript(), "prefill")
@@ -168,7 +168,7 @@
 @pytest.mark.parametrize(
     ("script", "lives"), [(answer(), True), (answer(503), False), (hang(), False)]
 )
-async def test_a_report_tells_whether_an_engine_lives(script, lives):
+async def test_liveness_probe_asks_for_a_report(script, lives):
     one = engine("i-1", script)
     async with serving(one) as entry:
         context = entry.front.core.context
@@ -201,7 +201,7 @@
     assert all("retry-after" in got.headers for got in answers if got.status == 503)
 
 
-def test_a_long_prompt_is_given_the_time_it_takes():
+def test_overdue_time_of_a_long_prompt_covers_the_queue():
     """Guards against restarting a long prefill that is making progress.
 
     A prompt of 44,000 tokens queues behind one of 17,000; its first half is prefilled
@@ -219,7 +219,7 @@
     assert tracker.overdue_at(("e", 1)) < tracker.overdue_at(("e", 2))
 
 
-def test_what_overtakes_a_prompt_puts_its_end_off():
+def test_overdue_time_covers_prompts_that_overtake():
     tracker = EngineBook(500_000)
     tracker.begin(("e", 1), 0.5, 8, 0.0)
     before = tracker.overdue_at(("e", 1))
@@ -227,7 +227,7 @@
     assert tracker.overdue_at(("e", 1)) == pytest.approx(before + OVERDUE_FACTOR * 0.3)
 
 
-def test_a_slow_engine_is_given_longer():
+def test_overdue_time_covers_the_slowdown_of_an_engine():
     tracker = EngineBook(500_000)
     for number in range(12):
         tracker.measure(0.1, 0.3, number * 0.05)
@@ -237,14 +237,14 @@
     )
 
 
-def test_a_forgotten_prompt_is_overdue():
+def test_a_prompt_no_longer_tracked_is_overdue():
     tracker = EngineBook(500_000)
     tracker.begin(("e", 1), 0.5, 8, 0.0)
     tracker.wait(9, FORGET_SECONDS + 0.1)
     assert tracker.overdue_at(("e", 1)) < 0.0
 
 
-async def test_a_time_out_of_the_call_itself_is_a_lost_reply():
+async def test_tcp_timeout_is_a_lost_reply():
     """Guards against reporting a TCP timeout as an internal error.
 
     The operating system times the connection out before the engine is considered
