--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -52,7 +52,7 @@
     :param prefill: the tracked prefill if this engine also prefills the prompt.
     :param heard_at: when data last arrived from the engine; infinity before that.
     :param streaming: whether the engine has sent an event.
-    :param began_at: when the attempt started.
+    :param started_at: when the attempt started.
     :param sent_at: when the engine was asked to import a KV cache from another engine.
     """
 
@@ -66,7 +66,7 @@
         self.heard_at = math.inf
         self.streaming = False
         self.sent_at: float | None = None
-        self.began_at = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
 
     async def run(self) -> int | None:
         """Return the status, or ``None`` if the request may be retried elsewhere.
@@ -221,7 +221,7 @@
         but it passes the liveness probe and keeps the request.
         """
         now = asyncio.get_running_loop().time()
-        unresponsive = now >= self.tracker.silent_at(self.began_at, now)
+        unresponsive = now >= self.tracker.silent_at(self.started_at, now)
         if not unresponsive or not self.stream.sends.may_move():
             return ""
         lives = await self.context.engine_checks.lives(self.upstream)
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/prefilling.py
@@ -43,7 +43,7 @@
         self.done = False
 
     @property
-    def may_go_on(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another engine may be tried."""
         return self.count < MOST_PREFILLS
 
@@ -95,23 +95,21 @@
             return ""
         tracker = self.context.placing.engine_book(engine)
         now = asyncio.get_running_loop().time()
-        if now >= tracker.silent_at(prefill.began_at, now):
+        if now >= tracker.silent_at(prefill.started_at, now):
             if not await self.context.engine_checks.lives(engine):
                 return SILENT
-        if now >= tracker.overdue_at(prefill.key) and self._is_in_time_elsewhere(
-            engine
-        ):
+        if now >= tracker.overdue_at(prefill.key) and self._can_serve_elsewhere(engine):
             return OVERDUE
         return ""
 
-    def _is_in_time_elsewhere(self, engine: Upstream) -> bool:
+    def _can_serve_elsewhere(self, engine: Upstream) -> bool:
         """Return whether another engine could still serve this stream in time.
 
         Restarting a prefill discards what a live engine has done of it. If the caller
         would disconnect before a restarted prefill completes, waiting costs nothing.
         """
         stream = self.stream
-        if not self.may_go_on or not stream.sends.has_room():
+        if not self.may_retry or not stream.sends.has_room():
             return False
         excluded = {*stream.excluded, engine.name}
         try:
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -18,7 +18,7 @@
 
     :param tokens: prompt tokens estimated not to be cached at the engine.
     :param cached: prompt tokens before them.
-    :param began_at: start time; a point in time.
+    :param started_at: start time; a point in time.
     :param predicted: predicted seconds, including the queueing delay.
     :param engine_was_idle: whether the engine had no other known prefill.
     :param fetch_from: address of the engine to transfer the prefix from; may be empty.
@@ -28,7 +28,7 @@
     tokens: int
     cached: int
     priority: int
-    began_at: float
+    started_at: float
     predicted: float
     engine_was_idle: bool
     fetch_from: str
@@ -82,7 +82,7 @@
         now = asyncio.get_running_loop().time()
         work = tracker.end(prefill.key, now, done=done)
         if done and work is not None and not work.overtaken:
-            self._learn(tracker, prefill, now - prefill.began_at, now)
+            self._learn(tracker, prefill, now - prefill.started_at, now)
         self.context.tell_ended(engine, prefill.key, prefill.tokens, done=done)
 
     def _learn(
--- a/src/bergamotmast/direct/silence.py
+++ b/src/bergamotmast/direct/silence.py
@@ -88,11 +88,11 @@
 
     async def _run_probe(self, liveness_probe: EngineCheck, engine: Upstream) -> bool:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         lives = await liveness_probe.answers(engine)
         if lives:
             self.placing.engine_book(engine).heard_at = loop.time()
-        ms = round((loop.time() - began) * 1e3, 1)
+        ms = round((loop.time() - started_at) * 1e3, 1)
         logger.info(
             "unresponsive engine was probed",
             extra={"upstream": engine.name, "lives": lives, "ms": ms},
--- a/src/bergamotmast/direct/stream_run.py
+++ b/src/bergamotmast/direct/stream_run.py
@@ -60,7 +60,7 @@
         prefill_upstream, upstream = await self.placing.place()
         if prefill_upstream is not None and not cache:
             await self.prefilling.run(prefill_upstream)
-            if not cache and self.prefilling.may_go_on:
+            if not cache and self.prefilling.may_retry:
                 return None
         if cache:
             return self.context.placing.answering(self.call, self.stream.sends.excluded)
