--- a/src/bergamotmast/adapters/curve_files.py
+++ b/src/bergamotmast/adapters/curve_files.py
@@ -1,4 +1,4 @@
-"""CURVE keys of a process, from files."""
+"""Loading of a process's CURVE keys from files."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .zeromq import CurveKeys
 
 PUBLIC_KEY_LENGTH = 40
-"""Characters of a public key in Z85."""
+"""Characters of a public key in Z85 encoding."""
 
 
 def load_keys(secret_file: str, peers_file: str) -> CurveKeys | None:
@@ -18,18 +18,18 @@
 
     :param secret_file: a ZeroMQ certificate with public and secret key; empty for
         connections without keys.
-    :param peers_file: one public key a line, ``#`` begins a comment. A side lets
-        these entries in; an entry expects its sides to have the first of them.
-    :raises SettingError: if a file can't be used.
+    :param peers_file: one public key a line; ``#`` begins a comment. A side accepts
+        entries with these keys; an entry expects its sides to have the first one.
+    :raises SettingError: if a file can't be read or holds no valid keys.
     """
     if not secret_file:
         return None
-    public, secret = _pair(secret_file)
-    peers = _peers(peers_file)
+    public, secret = _load_key_pair(secret_file)
+    peers = _load_peer_keys(peers_file)
     return CurveKeys(public, secret, peers[0], frozenset(peers))
 
 
-def _pair(path: str) -> tuple[bytes, bytes]:
+def _load_key_pair(path: str) -> tuple[bytes, bytes]:
     try:
         public, secret = zmq.auth.load_certificate(path)
     except (OSError, ValueError) as error:
@@ -42,25 +42,25 @@
     return public, secret
 
 
-def _peers(path: str) -> list[bytes]:
+def _load_peer_keys(path: str) -> list[bytes]:
     try:
         lines = pathlib.Path(path).read_text().splitlines()
     except (OSError, UnicodeDecodeError) as error:
         raise SettingError(
             "--curve-peers-file", path, f"a list of keys: {error}"
         ) from error
-    keys = [key for line in lines if (key := _key(line)) is not None]
+    keys = [key for line in lines if (key := _parse_key(line)) is not None]
     if not keys or any(len(key) != PUBLIC_KEY_LENGTH for key in keys):
         allowed = f"public keys of {PUBLIC_KEY_LENGTH} characters, one a line"
         raise SettingError("--curve-peers-file", path, allowed)
     return [key.encode() for key in keys]
 
 
-def _key(line: str) -> str | None:
-    """Return what a line has before its comment; nothing if that is all it has.
+def _parse_key(line: str) -> str | None:
+    """Return the key of a line without its comment; ``None`` for a line without a key.
 
-    Keys may have ``#`` anywhere. Taken for a comment's mark there, it would leave a
-    process with a key that has lost its end, and unable to start.
+    Keys may contain ``#``. If that were taken for the start of a comment, the key would
+    be truncated, and the process could not start.
     """
     word, _, rest = line.strip().partition(" ")
     if not word or word.startswith("#") and len(word) != PUBLIC_KEY_LENGTH:
--- a/src/bergamotmast/adapters/service_http.py
+++ b/src/bergamotmast/adapters/service_http.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""Client for a plain service over HTTP."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..model import ServiceCall
 from .http_calls import exchange
 
-KEY_HEADER = "Idempotency-Key"
-REQUEST_HEADER = "X-Request-Id"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+REQUEST_ID_HEADER = "X-Request-Id"
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 class HttpService:
-    """A :class:`~bergamotmast.ports.PlainService`.
+    """Implements :class:`~bergamotmast.ports.PlainService`.
 
     :param url: base address, without a path.
     """
@@ -29,7 +29,7 @@
     async def call(self, call: ServiceCall) -> ServiceAnswer:
         """Run one call and return its whole answer, whatever its status.
 
-        :raises NotReachedError: also where the deadline has passed before it is sent.
+        :raises NotReachedError: also if the deadline has passed before it is sent.
         """
         budget = call.deadline - asyncio.get_running_loop().time()
         if budget <= 0:
@@ -48,9 +48,9 @@
 
 
 def _headers(call: ServiceCall) -> dict[str, str]:
-    headers = {REQUEST_HEADER: call.request_id}
+    headers = {REQUEST_ID_HEADER: call.request_id}
     if call.idempotency_key:
-        headers[KEY_HEADER] = call.idempotency_key
+        headers[IDEMPOTENCY_KEY_HEADER] = call.idempotency_key
     if call.content_type:
         headers["Content-Type"] = call.content_type
     return headers
--- a/src/bergamotmast/config/document.py
+++ b/src/bergamotmast/config/document.py
@@ -12,30 +12,30 @@
 
 
 class SelectorState(enum.Enum):
-    """What the operators want of the engines a selector names."""
+    """Desired state of the engines in a selector's group."""
 
     SERVING = "serving"
     DRAINING = "draining"
     WITHDRAWN = "withdrawn"
 
 
-class _Part(
+class _DocumentStruct(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """Common base: unknown fields are errors, not silent typing mistakes.
+    """Base of all parts of the document; unknown fields are errors, to find typos.
 
-    Fields that have their default are not written: else a process of an earlier
-    version, which refuses what it does not know, would refuse every document that a
-    later version writes, and an upgrade of one process would cut off all others.
+    Fields with their default value are not encoded: otherwise a process of an earlier
+    version, which rejects unknown fields, would reject every document of a later
+    version, and an upgrade of one process would cut off all others.
     """
 
 
-class Match(_Part, frozen=True):
-    """Which kinds of request a selector takes; an empty list takes all."""
+class Match(_DocumentStruct, frozen=True):
+    """Filter of the requests that a selector applies to; an empty list matches all."""
 
     classes: tuple[str, ...] = ()
     tenants: tuple[str, ...] = ()
@@ -43,26 +43,26 @@
     routes: tuple[str, ...] = ()
 
 
-class RoleBounds(_Part, frozen=True):
-    """How many engines of a group may have one role.
+class RoleBounds(_DocumentStruct, frozen=True):
+    """Bounds on the number of engines in a group that have one role.
 
-    :param least: the planner never goes below this.
-    :param most: the planner never goes above this; ``None`` for no bound.
+    :param least: minimum, below which the planner never goes.
+    :param most: maximum, above which the planner never goes; ``None`` for no bound.
     """
 
     least: int = 0
     most: int | None = None
 
 
-class Selector(_Part, frozen=True):
-    """A rule that joins kinds of request to a group of upstreams.
+class Selector(_DocumentStruct, frozen=True):
+    """A rule that routes matching requests to a group of upstreams.
 
     :param name: unique name, used in every message about it.
     :param group: label expression, for instance ``pool=main,tier!=old``.
-    :param match: the kinds of request that go to the group.
-    :param models: what the group's engines carry, ``name@version``.
-    :param adapters: adapters they carry, ``name@version``.
-    :param roles: bounds for each role.
+    :param match: filter of the requests that go to the group.
+    :param models: models that the group's engines serve, ``name@version``.
+    :param adapters: adapters that they load, ``name@version``.
+    :param roles: bounds on the number of engines for each role.
     :param state: whether the group serves, drains or is withdrawn.
     """
 
@@ -75,12 +75,12 @@
     state: SelectorState = SelectorState.SERVING
 
 
-class RequestClass(_Part, frozen=True):
-    """What callers of a class may expect.
+class RequestClass(_DocumentStruct, frozen=True):
+    """Priority and latency targets of a class of requests.
 
-    :param priority: order among waiting work.
-    :param first_token: seconds until the first token must be out.
-    :param total: seconds until the whole answer must be out.
+    :param priority: scheduling priority among queued requests.
+    :param first_token: seconds until the first token is due.
+    :param total: seconds until the whole answer is due.
     :param between_tokens: seconds allowed between tokens, on average.
     """
 
@@ -90,19 +90,20 @@
     between_tokens: float = 1.0
 
 
-class Tenant(_Part, frozen=True):
+class Tenant(_DocumentStruct, frozen=True):
     """One paying customer.
 
-    :param weight: share of a full upstream, against other tenants' weights.
-    :param keys: SHA-256 hex digests of its caller keys; empty admits by header.
+    :param weight: share of a saturated upstream, relative to other tenants' weights.
+    :param keys: SHA-256 hex digests of its caller keys; if empty, a header suffices to
+        identify its callers.
     """
 
     weight: float = 1.0
     keys: tuple[str, ...] = ()
 
 
-class Route(_Part, frozen=True):
-    """One path of a plain service.
+class Route(_DocumentStruct, frozen=True):
+    """One path prefix of a plain service.
 
     :param prefix: path prefix at the entry, below ``/services/``.
     :param repeatable: whether a call may run more than once.
@@ -115,18 +116,18 @@
 
 
 class Scope(enum.Enum):
-    """What an administration key allows."""
+    """Permission that an administration key grants."""
 
     READ = "read"
     EDIT = "edit"
 
 
-class AdminKey(_Part, frozen=True):
+class AdminKey(_DocumentStruct, frozen=True):
     """A team's key to the administration interface.
 
     :param team: name shown in the history.
     :param digest: SHA-256 hex digest of the key.
-    :param scopes: what it allows.
+    :param scopes: permissions that it grants.
     :param groups: names of the selectors it may edit; empty for all.
     """
 
@@ -136,10 +137,10 @@
     groups: tuple[str, ...] = ()
 
 
-class Configuration(_Part, frozen=True):
+class Configuration(_DocumentStruct, frozen=True):
     """The whole document that is in force.
 
-    :param generation: raised by one with each accepted edit.
+    :param generation: incremented by each accepted edit.
     :param labels: labels of each upstream, by its name.
     """
 
@@ -152,16 +153,18 @@
     admin_keys: tuple[AdminKey, ...] = ()
 
     def request_class(self, name: str) -> RequestClass:
-        """Return a class, or the default one where the name is not configured."""
+        """Return a class by name, or a default one if the name is not configured."""
         return self.classes.get(name, RequestClass())
 
-    def group(self, upstream: str) -> tuple[Selector, ...]:
-        """Return the selectors whose label expression names an upstream."""
+    def selectors_for(self, upstream: str) -> tuple[Selector, ...]:
+        """Return the selectors whose label expression matches an upstream."""
         labels = self.labels.get(upstream, {})
-        return tuple(s for s in self.selectors if expression(s.group).matches(labels))
+        return tuple(
+            s for s in self.selectors if parse_label_expression(s.group).matches(labels)
+        )
 
 
-class Term(msgspec.Struct, frozen=True):
+class LabelTerm(msgspec.Struct, frozen=True):
     """One comparison of a label expression."""
 
     label: str
@@ -173,10 +176,10 @@
         return (labels.get(self.label) == self.value) is self.equal
 
 
-class Expression(msgspec.Struct, frozen=True):
-    """A conjunction of comparisons; without any it matches nothing."""
+class LabelExpression(msgspec.Struct, frozen=True):
+    """A conjunction of comparisons; an empty one matches nothing."""
 
-    terms: tuple[Term, ...]
+    terms: tuple[LabelTerm, ...]
 
     def matches(self, labels: dict[str, str]) -> bool:
         """Return whether an upstream's labels satisfy every comparison."""
@@ -184,19 +187,21 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def expression(text: str) -> Expression:
+def parse_label_expression(text: str) -> LabelExpression:
     """Parse ``label=value,label!=value``.
 
-    :raises ValueError: naming the part that is neither.
+    :raises ValueError: naming a part that is neither comparison.
     """
-    return Expression(tuple(_term(part) for part in text.split(",") if part.strip()))
+    return LabelExpression(
+        tuple(_parse_term(part) for part in text.split(",") if part.strip())
+    )
 
 
-def _term(part: str) -> Term:
+def _parse_term(part: str) -> LabelTerm:
     label, operator, value = part.partition("=")
     if not operator or not label.strip("! ") or not value.strip():
         raise ValueError(f"{part.strip()!r} is not label=value or label!=value")
-    return Term(label.strip("! "), value.strip(), not label.rstrip().endswith("!"))
+    return LabelTerm(label.strip("! "), value.strip(), not label.rstrip().endswith("!"))
 
 
 _ENCODER = msgspec.json.Encoder(order="sorted")
@@ -212,12 +217,13 @@
     """Decode what :func:`encode_configuration` wrote.
 
     :raises msgspec.DecodeError: for anything else, including a label expression
-        that can't be parsed: it would fail later, in the middle of taking effect.
+        that can't be parsed, which would otherwise fail when the document is put in
+        force.
     """
     configuration = _DECODER.decode(data)
     for selector in configuration.selectors:
         try:
-            expression(selector.group)
+            parse_label_expression(selector.group)
         except ValueError as error:
             raise msgspec.ValidationError(f"{selector.name!r}: {error}") from error
     return configuration
--- a/src/bergamotmast/config/groups.py
+++ b/src/bergamotmast/config/groups.py
@@ -1,22 +1,22 @@
-"""Which upstreams each selector names, for a whole document at once."""
+"""Evaluation of label expressions on all upstreams of a document at once."""
 
 from __future__ import annotations
 
 import collections
 
 from .document import Configuration
-from .document import Expression
+from .document import LabelExpression
 from .document import Selector
-from .document import expression
+from .document import parse_label_expression
 
 _Upstreams = frozenset[str]
 
 
 class GroupIndex:
-    """The upstreams of a document by label, to evaluate many expressions on.
+    """Index of a document's upstreams by label, for evaluating many expressions.
 
-    Matching every upstream against every selector takes a tenth of a second of an
-    entry's loop at 600 upstreams and 50 selectors, in which no caller gets a token.
+    Matching every upstream against every selector blocks an entry's event loop, and so
+    all its streams, for a tenth of a second at 600 upstreams and 50 selectors.
 
     :param configuration: the document.
     :param labels: the names of all labels.
@@ -24,7 +24,7 @@
 
     def __init__(self, configuration: Configuration) -> None:
         self.labels: set[str] = set()
-        self._everyone = frozenset(configuration.labels)
+        self._all_upstreams = frozenset(configuration.labels)
         self._by_label: dict[tuple[str, str], set[str]] = collections.defaultdict(set)
         for upstream, labels in configuration.labels.items():
             self.labels.update(labels)
@@ -36,20 +36,20 @@
 
         :raises ValueError: if its label expression can't be parsed.
         """
-        return self._matching(expression(selector.group))
+        return self._matching(parse_label_expression(selector.group))
 
-    def _matching(self, wanted: Expression) -> _Upstreams:
+    def _matching(self, wanted: LabelExpression) -> _Upstreams:
         if not wanted.terms:
             return frozenset()
-        found = self._everyone
+        found = self._all_upstreams
         for term in wanted.terms:
-            carriers = self._by_label.get((term.label, term.value), set())
-            found = found & carriers if term.equal else found - carriers
+            labelled = self._by_label.get((term.label, term.value), set())
+            found = found & labelled if term.equal else found - labelled
         return found
 
 
-def groups_of_upstreams(configuration: Configuration) -> dict[str, frozenset[str]]:
-    """Return the names of the selectors that name each upstream, if any."""
+def selectors_by_upstream(configuration: Configuration) -> dict[str, frozenset[str]]:
+    """Return the names of the selectors that match each upstream, if any."""
     index = GroupIndex(configuration)
     found: dict[str, set[str]] = collections.defaultdict(set)
     for selector in configuration.selectors:
--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -11,7 +11,7 @@
 from ..errors import ReplyLostError
 from ..errors import RequestError
 from ..errors import ResultCode
-from ..policy.direct_placement import answer_priority
+from ..policy.direct_placement import decode_priority
 from .events import Event
 from .events import EventSplitter
 from .forwarding import response_headers
@@ -177,8 +177,8 @@
         :raises ReplyLostError: if it does not.
         :raises BrokenStreamError: if it says that the request was not run.
         """
-        self.heard_at = asyncio.get_running_loop().time()
-        self.stream.timeline.replied_at = self.heard_at
+        self.last_reply_at = asyncio.get_running_loop().time()
+        self.stream.timeline.replied_at = self.last_reply_at
         self.stream.on_heard(self.upstream)
         traits = self.context.read_reply(self.call, self.upstream, reply)
         if traits.not_run:
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -10,7 +10,7 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..logs import request_context
-from ..policy.size_bands import SizeBand
+from ..policy.size_classes import SizeClass
 from ..telemetry import Telemetry
 from .caller import CallerReply
 from .caller import CallerRequest
--- a/src/bergamotmast/direct/placing.py
+++ b/src/bergamotmast/direct/placing.py
@@ -12,19 +12,19 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..model import Role
-from ..policy.decisions import ALL
+from ..policy.decisions import ALL_DECISIONS
 from ..policy.decisions import Decisions
-from ..policy.direct_placement import EngineView
+from ..policy.direct_placement import EngineCandidate
 from ..policy.direct_placement import Placement
-from ..policy.direct_placement import choose_answering
-from ..policy.direct_placement import place
-from ..policy.direct_placement import priority_of
-from ..policy.engine_book import EngineBook
-from ..policy.plain_choice import PlainBook
-from ..policy.plain_choice import PlainView
-from ..policy.plain_choice import choose_plain
-from ..policy.prefix_memory import WorkKey
-from ..policy.read_model import GroupReads
+from ..policy.direct_placement import choose_decode_engine
+from ..policy.direct_placement import place_prompt
+from ..policy.direct_placement import prefill_priority
+from ..policy.engine_load import EngineLoadTracker
+from ..policy.plain_placement import PlainCandidate
+from ..policy.plain_placement import PlainUpstreamLoad
+from ..policy.plain_placement import choose_plain_upstream
+from ..policy.prefill_model import GroupPrefillTimes
+from ..policy.prefix_cache import PrefillKey
 from .fleet import Fleet
 from .model import Call
 from .model import CallTraits
@@ -74,16 +74,16 @@
         name: str,
         zone: str,
         rng: random.Random,
-        decisions: Decisions = ALL,
+        decisions: Decisions = ALL_DECISIONS,
     ) -> None:
         self.decisions = decisions
         self.fleet = fleet
         self.name = name
         self.zone = zone
         self.rng = rng
-        self.engines: dict[BookKey, EngineBook] = {}
-        self.reads: dict[str, GroupReads] = {}
-        self.plain: dict[BookKey, PlainBook] = {}
+        self.engines: dict[BookKey, EngineLoadTracker] = {}
+        self.reads: dict[str, GroupPrefillTimes] = {}
+        self.plain: dict[BookKey, PlainUpstreamLoad] = {}
         self.by_hash: dict[int, BookKey] = {}
         self.last_number = 0
 
@@ -94,7 +94,7 @@
         if tracker is None:
             self._forget_gone()
             engine = self.fleet.group(upstream.group).engine
-            reads = self.reads.setdefault(upstream.group, GroupReads())
+            reads = self.reads.setdefault(upstream.group, GroupPrefillTimes())
             kv_capacity = engine.kv_capacity if engine else 1
             tracker = EngineBook(kv_capacity, reads, self.rng.getrandbits(32))
             self.engines[key] = tracker
@@ -122,9 +122,9 @@
             return
         now = asyncio.get_running_loop().time()
         if upstream.role is not None:
-            self.engine_book(upstream).hint(load.running, load.waiting, now)
+            self.engine_load(upstream).hint(load.running, load.waiting, now)
         else:
-            self.plain_book(upstream).hint(load.running, load.waiting, now)
+            self.plain_load(upstream).hint(load.running, load.waiting, now)
 
     def on_notice(self, sender: str, notice: ReadNotice, now: float) -> None:
         """Apply another entry's notice about a prefill."""
@@ -157,7 +157,7 @@
 
         :param tokens: tokens to prefill.
         """
-        return priority_of(
+        return prefill_priority(
             call.route.rank, tokens, self.decisions, goes_first=call.goes_first
         )
 
@@ -179,7 +179,7 @@
                 member.name,
                 self._is_near(member),
                 max(1, member.slots),
-                self.plain_book(member).load(now),
+                self.plain_load(member).load(now),
                 self._is_ejected(member, now),
             )
             for member in members
@@ -291,7 +291,7 @@
         replicas: dict[str, int],
         sources: list[Upstream],
     ) -> Reading:
-        own = self.engine_book(upstream).prefix.cached(call.parts)
+        own = self.engine_load(upstream).prefix.expected_cached_tokens(call.parts)
         best, source = own, ""
         others = sources if self.decisions.fetching else []
         for other in others:
@@ -305,7 +305,7 @@
         return upstream.zone == self.zone or not self.decisions.zone_preference
 
     def _is_ejected(self, upstream: Upstream, now: float) -> bool:
-        return self.decisions.ejection and self.plain_book(upstream).is_ejected(now)
+        return self.decisions.ejection and self.plain_load(upstream).is_ejected(now)
 
     def _forget_gone(self) -> None:
         present = {
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -61,7 +61,7 @@
     async def _run_attempts(self) -> PlainResponse:
         while True:
             try:
-                upstream = self.context.placing.choose_plain(
+                upstream = self.context.placing.choose_plain_upstream(
                     self.call, self.sends.excluded
                 )
                 self.sends.begin(upstream)
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -5,8 +5,8 @@
 import asyncio
 import dataclasses
 
-from ..policy.engine_book import EngineBook
-from ..policy.prefix_memory import WorkKey
+from ..policy.engine_load import EngineLoadTracker
+from ..policy.prefix_cache import PrefillKey
 from .context import Context
 from .model import Call
 from .model import Upstream
@@ -24,7 +24,7 @@
     :param fetch_from: address of the engine to transfer the prefix from; may be empty.
     """
 
-    key: WorkKey
+    key: PrefillKey
     tokens: int
     cached: int
     priority: int
--- a/src/bergamotmast/direct/read_notice.py
+++ b/src/bergamotmast/direct/read_notice.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..policy.prefix_memory import WorkKey
+from ..policy.prefix_cache import PrefillKey
 
 
 class ReadNotice(msgspec.Struct, frozen=True, array_like=True):
--- a/src/bergamotmast/direct/second_sends.py
+++ b/src/bergamotmast/direct/second_sends.py
@@ -53,8 +53,8 @@
             extra={
                 "group": group,
                 "requests": account.requests,
-                "repeats": account.repeats,
-                "room": round(account.room, 2),
+                "repeats": account.retries,
+                "room": round(account.available, 2),
                 "part": round(part, 4),
                 "entries": len(self.fleet.entries),
             },
--- a/src/bergamotmast/direct/time_limits.py
+++ b/src/bergamotmast/direct/time_limits.py
@@ -11,9 +11,9 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..policy.direct_refusal import retry_after
-from ..policy.last_requests import RETURN_SECONDS
-from ..policy.last_requests import End
-from ..policy.last_requests import is_taken
+from ..policy.shutdown_admission import SHUTDOWN_RETRY_SECONDS
+from ..policy.shutdown_admission import ShutdownWindow
+from ..policy.shutdown_admission import is_admitted
 
 
 class TimeLimits:
@@ -25,7 +25,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.end: End | None = None
+        self.end: ShutdownWindow | None = None
         self.limits: set[asyncio.Timeout] = set()
 
     def begin(self, end: End) -> None:
@@ -59,7 +59,7 @@
 
         :raises RequestError: if its caller should retry later.
         """
-        if self.end is not None and not is_taken(self.end, deadline, now):
+        if self.end is not None and not is_admitted(self.end, deadline, now):
             raise self.refusal()
 
     def refusal(self) -> RequestError:
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -21,7 +21,7 @@
 
     prefill_engine: str = ""
     upstream: str = ""
-    to_read: int = 0
+    uncached_tokens: int = 0
     predicted: float = 0.0
     waiting: float = 0.0
     priority: int = 0
@@ -58,7 +58,7 @@
             found |= {
                 "reader": self.prefill_engine,
                 "upstream": self.upstream,
-                "to_read": self.to_read,
+                "to_read": self.uncached_tokens,
                 "predicted_ms": round(self.predicted * 1e3, 1),
                 "waiting_ms": round(self.waiting * 1e3, 1),
                 "priority": self.priority,
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -12,7 +12,7 @@
 
 from .adapters.datagrams import datagram_port
 from .adapters.metrics import OpenTelemetryMetrics
-from .adapters.opaque_http import HttpUpstreamClient
+from .adapters.upstream_http import HttpUpstreamClient
 from .direct.context import Context
 from .direct.core import DirectCore
 from .direct.fleet import Fleet
@@ -39,8 +39,8 @@
 from .platform.store import PlatformStore
 from .platform.store import store_session
 from .policy.decisions import Decisions
-from .policy.last_requests import End
 from .policy.retry_window import RetryLimits
+from .policy.shutdown_admission import ShutdownWindow
 from .policy.watch_pause import watch_pause
 from .protocol.plan import HOLDER_KEY
 from .serving import FIRST_REQUEST_SECONDS
@@ -167,7 +167,7 @@
         name,
         context.rng,
         NullHistory(),
-        epoch_hint=store.least_epoch,
+        epoch_hint=store.min_epoch,
         max_engines_per_txn=MOST_PLAN_WRITES,
         carry_over=False,
     )
@@ -221,7 +221,7 @@
     logger.info("stops soon", extra={"running": len(front.busy)})
     now = loop.time()
     end_by = now + max(0.0, seconds - SHUTDOWN_MARGIN_SECONDS)
-    end = End(min(now + STILL_ROUTED_SECONDS, end_by), end_by)
+    end = ShutdownWindow(min(now + STILL_ROUTED_SECONDS, end_by), end_by)
     front.core.context.time_limits.begin(end)
     await asyncio.sleep(end.routed_until - now)
     late_ms = round((loop.time() - end.routed_until) * 1e3, 1)
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -20,7 +20,7 @@
 from ..model import Role
 from ..model import UpstreamKind
 from ..policy.interfaces import EngineView
-from ..policy.interfaces import FleetPicture
+from ..policy.interfaces import GroupSnapshot
 from ..policy.interfaces import ShiftPolicy
 from ..ports import WeightStore
 from .convergence import ConvergenceTracker
@@ -240,7 +240,7 @@
         roles = {name: plan.assignment.role for name, plan in self.store.plans.items()}
         bounds = group_bounds(group, groups, roles)
         counts = count_roles(group, roles)
-        picture = FleetPicture(
+        picture = GroupSnapshot(
             group.name, self._views(group, now), bounds, ROLE_CHANGE_SECONDS
         )
         requested = self.policy.decide(picture, now)
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -74,7 +74,8 @@
     :param running: names of the attempts that run on the upstream.
     :param leaving: whether this process is shutting down.
     :param admission_paused: whether a planned change keeps new work away.
-    :param engine: last state of the engine; ``None`` for a plain service.
+    :param engine: last known state of the upstream; ``None`` while it is unknown.
+    :param engine_readiness: readiness of the upstream itself.
     :param plan_seen: highest plan token that an earlier side of the upstream obeyed.
     :param plan_token: returns the token of the plan that this side obeys.
     :param offered: demand offered since the start, in tokens.
@@ -192,7 +193,7 @@
         await self.flush()
 
     async def flush(self) -> None:
-        """Send all queued frames now; the event loop may stop before its next turn."""
+        """Send all queued frames now, as the event loop may stop before it would."""
         await asyncio.gather(*self._background)
         await self.server.outbox.flush()
 
@@ -234,6 +235,7 @@
         self._start_ready_attempts()
 
     def _admit(self, session: Session, offer: messages.Offer) -> ResultCode:
+        """Queue an offer if the side is ready and the policy admits it."""
         readiness = self.readiness
         if readiness is Readiness.LEAVING:
             return ResultCode.UPSTREAM_LEAVING
@@ -255,6 +257,10 @@
     async def _refuse(
         self, session: Session, offer: messages.Offer, code: ResultCode
     ) -> None:
+        """Refuse an offer.
+
+        Refusals for load, which have codes from 200 to 299, name a delay for a retry.
+        """
         self._record(offer, "refused")
         retry_after = RETRY_AFTER_FULL if 200 <= code < 300 else 0.0
         await self.send(
@@ -343,7 +349,7 @@
     async def _on_cancel_of_unknown(
         self, session: Session, cancel: messages.Cancel
     ) -> None:
-        """Report the state of an attempt that is not known here any more, or not yet.
+        """Report the state of an attempt that is no longer, or not yet, known.
 
         If it was ever started, it has ended. Otherwise a tombstone is left, which keeps
         an offer of it that arrives later from starting.
@@ -361,6 +367,7 @@
     # Expiry
 
     async def _expire(self) -> None:
+        """Drop expired attempts, sessions and kept answers until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL)
             now = self._now()
@@ -384,6 +391,7 @@
                 del self.attempts[attempt.name]
 
     def _after_readiness_change(self) -> None:
+        """Unless ready, refuse the waiting attempts and send all entries a report."""
         if self.readiness is Readiness.READY:
             return
         code = ResultCode.ENGINE_NOT_READY
@@ -404,9 +412,10 @@
     # Configuration
 
     async def _watch_configuration(self) -> None:
+        """Apply each new configuration, which may mark this upstream as leaving."""
         generation = -1
         while True:
-            configuration = await self.holder.wait_newer(generation)
+            configuration = await self.holder.wait_for_newer(generation)
             generation = configuration.generation
             self.telemetry.on_generation(generation)
             self._after_readiness_change()
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -10,7 +10,7 @@
 import random
 import typing as t
 
-from bergamotmast.adapters.opaque_http import HttpUpstreamClient
+from bergamotmast.adapters.upstream_http import HttpUpstreamClient
 from bergamotmast.direct.context import Context
 from bergamotmast.direct.core import DirectCore
 from bergamotmast.direct.fleet import Fleet
@@ -203,7 +203,7 @@
         fleet.settled = True
         # As after a long uptime: its share of the retry budget is fully grown.
         fleet.entry_share.on_registered("", -math.inf)
-        fleet.entry_share.on_heard(asyncio.get_running_loop().time())
+        fleet.entry_share.on_store_reply(asyncio.get_running_loop().time())
         if document != {}:
             entry.put("op/config", document or config())
         for replica in replicas:
--- a/tests/test_direct_ending.py
+++ b/tests/test_direct_ending.py
@@ -7,7 +7,7 @@
 import signal
 
 from bergamotmast.direct import fleet as fleet_module
-from bergamotmast.policy.last_requests import End
+from bergamotmast.policy.shutdown_admission import ShutdownWindow
 from direct_support import config
 from direct_support import engine
 from direct_support import read_answer
@@ -146,7 +146,7 @@
         await asyncio.sleep(0.2)
         assert not waiting.done()
         now = asyncio.get_running_loop().time()
-        entry.core.context.time_limits.begin(End(now, now + 0.1))
+        entry.core.context.time_limits.begin(ShutdownWindow(now, now + 0.1))
         got = await asyncio.wait_for(waiting, 1)
     assert got.status == 503
     assert float(got.headers["retry-after"]) > 0
@@ -162,7 +162,7 @@
         streaming = asyncio.create_task(entry.ask("/talk/x"))
         await asyncio.sleep(0.3)
         now = asyncio.get_running_loop().time()
-        entry.core.context.time_limits.begin(End(now, now + 0.1))
+        entry.core.context.time_limits.begin(ShutdownWindow(now, now + 0.1))
         got = await asyncio.wait_for(streaming, 1)
     assert got.status == 200
     assert got.body.count(b"id:") >= 3
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -395,7 +395,7 @@
         placing = entry.core.context.placing
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_book(upstream).begin(("peer", 1), 5.0, 0, now)
+            placing.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         began = time.monotonic()
         got = await entry.ask("/talk/x", **LONG)
         assert time.monotonic() - began < 0.2
@@ -421,7 +421,7 @@
         placing = entry.core.context.placing
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_book(upstream).begin(("peer", 1), 5.0, 0, now)
+            placing.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         told = []
         for number in range(8):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **LONG)
--- a/tests/test_reply_faults.py
+++ b/tests/test_reply_faults.py
@@ -8,7 +8,7 @@
 
 from answer_support import CALLER
 from answer_support import ROUTES
-from bergamotmast.adapters import opaque_http
+from bergamotmast.adapters import upstream_http
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
 from bergamotmast.protocol.plan import EnginePlan
@@ -104,7 +104,7 @@
     The process would be killed with all its running requests. The reply is treated as
     broken once it exceeds the limit.
     """
-    monkeypatch.setattr(opaque_http, "MOST_BODY_BYTES", 1 << 20)
+    monkeypatch.setattr(upstream_http, "MAX_REPLY_BODY_BYTES", 1 << 20)
     sent = 0
 
     async def script(replica: Replica, received: Received, writer) -> None:
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -11,11 +11,11 @@
 from bergamotmast.direct.silence import silence_limit
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.platform.orders import PlatformOrders
-from bergamotmast.policy.engine_book import FORGET_SECONDS
-from bergamotmast.policy.engine_book import OVERDUE_FACTOR
-from bergamotmast.policy.engine_book import SILENT_SECONDS
-from bergamotmast.policy.engine_book import EngineBook
-from bergamotmast.policy.read_model import READING_GUESS
+from bergamotmast.policy.engine_load import OVERDUE_FACTOR
+from bergamotmast.policy.engine_load import PENDING_TTL_SECONDS
+from bergamotmast.policy.engine_load import UNRESPONSIVE_SECONDS
+from bergamotmast.policy.engine_load import EngineLoadTracker
+from bergamotmast.policy.prefill_model import PREFILL_ENGINE_PRIOR
 from bergamotmast.policy.retry_window import RetryLimits
 from direct_support import config
 from direct_support import engine
