--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/answering.py
@@ -61,9 +61,9 @@
         self.context = stream.context
         self.call = stream.call
         self.upstream = upstream
-        self.tracker = stream.context.placing.engine_book(upstream)
+        self.tracker = stream.context.placing.engine_load(upstream)
         self.prefill: Read | None = None
-        self.heard_at = math.inf
+        self.last_reply_at = math.inf
         self.streaming = False
         self.sent_at: float | None = None
         self.started_at = asyncio.get_running_loop().time()
@@ -83,7 +83,7 @@
             self._log_failure(error.message, "not reached")
         except (ReplyLostError, BrokenStreamError) as error:
             self._log_failure(str(error), "broken")
-            if self.heard_at == math.inf:
+            if self.last_reply_at == math.inf:
                 # Without a cool-down, the engine would look idle and attract the
                 # following requests.
                 self.stream.leave_alone(self.upstream)
@@ -101,7 +101,7 @@
         if not self.stream.cache:
             self.prefill = self.stream.prefills.begin(self.upstream)
             timeline.prefill_engine = ""
-            timeline.to_read = self.prefill.tokens
+            timeline.uncached_tokens = self.prefill.tokens
 
     def _on_event(self) -> None:
         """Record that the prefill is complete when the first event arrives."""
@@ -114,7 +114,7 @@
             self.stream.prefills.end(self.upstream, self.prefill, done=True)
         elif self.sent_at is not None and self.context.decisions.learning:
             seconds = asyncio.get_running_loop().time() - self.sent_at
-            transfers = self.tracker.reads.transfers
+            transfers = self.tracker.prefill_times.transfers
             transfers.learn(self.call.traits.prompt_tokens, 0, seconds)
 
     def _untrack(self) -> None:
@@ -167,7 +167,7 @@
         traits, rank = self.call.traits, self.call.route.rank
         if self.prefill is not None:
             return self.prefill.priority
-        return answer_priority(
+        return decode_priority(
             rank, traits.prompt_tokens, traits.max_tokens, self.context.decisions
         )
 
@@ -198,7 +198,9 @@
         """
         splitter = EventSplitter()
         async for data in reply.chunks():
-            self.tracker.heard_at = self.heard_at = asyncio.get_running_loop().time()
+            self.tracker.last_reply_at = self.last_reply_at = (
+                asyncio.get_running_loop().time()
+            )
             for event in splitter.feed(data):
                 yield event
             if len(splitter.rest) > MOST_EVENT_BYTES:
@@ -221,7 +223,7 @@
         but it passes the liveness probe and keeps the request.
         """
         now = asyncio.get_running_loop().time()
-        unresponsive = now >= self.tracker.silent_at(self.started_at, now)
+        unresponsive = now >= self.tracker.unresponsive_at(self.started_at, now)
         if not unresponsive or not self.stream.sends.may_move():
             return ""
         lives = await self.context.engine_checks.lives(self.upstream)
@@ -240,7 +242,7 @@
         cancelling it would lose a response that the caller still waits for.
         """
         now = asyncio.get_running_loop().time()
-        stalled = now >= self.heard_at + STALL_SECONDS
+        stalled = now >= self.last_reply_at + STALL_SECONDS
         return SILENT if stalled and self.stream.sends.may_move() else ""
 
     async def _forward(self, event: Event, reply: Reply, traits: ReplyTraits) -> None:
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -178,7 +178,7 @@
             )
             call = dataclasses.replace(call, sized=sized)
             log_fields["prompt"] = call.traits.prompt_tokens
-            log_fields["size"] = sized.band
+            log_fields["size"] = sized.size_class
             run = StreamRun(self.context, call, reply)
             served = False
             try:
@@ -217,8 +217,8 @@
     ) -> None:
         seconds = asyncio.get_running_loop().time() - arrived_at
         self.telemetry.on_ended("", route, code, seconds)
-        if (band := log_fields.get("size")) is not None:
-            self.telemetry.on_sized_end(route, SizeBand(str(band)), code)
+        if (size_class := log_fields.get("size")) is not None:
+            self.telemetry.on_sized_end(route, SizeClass(str(size_class)), code)
         logger.info(
             "request ended",
             extra={
--- a/src/bergamotmast/direct/following.py
+++ b/src/bergamotmast/direct/following.py
@@ -91,7 +91,7 @@
 
     def _on_reply(self, now: float) -> None:
         self.heard_at = now
-        self.fleet.entry_share.on_heard(now)
+        self.fleet.entry_share.on_store_reply(now)
         if self.disconnected:
             self.disconnected = False
             logger.info("store is reached", extra={"dependency": "store"})
--- a/src/bergamotmast/direct/placing.py
+++ b/src/bergamotmast/direct/placing.py
@@ -62,7 +62,7 @@
     :param name: name of this entry.
     :param zone: availability zone of this entry.
     :param engines: load trackers of engines.
-    :param reads: learned prefill times, by group.
+    :param prefill_times: learned prefill times, by group.
     :param plain: load trackers of plain upstreams.
     :param by_hash: keys of engines by the hash used in notices.
     :param last_number: number of this entry's last prefill.
@@ -82,36 +82,40 @@
         self.zone = zone
         self.rng = rng
         self.engines: dict[BookKey, EngineLoadTracker] = {}
-        self.reads: dict[str, GroupPrefillTimes] = {}
+        self.prefill_times: dict[str, GroupPrefillTimes] = {}
         self.plain: dict[BookKey, PlainUpstreamLoad] = {}
         self.by_hash: dict[int, BookKey] = {}
         self.last_number = 0
 
-    def engine_book(self, upstream: Upstream) -> EngineBook:
+    def engine_load(self, upstream: Upstream) -> EngineLoadTracker:
         """Return the load tracker of an engine."""
         key = (upstream.name, upstream.boot)
         tracker = self.engines.get(key)
         if tracker is None:
             self._forget_gone()
             engine = self.fleet.group(upstream.group).engine
-            reads = self.reads.setdefault(upstream.group, GroupPrefillTimes())
+            prefill_times = self.prefill_times.setdefault(
+                upstream.group, GroupPrefillTimes()
+            )
             kv_capacity = engine.kv_capacity if engine else 1
-            tracker = EngineBook(kv_capacity, reads, self.rng.getrandbits(32))
+            tracker = EngineLoadTracker(
+                kv_capacity, prefill_times, self.rng.getrandbits(32)
+            )
             self.engines[key] = tracker
             self.by_hash[upstream_hash(upstream)] = key
         tracker.role = upstream.role or Role.MIXED
         return tracker
 
-    def plain_book(self, upstream: Upstream) -> PlainBook:
+    def plain_load(self, upstream: Upstream) -> PlainUpstreamLoad:
         """Return the load tracker of a plain upstream."""
         key = (upstream.name, upstream.boot)
         tracker = self.plain.get(key)
         if tracker is None:
             self._forget_gone()
-            tracker = self.plain[key] = PlainBook()
+            tracker = self.plain[key] = PlainUpstreamLoad()
         return tracker
 
-    def new_key(self) -> WorkKey:
+    def new_key(self) -> PrefillKey:
         """Return a key for a prefill that this entry is about to start."""
         self.last_number += 1
         return self.name, self.last_number
@@ -133,7 +137,7 @@
             return
         key = (sender, notice.number)
         if notice.tokens:
-            seconds = tracker.occupied(notice.tokens, notice.cached)
+            seconds = tracker.occupied_seconds(notice.tokens, notice.cached)
             tracker.begin(
                 key, seconds, notice.priority, now, goes_first=notice.goes_first
             )
@@ -141,7 +145,7 @@
         else:
             tracker.end(key, now, done=notice.done)
             if notice.done:
-                tracker.heard_at = now
+                tracker.last_reply_at = now
 
     def lookup_prefix(self, call: Call, upstream: Upstream) -> Reading:
         """Return how much of a prompt an engine would have to prefill, as estimated."""
@@ -163,9 +167,14 @@
 
     def _kept(self, call: Call, members: list[Upstream]) -> dict[str, int]:
         """Return the tokens of a prompt's prefix that each engine could transfer."""
-        return {m.name: self.engine_book(m).prefix.kept(call.parts) for m in members}
+        return {
+            m.name: self.engine_load(m).prefix.transferable_tokens(call.parts)
+            for m in members
+        }
 
-    def choose_plain(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
+    def choose_plain_upstream(
+        self, call: Call, tried: cabc.Collection[str]
+    ) -> Upstream:
         """Return the plain upstream for a request's next attempt.
 
         :param tried: names of upstreams to exclude.
@@ -175,7 +184,7 @@
         members = self._untried(call, tried, now)
         by_name = {member.name: member for member in members}
         candidates = [
-            PlainView(
+            PlainCandidate(
                 member.name,
                 self._is_near(member),
                 max(1, member.slots),
@@ -184,7 +193,7 @@
             )
             for member in members
         ]
-        chosen = choose_plain(candidates, self.rng)
+        chosen = choose_plain_upstream(candidates, self.rng)
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         return by_name[chosen]
@@ -204,11 +213,15 @@
         by_name = {member.name: member for member in members}
         candidates = self._candidates(call, members, now)
         tightest = self.fleet.tightest_objective(call.group.name)
-        placement = place(candidates, call.route.objective, tightest, self.decisions)
+        placement = place_prompt(
+            candidates, call.route.objective, tightest, self.decisions
+        )
         if placement is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
-        prefill_upstream = by_name[placement.prefill] if placement.prefill else None
-        return prefill_upstream, by_name[placement.answer], placement
+        prefill_upstream = (
+            by_name[placement.prefill_engine] if placement.prefill_engine else None
+        )
+        return prefill_upstream, by_name[placement.decode_engine], placement
 
     def answering(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
         """Return the decode engine for a request that was prefilled elsewhere.
@@ -219,7 +232,7 @@
         now = asyncio.get_running_loop().time()
         untried = self._untried(call, tried, now)
         able = [member for member in untried if member.role is not Role.PREFILL]
-        chosen = choose_answering(self._candidates(call, able, now))
+        chosen = choose_decode_engine(self._candidates(call, able, now))
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         return next(member for member in able if member.name == chosen.name)
@@ -232,14 +245,14 @@
 
     def _candidates(
         self, call: Call, members: list[Upstream], now: float
-    ) -> list[EngineView]:
+    ) -> list[EngineCandidate]:
         """Return the members that may be chosen, with their predicted load."""
         candidates = []
         everyone = self.fleet.members(call.group.name, now)
         replicas = self._kept(call, everyone)
         sources = _best_sources(everyone, replicas)
         for member in self._sound(members, now):
-            tracker = self.engine_book(member)
+            tracker = self.engine_load(member)
             lookup = self._lookup_prefix(call, member, replicas, sources)
             uncached = lookup.tokens
             priority = self.priority(call, uncached)
@@ -247,18 +260,20 @@
             if self.decisions.urgent_load:
                 wait = tracker.expected_wait(priority, now)
             candidates.append(
-                EngineView(
+                EngineCandidate(
                     member.name,
                     member.role or Role.MIXED,
                     self._is_near(member),
                     wait,
-                    tracker.read_seconds(
+                    tracker.prefill_seconds(
                         uncached, call.traits.prompt_tokens - uncached
                     ),
-                    tracker.slow(now),
-                    tracker.answers(now),
-                    tracker.reads.transfers.times.seconds(call.traits.prompt_tokens, 0),
-                    tracker.occupied(lookup.fetched, 0)
+                    tracker.slowdown(now),
+                    tracker.running_decodes(now),
+                    tracker.prefill_times.transfers.times.seconds(
+                        call.traits.prompt_tokens, 0
+                    ),
+                    tracker.occupied_seconds(lookup.fetched, 0)
                     if self.decisions.copies
                     else 0.0,
                     tracker.tie_break,
@@ -278,7 +293,7 @@
         """
         if not self.decisions.leaving_alone:
             return members
-        eligible = [m for m in members if now >= self.engine_book(m).failed_until]
+        eligible = [m for m in members if now >= self.engine_load(m).cooldown_until]
         if any(member.role is not Role.PREFILL for member in eligible):
             return eligible
         decode_engines = [m for m in members if m.role is not Role.PREFILL]
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -77,7 +77,7 @@
 
     async def _send(self, upstream: Upstream) -> PlainResponse | None:
         """Make one attempt; return ``None`` if another upstream may be tried."""
-        tracker = self.context.placing.plain_book(upstream)
+        tracker = self.context.placing.plain_load(upstream)
         loop = asyncio.get_running_loop()
         tracker.running += 1
         try:
@@ -129,7 +129,7 @@
             self.context.check_reply(call, reply, traits)
             body = await reply.read()
             response = PlainResponse(reply.status, response_headers(reply), body)
-        tracker = self.context.placing.plain_book(upstream)
+        tracker = self.context.placing.plain_load(upstream)
         if 200 <= response.status < 300:
             tracker.succeeded()
             return response
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/prefilling.py
@@ -63,7 +63,7 @@
             done = self.done = True
             stream.on_prompt_read()
             stream.timeline.prefilled_at = loop.time()
-            stream.timeline.to_read = prefill.tokens
+            stream.timeline.uncached_tokens = prefill.tokens
         except NotReachedError as error:
             self._on_failure(engine, error.message)
         except ReplyLostError as error:
@@ -93,9 +93,9 @@
         """Return why to restart a pending prefill elsewhere; empty to keep waiting."""
         if not self.context.decisions.silence:
             return ""
-        tracker = self.context.placing.engine_book(engine)
+        tracker = self.context.placing.engine_load(engine)
         now = asyncio.get_running_loop().time()
-        if now >= tracker.silent_at(prefill.started_at, now):
+        if now >= tracker.unresponsive_at(prefill.started_at, now):
             if not await self.context.engine_checks.lives(engine):
                 return SILENT
         if now >= tracker.overdue_at(prefill.key) and self._can_serve_elsewhere(engine):
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prompt_reads.py
@@ -44,19 +44,19 @@
     def begin(self, engine: Upstream) -> Read:
         """Record a prefill that is about to start, and announce it to the peers."""
         context = self.context
-        tracker = context.placing.engine_book(engine)
+        tracker = context.placing.engine_load(engine)
         now = asyncio.get_running_loop().time()
         lookup = context.placing.lookup_prefix(self.call, engine)
         tokens = lookup.tokens
         priority = context.placing.priority(self.call, tokens)
         cached = max(0, self.call.traits.prompt_tokens - tokens)
         wait = tracker.wait(priority, now)
-        predicted = wait + tracker.read_seconds(tokens, cached)
-        engine_was_idle = not tracker.reading
+        predicted = wait + tracker.prefill_seconds(tokens, cached)
+        engine_was_idle = not tracker.pending_prefills
         key = context.placing.new_key()
         parts = self.call.parts
         goes_first = self.call.goes_first
-        seconds = tracker.occupied(tokens, cached)
+        seconds = tracker.occupied_seconds(tokens, cached)
         tracker.begin(key, seconds, priority, now, goes_first=goes_first)
         tracker.prefix.expect(key, parts)
         context.tell_begun(
@@ -78,7 +78,7 @@
 
         :param done: whether it was completed.
         """
-        tracker = self.context.placing.engine_book(engine)
+        tracker = self.context.placing.engine_load(engine)
         now = asyncio.get_running_loop().time()
         work = tracker.end(prefill.key, now, done=done)
         if done and work is not None and not work.overtaken:
@@ -86,10 +86,10 @@
         self.context.tell_ended(engine, prefill.key, prefill.tokens, done=done)
 
     def _learn(
-        self, tracker: EngineBook, prefill: Read, seconds: float, now: float
+        self, tracker: EngineLoadTracker, prefill: Read, seconds: float, now: float
     ) -> None:
         decisions = self.context.decisions
         if decisions.slowness:
-            tracker.measure(prefill.predicted, seconds, now)
+            tracker.observe_slowdown(prefill.predicted, seconds, now)
         if decisions.learning and prefill.engine_was_idle:
             tracker.learn(prefill.tokens, prefill.cached, seconds)
--- a/src/bergamotmast/direct/read_notice.py
+++ b/src/bergamotmast/direct/read_notice.py
@@ -30,7 +30,7 @@
     done: bool = False
     goes_first: bool = False
 
-    def all_parts(self, key: WorkKey) -> tuple[tuple[int, int], ...]:
+    def all_parts(self, key: PrefillKey) -> tuple[tuple[int, int], ...]:
         """Return the prompt's parts, with the unshared rest under a unique hash.
 
         No other prompt can use that part, but it occupies the engine's cache and evicts
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -245,8 +245,8 @@
                 return None
             return EngineRole(upstream.name, pending.order.role, changing=True)
         assert upstream.role is not None
-        tracker = self.placing.engine_book(upstream)
-        load = tracker.answers(now) + len(tracker.reading)
+        tracker = self.placing.engine_load(upstream)
+        load = tracker.running_decodes(now) + len(tracker.pending_prefills)
         quiet_until = max(
             self.quiet_until.get(upstream.name, 0.0), self.all_quiet_until
         )
--- a/src/bergamotmast/direct/second_sends.py
+++ b/src/bergamotmast/direct/second_sends.py
@@ -62,7 +62,7 @@
         return allowed
 
     def _share(self, now: float) -> float:
-        return self.fleet.entry_share.part(self.fleet.entries, now)
+        return self.fleet.entry_share.share(self.fleet.entries, now)
 
     def _window(self, group: str) -> RetryWindow:
         return self.windows.setdefault(group, RetryWindow(self.limits))
--- a/src/bergamotmast/direct/silence.py
+++ b/src/bergamotmast/direct/silence.py
@@ -91,7 +91,7 @@
         started_at = loop.time()
         lives = await liveness_probe.answers(engine)
         if lives:
-            self.placing.engine_book(engine).heard_at = loop.time()
+            self.placing.engine_load(engine).last_reply_at = loop.time()
         ms = round((loop.time() - started_at) * 1e3, 1)
         logger.info(
             "unresponsive engine was probed",
--- a/src/bergamotmast/direct/stream.py
+++ b/src/bergamotmast/direct/stream.py
@@ -51,10 +51,10 @@
 
     def on_heard(self, engine: Upstream) -> None:
         """Record that data has arrived from an engine."""
-        tracker = self.context.placing.engine_book(engine)
-        tracker.heard_at = asyncio.get_running_loop().time()
+        tracker = self.context.placing.engine_load(engine)
+        tracker.last_reply_at = asyncio.get_running_loop().time()
 
     def leave_alone(self, engine: Upstream, seconds: float = FAILED_SECONDS) -> None:
         """Exclude an engine from placements for a while, if there is another one."""
-        tracker = self.context.placing.engine_book(engine)
-        tracker.failed_until = asyncio.get_running_loop().time() + seconds
+        tracker = self.context.placing.engine_load(engine)
+        tracker.cooldown_until = asyncio.get_running_loop().time() + seconds
--- a/src/bergamotmast/direct/time_limits.py
+++ b/src/bergamotmast/direct/time_limits.py
@@ -28,7 +28,7 @@
         self.end: ShutdownWindow | None = None
         self.limits: set[asyncio.Timeout] = set()
 
-    def begin(self, end: End) -> None:
+    def begin(self, end: ShutdownWindow) -> None:
         """Bring the deadlines of all requests forward to the end of the shutdown.
 
         The connection of a request that still runs when the process exits would be
@@ -64,7 +64,7 @@
 
     def refusal(self) -> RequestError:
         """Return the error of a request that was not run because of the shutdown."""
-        seconds = retry_after(self.rng, RETURN_SECONDS)
+        seconds = retry_after(self.rng, SHUTDOWN_RETRY_SECONDS)
         return RequestError(ResultCode.SHUTTING_DOWN, retry_after=seconds)
 
     def is_over(self, now: float) -> bool:
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -13,7 +13,7 @@
 
     :param prefill_engine: name; empty if the decode engine prefills the prompt.
     :param upstream: name of the decode engine.
-    :param to_read: prompt tokens estimated not to be cached.
+    :param uncached_tokens: prompt tokens estimated not to be cached.
     :param predicted: predicted seconds from the placement to the first token.
     :param waiting: the part of them spent queueing behind other prompts.
     :param seconds_to_timeout: seconds from the placement until the caller disconnects.
@@ -33,11 +33,13 @@
 
     def on_placed(self, placement: Placement, seconds_to_timeout: float) -> None:
         """Record a placement and the predictions that it, or a refusal, is based on."""
-        self.prefill_engine = placement.prefill or ""
+        self.prefill_engine = placement.prefill_engine or ""
         self.predicted = placement.first_token
-        self.to_read = placement.read_by.to_read
-        self.waiting = placement.read_by.wait * placement.read_by.slow
-        self.priority = placement.read_by.priority
+        self.uncached_tokens = placement.prefill_candidate.uncached_tokens
+        self.waiting = (
+            placement.prefill_candidate.wait * placement.prefill_candidate.slowdown
+        )
+        self.priority = placement.prefill_candidate.priority
         self.seconds_to_timeout = seconds_to_timeout
 
     def fields(self, arrived_at: float) -> dict[str, object]:
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -368,7 +368,7 @@
         # Pending work makes the other prefill engine the worse choice.
         others = entry.fleet.members("llm", asyncio.get_running_loop().time())
         busy = next(member for member in others if member.name == "i-2")
-        tracker = entry.core.context.placing.engine_book(busy)
+        tracker = entry.core.context.placing.engine_load(busy)
         tracker.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
         asking = asyncio.create_task(
             entry.ask("/slow/x", X_Deadline_Ms="60000", **LONG)
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -209,18 +209,20 @@
     prefill would complete at 2.3 s at best, and all prompts behind it would wait one
     second longer.
     """
-    tracker = EngineBook(500_000)
-    tracker.begin(("e", 1), READING_GUESS.occupied(17_000, 0), 5, 0.0)
-    tracker.begin(("e", 2), READING_GUESS.occupied(44_000, 0), 8, 0.0)
-    takes = READING_GUESS.occupied(17_000, 0) + READING_GUESS.occupied(44_000, 0)
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("e", 1), PREFILL_ENGINE_PRIOR.occupied_seconds(17_000, 0), 5, 0.0)
+    tracker.begin(("e", 2), PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0), 8, 0.0)
+    takes = PREFILL_ENGINE_PRIOR.occupied_seconds(
+        17_000, 0
+    ) + PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0)
     assert tracker.overdue_at(("e", 2)) == pytest.approx(
-        OVERDUE_FACTOR * takes + SILENT_SECONDS
+        OVERDUE_FACTOR * takes + UNRESPONSIVE_SECONDS
     )
     assert tracker.overdue_at(("e", 1)) < tracker.overdue_at(("e", 2))
 
 
 def test_overdue_time_covers_prompts_that_overtake():
-    tracker = EngineBook(500_000)
+    tracker = EngineLoadTracker(500_000)
     tracker.begin(("e", 1), 0.5, 8, 0.0)
     before = tracker.overdue_at(("e", 1))
     tracker.begin(("e", 2), 0.3, 2, 0.1)
@@ -228,19 +230,20 @@
 
 
 def test_overdue_time_covers_the_slowdown_of_an_engine():
-    tracker = EngineBook(500_000)
+    tracker = EngineLoadTracker(500_000)
     for number in range(12):
-        tracker.measure(0.1, 0.3, number * 0.05)
+        tracker.observe_slowdown(0.1, 0.3, number * 0.05)
     tracker.begin(("e", 1), 0.5, 8, 0.6)
     assert (
-        tracker.overdue_at(("e", 1)) > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + SILENT_SECONDS
+        tracker.overdue_at(("e", 1))
+        > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + UNRESPONSIVE_SECONDS
     )
 
 
 def test_a_prompt_no_longer_tracked_is_overdue():
-    tracker = EngineBook(500_000)
+    tracker = EngineLoadTracker(500_000)
     tracker.begin(("e", 1), 0.5, 8, 0.0)
-    tracker.wait(9, FORGET_SECONDS + 0.1)
+    tracker.wait(9, PENDING_TTL_SECONDS + 0.1)
     assert tracker.overdue_at(("e", 1)) < 0.0
 
 
