--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -32,7 +32,7 @@
     return ConfigStore(service.client(name), wall_clock=lambda: 1_700_000_000.0)
 
 
-async def test_an_edit_is_current_and_in_the_history():
+async def test_accepted_edit_is_current_and_in_the_history():
     history = MemoryHistory()
     edits = ConfigStore(KeyValueStandIn().client("a"), history, lambda: 5.0)
     first = await edits.propose(labelled(one="main"), 0, "ana", "n1")
@@ -51,7 +51,7 @@
     ]
 
 
-async def test_a_whole_example_is_stored_and_read_again():
+async def test_example_configuration_is_stored_and_read_back():
     example = pathlib.Path(__file__).parent.parent / "examples/trindade/config.yaml"
     edits = store(KeyValueStandIn())
     accepted = await edits.propose(load_configuration(example), 0, "ana", "n1")
@@ -59,9 +59,9 @@
     assert (await edits.history())[0].configuration == accepted
 
 
-async def test_two_operators_at_once():
-    # Two operators read generation 1 and propose at the same moment. One is accepted;
-    # the other is told who was first and what differs, and nothing of it is written.
+async def test_concurrent_proposals_conflict():
+    # Two operators read generation 1 and propose at the same time. One is accepted; the
+    # other gets an error that names the author and the differences, and writes nothing.
     service = KeyValueStandIn(delay=0.1)
     await store(service).propose(labelled(one="main"), 0, "ana", "n0")
     results = await asyncio.gather(
@@ -80,8 +80,8 @@
 
 @pytest.mark.parametrize("losses", [1, 2, MAX_WRITE_ATTEMPTS - 1])
 async def test_a_lost_reply_of_an_edit_that_took_effect(losses):
-    # The service takes the edit and its reply is lost, also when it is sent again.
-    # The operator must see success, and the edit must be there once.
+    # The service applies the edit, but its reply and those of retries are lost. The
+    # operator must see success, and the edit must be recorded once.
     service = KeyValueStandIn()
     service.lose_next_reply(count=losses)
     accepted = await store(service).propose(labelled(one="main"), 0, "ana", "n1")
@@ -89,9 +89,9 @@
     assert [r.nonce for r in await store(service).history()] == ["n1"]
 
 
-async def test_a_lost_reply_of_an_edit_that_came_second():
-    # The reply of a failed compare-and-swap is lost while another operator has won.
-    # The loser must see a conflict, never success.
+async def test_a_lost_reply_of_an_edit_that_lost_the_race():
+    # The reply of a failed compare-and-swap is lost after another operator's edit was
+    # accepted. The operator must see a conflict, never success.
     service = KeyValueStandIn()
     slow = store(service, "slow")
     service.delays["slow"] = 1.0
@@ -103,10 +103,10 @@
         await proposal
 
 
-async def test_a_revision_that_a_restored_service_gives_out_again():
-    # An operator reads generation 2. The service is restored without it and another
+async def test_revision_reissued_by_a_restored_service_conflicts():
+    # An operator reads generation 2. The service is restored without it, and another
     # operator's edit gets the same generation and the same revision. The first must
-    # see a conflict; the other's accepted edit must not be overwritten unseen.
+    # see a conflict; the accepted edit must not be overwritten unnoticed.
     service = KeyValueStandIn()
     await store(service).propose(labelled(a="one"), 0, "ana", "n1")
     backup = service.snapshot()
@@ -122,9 +122,9 @@
     assert (await store(service).read()).configuration == other
 
 
-async def test_an_outcome_that_stays_unknown_is_said_to_be():
-    # The service takes the edit, loses the reply and goes down before anything can be
-    # read back. The operator must not be told that nothing was written.
+async def test_unknown_outcome_is_reported_as_unknown():
+    # The service applies the edit, loses the reply and goes down before anything can be
+    # read back. The error must not say that nothing was written.
     service = KeyValueStandIn(delay=0.2)
     proposal = asyncio.create_task(
         store(service).propose(labelled(a="x"), 0, "ana", "n1")
@@ -137,7 +137,7 @@
     assert (await store(service).propose(labelled(a="x"), 0, "ana", "n1")).generation
 
 
-async def test_a_service_that_is_down_takes_nothing():
+async def test_proposal_to_an_unavailable_service_fails():
     service = KeyValueStandIn()
     service.down = True
     with pytest.raises(KeyValueUnavailableError):
@@ -161,7 +161,7 @@
     assert records[0].generation == MAX_HISTORY_RECORDS + 3
 
 
-async def test_what_is_no_configuration_is_an_error_with_a_code():
+async def test_invalid_stored_values_raise_coded_errors():
     service = KeyValueStandIn()
     await service.client("x").txn([], [Put(CURRENT_KEY, b"\xff")])
     await service.client("x").txn([], [Put(history_key(1), b"[]")])
