--- a/src/bergamotmast/direct/sends.py
+++ b/src/bergamotmast/direct/attempts.py
@@ -15,31 +15,31 @@
 logger = logging.getLogger(__name__)
 
 
-class Sends:
+class AttemptTracker:
     """One request's attempts, limited by its route and the retry budget.
 
     :param tried: upstreams that the request was sent to.
-    :param unreached: upstreams to which no connection could be made.
+    :param unreachable: upstreams to which no connection could be made.
     :param count: number of attempts.
-    :param maybe_ran: whether an upstream may have run the request.
-    :param maybe_ran_before: the same without the last attempt.
+    :param may_have_run: whether an upstream may have run the request.
+    :param may_have_run_before: the same without the last attempt.
     """
 
     def __init__(self, context: Context, call: Call) -> None:
         self.context = context
         self.call = call
         self.tried: set[str] = set()
-        self.unreached: set[str] = set()
+        self.unreachable: set[str] = set()
         self.count = 0
-        self.maybe_ran = False
-        self.maybe_ran_before = False
+        self.may_have_run = False
+        self.may_have_run_before = False
 
     @property
     def excluded(self) -> set[str]:
         """Upstreams that are not to be tried again."""
-        return self.tried | self.unreached
+        return self.tried | self.unreachable
 
-    def may_move(self) -> bool:
+    def can_move(self) -> bool:
         """Return whether the request may be moved to an upstream not tried yet."""
         if len(self.tried) >= self.call.route.max_attempts:
             return False
@@ -57,47 +57,49 @@
         """
         new = upstream.name not in self.tried
         if new and len(self.tried) >= self.call.route.max_attempts:
-            raise self.exhausted()
+            raise self.exhausted_error()
         if self.count and not self.spend():
-            raise self.exhausted(ResultCode.RETRY_BUDGET_SPENT)
+            raise self.exhausted_error(ResultCode.RETRY_BUDGET_SPENT)
         self.count += 1
         self.tried.add(upstream.name)
-        self.maybe_ran_before = self.maybe_ran
-        self.maybe_ran = True
+        self.may_have_run_before = self.may_have_run
+        self.may_have_run = True
 
     def on_not_run(self) -> None:
         """Record that the last attempt was not run; an earlier one may have been."""
-        self.maybe_ran = self.maybe_ran_before
+        self.may_have_run = self.may_have_run_before
 
-    def on_unreached(self, upstream: Upstream) -> None:
+    def on_not_sent(self, upstream: Upstream) -> None:
         """Record that nothing was sent in the last attempt."""
         self.on_not_run()
         self.count -= 1
         self.tried.discard(upstream.name)
-        self.unreached.add(upstream.name)
+        self.unreachable.add(upstream.name)
 
-    def exhausted(self, code: ResultCode = ResultCode.NO_UPSTREAM) -> RequestError:
+    def exhausted_error(
+        self, code: ResultCode = ResultCode.NO_UPSTREAM
+    ) -> RequestError:
         """Return the error of a request with no attempt left.
 
         If the request may have run, its outcome is unknown. Any other error would tell
         the caller that it may send the request again, which would run it twice.
         """
-        if self.maybe_ran:
+        if self.may_have_run:
             return RequestError(ResultCode.OUTCOME_UNKNOWN)
         return RequestError(code)
 
-    def out_of_time(self) -> RequestError:
+    def timeout_error(self) -> RequestError:
         """Return the error of a request ended by its deadline or by the shutdown."""
         if self.context.time_limits.is_over(asyncio.get_running_loop().time()):
             return self._shutdown_error()
-        if self.maybe_ran:
+        if self.may_have_run:
             return RequestError(ResultCode.DEADLINE_EXCEEDED)
         return RequestError(ResultCode.DEADLINE_UNREACHABLE)
 
     def _shutdown_error(self) -> RequestError:
-        if self.maybe_ran:
+        if self.may_have_run:
             return RequestError(ResultCode.OUTCOME_UNKNOWN)
-        return self.context.time_limits.refusal()
+        return self.context.time_limits.shutdown_error()
 
     def log_failure(
         self, upstream: Upstream, error: str, outcome: str, last_event: int = 0
@@ -118,8 +120,8 @@
 
     def has_room(self) -> bool:
         """Return whether the retry budget has room for another attempt."""
-        return self.context.second_sends.has_room(self.call.group.name)
+        return self.context.retry_budget.has_room(self.call.group.name)
 
     def spend(self) -> bool:
         """Take an attempt out of the retry budget; return whether it had room."""
-        return self.context.second_sends.spend(self.call.group.name)
+        return self.context.retry_budget.spend(self.call.group.name)
--- a/src/bergamotmast/direct/context.py
+++ b/src/bergamotmast/direct/context.py
@@ -13,26 +13,26 @@
 from ..policy.prefix_cache import PrefillKey
 from ..policy.size_shares import SizeShares
 from .fleet import Fleet
+from .liveness import LivenessChecker
 from .model import Call
 from .model import Upstream
-from .notices import LEAST_TOKENS
-from .notices import Notices
-from .placing import Placing
-from .placing import upstream_hash
+from .notices import MIN_NOTICE_TOKENS
+from .notices import NoticeExchange
+from .placer import RequestPlacer
+from .placer import upstream_hash
 from .ports import Dialect
-from .ports import EngineCheck
+from .ports import LivenessProbe
 from .ports import Reply
 from .ports import ReplyTraits
 from .ports import UpstreamClient
-from .read_notice import ReadNotice
-from .second_sends import SecondSends
-from .silence import EngineChecks
+from .prefill_notice import PrefillNotice
+from .retry_budget import SharedRetryBudget
 from .time_limits import TimeLimits
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that tell a caller that its request did not run."""
 
-LEAST_FINAL_STATUS = 200
+MIN_FINAL_STATUS = 200
 """Lower statuses are interim responses: a caller waits for another one."""
 
 
@@ -42,8 +42,8 @@
 
     :param mix: moving average of the prefill and decode load of this entry's streams.
     :param size_shares: share of prompts served, by route and size class.
-    :param second_sends: retry budget.
-    :param engine_check: liveness probe of engines; ``None`` if there is none.
+    :param retry_budget: this entry's share of the retry budget.
+    :param liveness_probe: probe of engines; ``None`` if there is none.
     :param background: running tasks that outlive the request that started them.
     :param time_limits: deadlines of all running requests.
     """
@@ -51,31 +51,31 @@
     fleet: Fleet
     client: UpstreamClient
     dialect: Dialect
-    placing: Placing
+    placer: RequestPlacer
     rng: random.Random
-    second_sends: SecondSends
-    notices: Notices | None = None
-    engine_check: EngineCheck | None = None
+    retry_budget: SharedRetryBudget
+    notices: NoticeExchange | None = None
+    liveness_probe: LivenessProbe | None = None
     mix: MixMeter = dataclasses.field(default_factory=MixMeter)
     size_shares: SizeShares = dataclasses.field(default_factory=SizeShares)
     background: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
     time_limits: TimeLimits = dataclasses.field(init=False)
-    engine_checks: EngineChecks = dataclasses.field(init=False)
+    liveness_checker: LivenessChecker = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
         self.time_limits = TimeLimits(self.rng)
-        self.engine_checks = EngineChecks(self.placing, self.engine_check)
+        self.liveness_checker = LivenessChecker(self.placer, self.liveness_probe)
 
     @property
     def decisions(self) -> Decisions:
         """The optional decisions that are switched on."""
-        return self.placing.decisions
+        return self.placer.decisions
 
     def _is_announced(self, tokens: int) -> bool:
         """Return whether prefills of so many tokens are announced to other entries."""
-        return self.decisions.notices and tokens >= LEAST_TOKENS
+        return self.decisions.notices and tokens >= MIN_NOTICE_TOKENS
 
-    def tell_begun(
+    def announce_prefill_start(
         self,
         engine: Upstream,
         key: PrefillKey,
@@ -89,7 +89,7 @@
         """Announce to the other entries that a prefill is about to start."""
         if self.notices is not None and self._is_announced(tokens):
             # The last part is used by this request or its session only.
-            notice = ReadNotice(
+            notice = PrefillNotice(
                 upstream_hash(engine),
                 key[1],
                 priority,
@@ -98,9 +98,9 @@
                 parts[:-1],
                 goes_first=goes_first,
             )
-            self.notices.tell(notice)
+            self.notices.enqueue(notice)
 
-    def tell_ended(
+    def announce_prefill_end(
         self, engine: Upstream, key: PrefillKey, tokens: int, *, done: bool
     ) -> None:
         """Announce to the other entries that an announced prefill has ended.
@@ -108,8 +108,8 @@
         :param done: whether it was completed.
         """
         if self.notices is not None and self._is_announced(tokens):
-            notice = ReadNotice(upstream_hash(engine), key[1], 0, 0, done=done)
-            self.notices.tell(notice)
+            notice = PrefillNotice(upstream_hash(engine), key[1], 0, 0, done=done)
+            self.notices.enqueue(notice)
 
     def spawn(self, work: cabc.Coroutine[object, object, None]) -> None:
         """Run a coroutine in the background."""
@@ -124,7 +124,7 @@
         """
         traits = self.dialect.read_reply(reply.status, reply.headers)
         if traits.load is not None:
-            self.placing.on_load(upstream, traits.load)
+            self.placer.on_load(upstream, traits.load)
         if traits.request_id not in ("", call.traits.request_id):
             raise ReplyLostError("the reply belongs to another request")
         return traits
@@ -141,7 +141,7 @@
         if 200 <= reply.status < 300:
             if traits.request_id != call.traits.request_id:
                 raise ReplyLostError("the reply has no request id")
-        elif reply.status < LEAST_FINAL_STATUS or reply.status in NOT_RUN_STATUSES:
+        elif reply.status < MIN_FINAL_STATUS or reply.status in NOT_RUN_STATUSES:
             raise ReplyLostError(
                 f"status {reply.status} does not confirm that the request was not run"
             )
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -15,11 +15,11 @@
 from .caller import CallerReply
 from .caller import CallerRequest
 from .context import Context
+from .forwarding import end_to_end_headers
 from .forwarding import is_writable
-from .forwarding import pass_on
 from .model import Call
 from .model import CallKind
-from .placing import shared_parts
+from .placer import shared_parts
 from .plain_run import PlainRun
 from .routing import RouteTable
 from .routing import pick_group
@@ -27,11 +27,11 @@
 
 logger = logging.getLogger(__name__)
 
-FIRST_READ_SECONDS = 0.4
+INITIAL_LOAD_TIMEOUT_SECONDS = 0.4
 """How long a request waits for the entry's initial load from the store, which takes
 about 40 ms. If the store is unavailable, the caller should retry at another entry."""
 
-LONGEST_BODY_SECONDS = 60.0
+DEFAULT_BODY_TIMEOUT_SECONDS = 60.0
 """Time limit for reading the body of a request without a deadline header."""
 
 
@@ -107,7 +107,7 @@
             group=group,
             method=request.method,
             target=request.target,
-            headers=pass_on(request.items, connection),
+            headers=end_to_end_headers(request.items, connection),
             body=body,
             arrived_at=request.arrived_at,
             deadline=deadline,
@@ -125,13 +125,13 @@
         :param time_left: seconds until the caller's deadline; ``None`` for no deadline.
         :raises RequestError: if the body is too large or does not arrive in time.
         """
-        seconds = LONGEST_BODY_SECONDS if time_left is None else time_left
+        seconds = DEFAULT_BODY_TIMEOUT_SECONDS if time_left is None else time_left
         try:
             async with self.context.time_limits.limit(request.arrived_at + seconds):
                 body = await request.body.read(self.body_limit)
         except TimeoutError:
             if self.context.time_limits.is_over(asyncio.get_running_loop().time()):
-                raise self.context.time_limits.refusal() from None
+                raise self.context.time_limits.shutdown_error() from None
             raise RequestError(
                 ResultCode.DEADLINE_UNREACHABLE, "The body did not come in time."
             ) from None
@@ -152,10 +152,10 @@
         fleet = self.context.fleet
         if not fleet.ready:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(FIRST_READ_SECONDS):
+                async with asyncio.timeout(INITIAL_LOAD_TIMEOUT_SECONDS):
                     await fleet.first_ready.wait()
         table = fleet.table
-        if table is None or not fleet.settled:
+        if table is None or not fleet.upstreams_loaded:
             raise RequestError(
                 ResultCode.NO_UPSTREAM, "No configuration is known yet.", 0.5
             )
@@ -168,7 +168,7 @@
 
         :param log_fields: receives the fields of the log line at the request's end.
         """
-        self.context.second_sends.on_request(call.group.name)
+        self.context.retry_budget.on_request(call.group.name)
         if call.route.kind is CallKind.STREAM:
             now = asyncio.get_running_loop().time()
             output_tokens = call.traits.expected_tokens or call.traits.max_tokens
--- a/src/bergamotmast/direct/answering.py
+++ b/src/bergamotmast/direct/decode_attempt.py
@@ -15,27 +15,27 @@
 from .events import Event
 from .events import EventSplitter
 from .forwarding import response_headers
+from .liveness import abort_when
 from .model import Upstream
 from .ports import Attempt
 from .ports import Reply
 from .ports import ReplyTraits
-from .prefilling import SILENT
-from .prompt_reads import Read
-from .silence import silence_limit
+from .prefill_tracker import TrackedPrefill
+from .remote_prefill import UNRESPONSIVE
 from .stream import Stream
 
-STALL_SECONDS = 1.2
+STALL_TIMEOUT_SECONDS = 1.2
 """Maximum gap between two events before a resumable stream is moved to another engine.
 Callers disconnect after two seconds, and resuming elsewhere takes about 400 ms."""
 
-REFUSED_SECONDS = 0.3
+REFUSED_COOL_DOWN_SECONDS = 0.3
 """Cool-down of an engine that refused a request: it is full or changing its role."""
 
-WRONG_UPSTREAM_SECONDS = 1.0
+WRONG_UPSTREAM_COOL_DOWN_SECONDS = 1.0
 """Cool-down of an engine whose registration is outdated: it refuses requests until it
 has updated the registration, which takes one heartbeat."""
 
-MOST_EVENT_BYTES = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 """Maximum size of one event, which usually carries a few words. Without a limit, an
 event that never ends would exhaust the process's memory."""
 
@@ -44,13 +44,13 @@
     """A stream that ended prematurely, or a reply that can't be used."""
 
 
-class Answering:
+class DecodeAttempt:
     """One attempt to stream a response from one engine.
 
     Points in time are on the event loop's clock.
 
     :param prefill: the tracked prefill if this engine also prefills the prompt.
-    :param heard_at: when data last arrived from the engine; infinity before that.
+    :param last_reply_at: when data last arrived from the engine; infinity before that.
     :param streaming: whether the engine has sent an event.
     :param started_at: when the attempt started.
     :param sent_at: when the engine was asked to import a KV cache from another engine.
@@ -61,8 +61,8 @@
         self.context = stream.context
         self.call = stream.call
         self.upstream = upstream
-        self.tracker = stream.context.placing.engine_load(upstream)
-        self.prefill: Read | None = None
+        self.tracker = stream.context.placer.engine_load(upstream)
+        self.prefill: TrackedPrefill | None = None
         self.last_reply_at = math.inf
         self.streaming = False
         self.sent_at: float | None = None
@@ -73,20 +73,20 @@
 
         :raises RequestError: if it must not be retried, or no attempt is left.
         """
-        self.stream.sends.begin(self.upstream)
+        self.stream.attempts.begin(self.upstream)
         self._track_prefill()
         try:
             return await self._exchange()
         except NotReachedError as error:
-            self.stream.leave_alone(self.upstream)
-            self.stream.sends.on_unreached(self.upstream)
+            self.stream.start_cool_down(self.upstream)
+            self.stream.attempts.on_not_sent(self.upstream)
             self._log_failure(error.message, "not reached")
         except (ReplyLostError, BrokenStreamError) as error:
             self._log_failure(str(error), "broken")
             if self.last_reply_at == math.inf:
                 # Without a cool-down, the engine would look idle and attract the
                 # following requests.
-                self.stream.leave_alone(self.upstream)
+                self.stream.start_cool_down(self.upstream)
             # The engine may have imported the KV cache, which can be imported once.
             self.stream.cache.release()
             self._raise_if_not_repeatable()
@@ -108,7 +108,7 @@
         if self.streaming:
             return
         self.streaming = True
-        self.stream.on_prompt_read()
+        self.stream.on_prefilled()
         self.tracker.streams += 1
         if self.prefill is not None:
             self.stream.prefills.end(self.upstream, self.prefill, done=True)
@@ -149,7 +149,7 @@
             call.deadline,
             priority=self._priority(),
             kv_source=self.stream.cache.source,
-            fetch_from=prefill.fetch_from if prefill is not None else "",
+            prefix_source=prefill.prefix_source if prefill is not None else "",
             last_event=self.stream.last_event,
             weights=self.stream.weights,
         )
@@ -179,13 +179,15 @@
         """
         self.last_reply_at = asyncio.get_running_loop().time()
         self.stream.timeline.replied_at = self.last_reply_at
-        self.stream.on_heard(self.upstream)
+        self.stream.on_reply_received(self.upstream)
         traits = self.context.read_reply(self.call, self.upstream, reply)
         if traits.not_run:
-            self.stream.sends.on_not_run()
+            self.stream.attempts.on_not_run()
             wrong = traits.wrong_upstream
-            cool_down = WRONG_UPSTREAM_SECONDS if wrong else REFUSED_SECONDS
-            self.stream.leave_alone(self.upstream, cool_down)
+            cool_down = (
+                WRONG_UPSTREAM_COOL_DOWN_SECONDS if wrong else REFUSED_COOL_DOWN_SECONDS
+            )
+            self.stream.start_cool_down(self.upstream, cool_down)
             raise BrokenStreamError(f"status {reply.status}, not run")
         self.context.check_reply(self.call, reply, traits)
         return traits
@@ -194,7 +196,7 @@
         """Yield complete events.
 
         :raises BrokenStreamError: if the stream ends within an event, or an event is
-            longer than :data:`MOST_EVENT_BYTES`.
+            longer than :data:`MAX_EVENT_BYTES`.
         """
         splitter = EventSplitter()
         async for data in reply.chunks():
@@ -203,16 +205,16 @@
             )
             for event in splitter.feed(data):
                 yield event
-            if len(splitter.rest) > MOST_EVENT_BYTES:
+            if len(splitter.rest) > MAX_EVENT_BYTES:
                 raise BrokenStreamError(
-                    f"event is longer than the limit of {MOST_EVENT_BYTES} bytes"
+                    f"event is longer than the limit of {MAX_EVENT_BYTES} bytes"
                 )
         if splitter.rest:
             raise BrokenStreamError("the stream ended within an event")
 
     def _abort_without_reply(self) -> contextlib.AbstractAsyncContextManager[None]:
         if self.call.route.repeatable and self.context.decisions.silence:
-            return silence_limit(self._no_reply_reason)
+            return abort_when(self._no_reply_reason)
         return contextlib.nullcontext()
 
     async def _no_reply_reason(self) -> str:
@@ -224,14 +226,14 @@
         """
         now = asyncio.get_running_loop().time()
         unresponsive = now >= self.tracker.unresponsive_at(self.started_at, now)
-        if not unresponsive or not self.stream.sends.may_move():
+        if not unresponsive or not self.stream.attempts.can_move():
             return ""
-        lives = await self.context.engine_checks.lives(self.upstream)
-        return "" if lives else SILENT
+        is_alive = await self.context.liveness_checker.is_alive(self.upstream)
+        return "" if is_alive else UNRESPONSIVE
 
     def _abort_if_stalled(self) -> contextlib.AbstractAsyncContextManager[None]:
         if self.call.route.resumable:
-            return silence_limit(self._stall_reason)
+            return abort_when(self._stall_reason)
         return contextlib.nullcontext()
 
     async def _stall_reason(self) -> str:
@@ -242,8 +244,8 @@
         cancelling it would lose a response that the caller still waits for.
         """
         now = asyncio.get_running_loop().time()
-        stalled = now >= self.last_reply_at + STALL_SECONDS
-        return SILENT if stalled and self.stream.sends.may_move() else ""
+        stalled = now >= self.last_reply_at + STALL_TIMEOUT_SECONDS
+        return UNRESPONSIVE if stalled and self.stream.attempts.can_move() else ""
 
     async def _forward(self, event: Event, reply: Reply, traits: ReplyTraits) -> None:
         if event.number is not None:
@@ -269,9 +271,9 @@
 
     def _log_failure(self, error: str, outcome: str) -> None:
         last_event = self.stream.last_event
-        self.stream.sends.log_failure(self.upstream, error, outcome, last_event)
+        self.stream.attempts.log_failure(self.upstream, error, outcome, last_event)
 
     def _raise_if_not_repeatable(self) -> None:
         """Raise an error if the request may have run and must not run again."""
-        if self.stream.sends.maybe_ran and not self.call.route.repeatable:
+        if self.stream.attempts.may_have_run and not self.call.route.repeatable:
             raise RequestError(ResultCode.OUTCOME_UNKNOWN) from None
--- a/src/bergamotmast/direct/events.py
+++ b/src/bergamotmast/direct/events.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-MOST_DIGITS = 18
+MAX_EVENT_ID_DIGITS = 18
 """Maximum length of a numeric event id; longer ones are ignored. Python refuses to
 convert strings of some thousand digits to an integer."""
 
@@ -58,6 +58,6 @@
         name, _, value = line.partition(b":")
         if name.strip() == b"id":
             text = value.strip()
-            is_number = text.isdigit() and len(text) <= MOST_DIGITS
+            is_number = text.isdigit() and len(text) <= MAX_EVENT_ID_DIGITS
             return int(text) if is_number else None
     return None
--- a/src/bergamotmast/direct/fleet.py
+++ b/src/bergamotmast/direct/fleet.py
@@ -27,7 +27,7 @@
 
 logger = logging.getLogger(__name__)
 
-RETURN_SECONDS = 2.0
+MISSING_UPSTREAM_GRACE_SECONDS = 2.0
 """How long an upstream whose registration lapsed during an outage is still used.
 
 The platform restores the registrations of live upstreams within about two seconds of
@@ -35,14 +35,14 @@
 """
 
 
-CHANGE_SECONDS = 6.0
+ROLE_CHANGE_TIMEOUT_SECONDS = 6.0
 """How long an engine gets no work after the plan has changed its role, at most. A
 change takes about three seconds; an order that is never carried out costs no more."""
 
-USUAL_CHANGE_SECONDS = 3.2
+TYPICAL_ROLE_CHANGE_SECONDS = 3.2
 """Typical time from an order to the first request under the new role."""
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 DEPARTED_RETENTION_SECONDS = 60.0
 """How long a departed upstream is remembered, to recognize its registration after a
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
+class UpstreamRecord:
     """An upstream and the state of its registration.
 
     :param revision: store revision of its registration.
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedRole:
     """The role that the plan assigns to an engine.
 
     :param at: when this entry received the assignment; a point in time.
@@ -89,7 +89,7 @@
     @property
     def until(self) -> float:
         """When the role change is no longer waited for; a point in time."""
-        return self.at + CHANGE_SECONDS
+        return self.at + ROLE_CHANGE_TIMEOUT_SECONDS
 
 
 class Fleet:
@@ -97,14 +97,15 @@
 
     :param own_entry: key under which this entry registers.
     :param table: routes in force; ``None`` before the first configuration.
-    :param settled: whether the upstreams have been loaded once.
-    :param seen: registered upstreams, by key.
+    :param upstreams_loaded: whether the upstreams have been loaded once.
+    :param upstream_records: registered upstreams, by key.
     :param departed: when the record of a departed upstream expires, by key and boot;
         points in time.
     :param outdated_revisions: revisions of outdated registrations in a restored store,
         by key.
-    :param unread: revisions of registrations that can't be decoded, by key.
-    :param planned: roles assigned by the plan, by engine.
+    :param undecodable_revisions: revisions of registrations that can't be decoded, by
+        key.
+    :param planned_roles: roles assigned by the plan, by engine.
     :param entries: datagram addresses of the registered entries, by key.
     :param entry_share: this entry's share of budgets common to all entries.
     :param on_removal: callbacks for the removal of an existing key, by key.
@@ -121,12 +122,12 @@
         self.directory = directory
         self.clock = clock
         self.table: RouteTable | None = None
-        self.settled = False
-        self.seen: dict[str, Seen] = {}
+        self.upstreams_loaded = False
+        self.upstream_records: dict[str, UpstreamRecord] = {}
         self.departed: dict[tuple[str, str], float] = {}
         self.outdated_revisions: dict[str, int] = {}
-        self.unread: dict[str, int] = {}
-        self.planned: dict[str, Planned] = {}
+        self.undecodable_revisions: dict[str, int] = {}
+        self.planned_roles: dict[str, PlannedRole] = {}
         self.entries: dict[str, tuple[str, int]] = {}
         self.entry_share = EntryShare(own_entry)
         self.on_removal: dict[str, cabc.Callable[[], None]] = {}
@@ -136,7 +137,7 @@
     @property
     def ready(self) -> bool:
         """Whether requests can be routed."""
-        return self.table is not None and self.settled
+        return self.table is not None and self.upstreams_loaded
 
     @property
     def generation(self) -> int:
@@ -162,40 +163,40 @@
     def present(self, group: str, now: float) -> list[Upstream]:
         """Return the upstreams of a group that are registered and not leaving."""
         return [
-            seen.upstream
-            for seen in self.seen.values()
-            if seen.upstream.group == group
-            and not seen.upstream.leaving
-            and (seen.gone_at is None or now < seen.gone_at)
+            record.upstream
+            for record in self.upstream_records.values()
+            if record.upstream.group == group
+            and not record.upstream.leaving
+            and (record.gone_at is None or now < record.gone_at)
         ]
 
     def members(self, group: str, now: float) -> list[Upstream]:
         """Return the upstreams of a group that are eligible for new requests."""
         return [u for u in self.present(group, now) if not self._changing(u, now)]
 
-    def answers_from(self, group: str, now: float) -> float | None:
+    def decode_available_at(self, group: str, now: float) -> float | None:
         """Return when a group without a decode engine is expected to have one again.
 
         ``None`` if no engine is known to be changing to that role.
         """
         started = [
-            planned.at
+            planned_role.at
             for upstream in self.present(group, now)
-            if (planned := self.planned.get(upstream.name)) is not None
-            and planned.role is not Role.PREFILL
+            if (planned_role := self.planned_roles.get(upstream.name)) is not None
+            and planned_role.role is not Role.PREFILL
             and self._changing(upstream, now)
         ]
-        return min(started) + USUAL_CHANGE_SECONDS if started else None
+        return min(started) + TYPICAL_ROLE_CHANGE_SECONDS if started else None
 
     def _changing(self, upstream: Upstream, now: float) -> bool:
         """Return whether an engine is changing its role, during which it refuses work.
 
         A request sent to it would only lose time.
         """
-        planned = self.planned.get(upstream.name)
-        if planned is None or now >= planned.until:
+        planned_role = self.planned_roles.get(upstream.name)
+        if planned_role is None or now >= planned_role.until:
             return False
-        return planned.role is not upstream.role
+        return planned_role.role is not upstream.role
 
     def put(self, item: KeyValue) -> None:
         """Apply one key's new value; a value that can't be processed is ignored."""
@@ -224,13 +225,13 @@
         self._forget_entry(key)
         if key in self.existing_keys:
             self._notify_removal(key)
-        seen = self.seen.get(key)
-        if seen is not None and revision > seen.revision:
-            del self.seen[key]
-            self._record_departed(key, seen.upstream)
+        record = self.upstream_records.get(key)
+        if record is not None and revision > record.revision:
+            del self.upstream_records[key]
+            self._record_departed(key, record.upstream)
             logger.info(
                 "upstream is gone",
-                extra={"upstream": seen.upstream.name, "revision": revision},
+                extra={"upstream": record.upstream.name, "revision": revision},
             )
 
     def replace_all(
@@ -253,7 +254,7 @@
         """Replace the upstreams by a snapshot of all their registrations.
 
         After an outage or a restore, missing upstreams are kept for
-        :data:`RETURN_SECONDS`.
+        :data:`MISSING_UPSTREAM_GRACE_SECONDS`.
         """
         if reason is ReadReason.RESTORE:
             outdated = filter(self._is_outdated, items)
@@ -265,15 +266,15 @@
         for item in items:
             self.put(item)
         present = {item.key for item in items}
-        for key in [key for key in self.seen if key not in present]:
-            seen = self.seen[key]
-            if reason is ReadReason.RESYNC and seen.gone_at is None:
-                self.remove(key, seen.revision + 1)
-            elif seen.gone_at is None or reason is ReadReason.RESTORE:
-                seen.gone_at = now + RETURN_SECONDS
-            elif now >= seen.gone_at:
-                self.remove(key, seen.revision + 1)
-        self.settled = True
+        for key in [key for key in self.upstream_records if key not in present]:
+            record = self.upstream_records[key]
+            if reason is ReadReason.RESYNC and record.gone_at is None:
+                self.remove(key, record.revision + 1)
+            elif record.gone_at is None or reason is ReadReason.RESTORE:
+                record.gone_at = now + MISSING_UPSTREAM_GRACE_SECONDS
+            elif now >= record.gone_at:
+                self.remove(key, record.revision + 1)
+        self.upstreams_loaded = True
         self._signal_ready()
 
     def _is_outdated(self, item: KeyValue) -> bool:
@@ -289,10 +290,10 @@
             return False
         if (item.key, upstream.boot) in self.departed:
             return True
-        seen = self.seen.get(item.key)
-        if seen is None or seen.upstream.boot != upstream.boot:
+        record = self.upstream_records.get(item.key)
+        if record is None or record.upstream.boot != upstream.boot:
             return False
-        return seen.upstream.leaving and not upstream.leaving
+        return record.upstream.leaving and not upstream.leaving
 
     def _record_departed(self, key: str, upstream: Upstream) -> None:
         now = self.clock()
@@ -332,17 +333,19 @@
 
     def _put_planned_role(self, item: KeyValue) -> None:
         try:
-            part = decode_engine_plan(item.value)
+            engine_plan = decode_engine_plan(item.value)
         except msgspec.DecodeError as error:
             logger.warning(
                 "plan cannot be decoded", extra={"key": item.key, "error": str(error)}
             )
             return
         name = engine_of_key(item.key)
-        self.planned[name] = Planned(part.assignment.role, self.clock(), part.token)
+        self.planned_roles[name] = PlannedRole(
+            engine_plan.assignment.role, self.clock(), engine_plan.token
+        )
         logger.info(
             "plan is known",
-            extra={"upstream": name, "role": part.assignment.role.value},
+            extra={"upstream": name, "role": engine_plan.assignment.role.value},
         )
 
     def _put_routing(self, item: KeyValue) -> None:
@@ -370,7 +373,7 @@
         )
 
     def _put_upstream(self, item: KeyValue) -> None:
-        known = self.seen.get(item.key)
+        known = self.upstream_records.get(item.key)
         if known is not None and known.revision >= item.mod_revision:
             known.gone_at = None
             return
@@ -379,15 +382,15 @@
         try:
             upstream = self.directory.decode_upstream(item.key, item.value)
         except ConfigError as error:
-            if self.unread.get(item.key) != item.mod_revision:
-                self.unread[item.key] = item.mod_revision
+            if self.undecodable_revisions.get(item.key) != item.mod_revision:
+                self.undecodable_revisions[item.key] = item.mod_revision
                 logger.warning(
                     "upstream's registration cannot be decoded",
                     extra={"key": item.key, "error": error.message},
                 )
-            self.seen.pop(item.key, None)
+            self.upstream_records.pop(item.key, None)
             return
-        self.seen[item.key] = Seen(upstream, item.mod_revision)
+        self.upstream_records[item.key] = UpstreamRecord(upstream, item.mod_revision)
         self.departed.pop((item.key, upstream.boot), None)
         if known is not None and known.upstream.boot != upstream.boot:
             self._record_departed(item.key, known.upstream)
@@ -423,4 +426,4 @@
         number = int(port)
     except ValueError:
         return None
-    return (host, number) if 0 < number <= MOST_PORT else None
+    return (host, number) if 0 < number <= MAX_PORT else None
--- a/src/bergamotmast/direct/forwarding.py
+++ b/src/bergamotmast/direct/forwarding.py
@@ -11,7 +11,7 @@
 
 logger = logging.getLogger(__name__)
 
-OF_ONE_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -33,13 +33,15 @@
 """Control characters except the tab, and surrogate escapes of invalid UTF-8."""
 
 
-def pass_on(items: cabc.Iterable[tuple[str, str]], connection: str = "") -> Headers:
+def end_to_end_headers(
+    items: cabc.Iterable[tuple[str, str]], connection: str = ""
+) -> Headers:
     """Return the headers to forward, without the hop-by-hop ones.
 
     :param connection: value of the ``Connection`` header, which may name more of them.
     """
     listed = {name.strip().lower() for name in connection.split(",")}
-    dropped = OF_ONE_CONNECTION | listed
+    dropped = HOP_BY_HOP_HEADERS | listed
     return tuple(item for item in items if item[0].lower() not in dropped)
 
 
@@ -50,7 +52,9 @@
     UTF-8, and it rejects the whole response for a control character. A header with
     either is dropped, and a warning is logged.
     """
-    forwarded = pass_on(reply.header_items(), reply.headers.get("Connection", ""))
+    forwarded = end_to_end_headers(
+        reply.header_items(), reply.headers.get("Connection", "")
+    )
     writable = tuple(item for item in forwarded if is_writable(item[1]))
     if len(writable) < len(forwarded):
         dropped = [name for name, value in forwarded if not is_writable(value)]
--- a/src/bergamotmast/direct/front.py
+++ b/src/bergamotmast/direct/http_frontend.py
@@ -21,10 +21,10 @@
 
 logger = logging.getLogger(__name__)
 
-HEADER_BYTES = 32_768
+MAX_HEADER_BYTES = 32_768
 """Maximum length of a line or header in bytes; above the configurable limits."""
 
-IDLE_SECONDS = 75.0
+KEEPALIVE_SECONDS = 75.0
 """Keep-alive timeout of idle connections; above the configurable limits."""
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
@@ -132,18 +132,18 @@
         return response
 
 
-class DirectFront:
+class DirectHttpFrontend:
     """Translates between HTTP and the core of a direct entry.
 
     :param busy: connections with a running request.
-    :param ending: whether each connection is closed after its current response, also
-        if that response started before the shutdown.
+    :param shutting_down: whether each connection is closed after its current response,
+        also if that response started before the shutdown.
     """
 
     def __init__(self, core: DirectCore) -> None:
         self.core = core
         self.busy: set[asyncio.BaseProtocol] = set()
-        self.ending = False
+        self.shutting_down = False
 
     def callers(self) -> web.Server:
         """Return the server for callers' requests."""
@@ -151,9 +151,9 @@
             self._handle,
             request_factory=_new_request,
             handler_cancellation=True,
-            keepalive_timeout=IDLE_SECONDS,
-            max_line_size=HEADER_BYTES,
-            max_field_size=HEADER_BYTES,
+            keepalive_timeout=KEEPALIVE_SECONDS,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
             auto_decompress=False,
             access_log=None,
         )
@@ -172,7 +172,7 @@
         self.busy.add(connection)
         try:
             response = await self._respond(request)
-            if self.ending and not _has_next(connection):
+            if self.shutting_down and not _has_next(connection):
                 response.force_close()
             return response
         finally:
--- a/src/bergamotmast/direct/silence.py
+++ b/src/bergamotmast/direct/liveness.py
@@ -9,21 +9,21 @@
 
 from ..errors import ReplyLostError
 from .model import Upstream
-from .placing import BookKey
-from .placing import Placing
-from .ports import EngineCheck
+from .placer import RequestPlacer
+from .placer import UpstreamKey
+from .ports import LivenessProbe
 
 logger = logging.getLogger(__name__)
 
-CHECK_SECONDS = 0.15
+WATCHDOG_INTERVAL_SECONDS = 0.15
 """Interval between two checks of a running call."""
 
-Verdict = cabc.Callable[[], cabc.Awaitable[str]]
+AbortCheck = cabc.Callable[[], cabc.Awaitable[str]]
 """Returns why a call is to be cancelled, or an empty string to let it run."""
 
 
 @contextlib.asynccontextmanager
-async def silence_limit(check: Verdict) -> cabc.AsyncIterator[None]:
+async def abort_when(check: AbortCheck) -> cabc.AsyncIterator[None]:
     """Cancel the body as soon as a check returns a reason.
 
     A power loss or a dead connection causes no error. With the call's deadline as the
@@ -46,15 +46,15 @@
 
 
 async def _poll_check(
-    check: Verdict, limit: asyncio.Timeout, reasons: list[str]
+    check: AbortCheck, limit: asyncio.Timeout, reasons: list[str]
 ) -> None:
     while not (reason := await check()):
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(WATCHDOG_INTERVAL_SECONDS)
     reasons.append(reason)
     limit.reschedule(asyncio.get_running_loop().time())
 
 
-class EngineChecks:
+class LivenessChecker:
     """Probes unresponsive engines, with at most one probe per engine at a time.
 
     Without probes, every prompt that queues behind a long one would be withdrawn from
@@ -66,13 +66,13 @@
     """
 
     def __init__(
-        self, placing: Placing, liveness_probe: EngineCheck | None = None
+        self, placer: RequestPlacer, liveness_probe: LivenessProbe | None = None
     ) -> None:
-        self.placing = placing
+        self.placer = placer
         self.liveness_probe = liveness_probe
-        self.running_probes: dict[BookKey, asyncio.Task[bool]] = {}
+        self.running_probes: dict[UpstreamKey, asyncio.Task[bool]] = {}
 
-    async def lives(self, engine: Upstream) -> bool:
+    async def is_alive(self, engine: Upstream) -> bool:
         """Return whether an engine replies to the liveness probe."""
         if self.liveness_probe is None:
             return False
@@ -86,15 +86,15 @@
         # probe must go on.
         return await asyncio.shield(task)
 
-    async def _run_probe(self, liveness_probe: EngineCheck, engine: Upstream) -> bool:
+    async def _run_probe(self, liveness_probe: LivenessProbe, engine: Upstream) -> bool:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        lives = await liveness_probe.answers(engine)
-        if lives:
-            self.placing.engine_load(engine).last_reply_at = loop.time()
+        is_alive = await liveness_probe.probe(engine)
+        if is_alive:
+            self.placer.engine_load(engine).last_reply_at = loop.time()
         ms = round((loop.time() - started_at) * 1e3, 1)
         logger.info(
             "unresponsive engine was probed",
-            extra={"upstream": engine.name, "lives": lives, "ms": ms},
+            extra={"upstream": engine.name, "lives": is_alive, "ms": ms},
         )
-        return lives
+        return is_alive
--- a/src/bergamotmast/direct/model.py
+++ b/src/bergamotmast/direct/model.py
@@ -196,6 +196,6 @@
         return self.sized is not None and self.sized.goes_first
 
     @property
-    def leaves_at(self) -> float:
+    def gives_up_at(self) -> float:
         """When the caller disconnects unless it has received an event by then."""
         return min(self.deadline, self.arrived_at + self.route.patience)
--- a/src/bergamotmast/direct/notices.py
+++ b/src/bergamotmast/direct/notices.py
@@ -14,19 +14,19 @@
 
 import msgspec
 
-from .placing import Placing
-from .read_notice import ReadNotice
+from .placer import RequestPlacer
+from .prefill_notice import PrefillNotice
 
 logger = logging.getLogger(__name__)
 
-GATHER_SECONDS = 0.005
+BATCH_WINDOW_SECONDS = 0.005
 """How long notices are collected before they are sent in one datagram."""
 
-LEAST_TOKENS = 1_000
+MIN_NOTICE_TOKENS = 1_000
 """Shortest prefill that is announced. Shorter ones take less than 20 ms, so a notice
 would arrive too late."""
 
-MOST_NOTICES = 64
+MAX_NOTICES_PER_DATAGRAM = 64
 """Maximum number of notices in one datagram, which must fit into a packet."""
 
 
@@ -37,10 +37,10 @@
     """
 
     sender: str
-    notices: tuple[ReadNotice, ...]
+    notices: tuple[PrefillNotice, ...]
 
 
-class Notices:
+class NoticeExchange:
     """Sends this entry's notices and applies those of others.
 
     :param name: name of this entry.
@@ -52,21 +52,21 @@
     def __init__(
         self,
         name: str,
-        placing: Placing,
+        placer: RequestPlacer,
         peers: cabc.Callable[[], cabc.Iterable[tuple[str, int]]],
         send: cabc.Callable[[bytes, tuple[str, int]], None],
     ) -> None:
         self.name = name
-        self.placing = placing
+        self.placer = placer
         self.peers = peers
         self.send = send
-        self.pending: list[ReadNotice] = []
+        self.pending: list[PrefillNotice] = []
         self.decoder = msgspec.msgpack.Decoder(Datagram)
 
-    def tell(self, notice: ReadNotice) -> None:
+    def enqueue(self, notice: PrefillNotice) -> None:
         """Add a notice to the next batch, which is sent shortly."""
         if not self.pending:
-            asyncio.get_running_loop().call_later(GATHER_SECONDS, self._flush)
+            asyncio.get_running_loop().call_later(BATCH_WINDOW_SECONDS, self._flush)
         self.pending.append(notice)
 
     def receive(self, data: bytes) -> None:
@@ -80,13 +80,13 @@
             return
         now = asyncio.get_running_loop().time()
         for notice in datagram.notices:
-            self.placing.on_notice(datagram.sender, notice, now)
+            self.placer.on_notice(datagram.sender, notice, now)
 
     def _flush(self) -> None:
         pending, self.pending = self.pending, []
         addresses = list(self.peers())
-        for start in range(0, len(pending), MOST_NOTICES):
-            part = tuple(pending[start : start + MOST_NOTICES])
+        for start in range(0, len(pending), MAX_NOTICES_PER_DATAGRAM):
+            part = tuple(pending[start : start + MAX_NOTICES_PER_DATAGRAM])
             data = msgspec.msgpack.encode(Datagram(self.name, part))
             for address in addresses:
                 self.send(data, address)
--- a/src/bergamotmast/direct/placing.py
+++ b/src/bergamotmast/direct/placer.py
@@ -30,33 +30,33 @@
 from .model import CallTraits
 from .model import Upstream
 from .ports import LoadHint
-from .read_notice import ReadNotice
+from .prefill_notice import PrefillNotice
 
-BookKey = tuple[str, str]
+UpstreamKey = tuple[str, str]
 """Name and boot of an upstream, as its load and caches are lost in a restart."""
 
 
-LEAST_FETCHED = 400
+MIN_TRANSFER_TOKENS = 400
 """Shortest prefix, in tokens, that is transferred from another engine instead of being
 prefilled: it takes 8 ms to prefill and less than 3 ms to transfer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class PrefixLookup:
     """Result of a prefix-cache lookup for a prompt at one engine.
 
-    :param tokens: tokens to prefill.
-    :param fetched: tokens before them to transfer from another engine.
-    :param fetch_from: address of the engine to transfer the prefix from; empty if
+    :param uncached_tokens: tokens to prefill.
+    :param transferred_tokens: tokens before them to transfer from another engine.
+    :param prefix_source: address of the engine to transfer the prefix from; empty if
         nothing is to be transferred.
     """
 
-    tokens: int
-    fetched: int
-    fetch_from: str
+    uncached_tokens: int
+    transferred_tokens: int
+    prefix_source: str
 
 
-class Placing:
+class RequestPlacer:
     """Chooses upstreams by the load that this entry and its peers have placed on them.
 
     :param name: name of this entry.
@@ -81,10 +81,10 @@
         self.name = name
         self.zone = zone
         self.rng = rng
-        self.engines: dict[BookKey, EngineLoadTracker] = {}
+        self.engines: dict[UpstreamKey, EngineLoadTracker] = {}
         self.prefill_times: dict[str, GroupPrefillTimes] = {}
-        self.plain: dict[BookKey, PlainUpstreamLoad] = {}
-        self.by_hash: dict[int, BookKey] = {}
+        self.plain: dict[UpstreamKey, PlainUpstreamLoad] = {}
+        self.by_hash: dict[int, UpstreamKey] = {}
         self.last_number = 0
 
     def engine_load(self, upstream: Upstream) -> EngineLoadTracker:
@@ -92,7 +92,7 @@
         key = (upstream.name, upstream.boot)
         tracker = self.engines.get(key)
         if tracker is None:
-            self._forget_gone()
+            self._forget_departed()
             engine = self.fleet.group(upstream.group).engine
             prefill_times = self.prefill_times.setdefault(
                 upstream.group, GroupPrefillTimes()
@@ -111,11 +111,11 @@
         key = (upstream.name, upstream.boot)
         tracker = self.plain.get(key)
         if tracker is None:
-            self._forget_gone()
+            self._forget_departed()
             tracker = self.plain[key] = PlainUpstreamLoad()
         return tracker
 
-    def new_key(self) -> PrefillKey:
+    def new_prefill_key(self) -> PrefillKey:
         """Return a key for a prefill that this entry is about to start."""
         self.last_number += 1
         return self.name, self.last_number
@@ -130,7 +130,7 @@
         else:
             self.plain_load(upstream).hint(load.running, load.waiting, now)
 
-    def on_notice(self, sender: str, notice: ReadNotice, now: float) -> None:
+    def on_notice(self, sender: str, notice: PrefillNotice, now: float) -> None:
         """Apply another entry's notice about a prefill."""
         tracker = self.engines.get(self.by_hash.get(notice.engine, ("", "")))
         if tracker is None:
@@ -147,11 +147,11 @@
             if notice.done:
                 tracker.last_reply_at = now
 
-    def lookup_prefix(self, call: Call, upstream: Upstream) -> Reading:
+    def lookup_prefix(self, call: Call, upstream: Upstream) -> PrefixLookup:
         """Return how much of a prompt an engine would have to prefill, as estimated."""
         now = asyncio.get_running_loop().time()
         members = self.fleet.members(call.group.name, now)
-        replicas = self._kept(call, members)
+        replicas = self._prefix_replicas(call, members)
         return self._lookup_prefix(
             call, upstream, replicas, _best_sources(members, replicas)
         )
@@ -165,7 +165,7 @@
             call.route.rank, tokens, self.decisions, goes_first=call.goes_first
         )
 
-    def _kept(self, call: Call, members: list[Upstream]) -> dict[str, int]:
+    def _prefix_replicas(self, call: Call, members: list[Upstream]) -> dict[str, int]:
         """Return the tokens of a prompt's prefix that each engine could transfer."""
         return {
             m.name: self.engine_load(m).prefix.transferable_tokens(call.parts)
@@ -223,7 +223,7 @@
         )
         return prefill_upstream, by_name[placement.decode_engine], placement
 
-    def answering(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
+    def place_decode(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
         """Return the decode engine for a request that was prefilled elsewhere.
 
         :param tried: names of engines to exclude.
@@ -249,12 +249,12 @@
         """Return the members that may be chosen, with their predicted load."""
         candidates = []
         everyone = self.fleet.members(call.group.name, now)
-        replicas = self._kept(call, everyone)
+        replicas = self._prefix_replicas(call, everyone)
         sources = _best_sources(everyone, replicas)
-        for member in self._sound(members, now):
+        for member in self._not_cooling_down(members, now):
             tracker = self.engine_load(member)
             lookup = self._lookup_prefix(call, member, replicas, sources)
-            uncached = lookup.tokens
+            uncached = lookup.uncached_tokens
             priority = self.priority(call, uncached)
             wait = tracker.wait(priority, now)
             if self.decisions.urgent_load:
@@ -273,7 +273,7 @@
                     tracker.prefill_times.transfers.times.seconds(
                         call.traits.prompt_tokens, 0
                     ),
-                    tracker.occupied_seconds(lookup.fetched, 0)
+                    tracker.occupied_seconds(lookup.transferred_tokens, 0)
                     if self.decisions.copies
                     else 0.0,
                     tracker.tie_break,
@@ -283,7 +283,7 @@
             )
         return candidates
 
-    def _sound(self, members: list[Upstream], now: float) -> list[Upstream]:
+    def _not_cooling_down(self, members: list[Upstream], now: float) -> list[Upstream]:
         """Return the engines that are not cooling down after a failure.
 
         Decode engines are all kept if every one of them is cooling down. An engine that
@@ -305,15 +305,17 @@
         upstream: Upstream,
         replicas: dict[str, int],
         sources: list[Upstream],
-    ) -> Reading:
+    ) -> PrefixLookup:
         own = self.engine_load(upstream).prefix.expected_cached_tokens(call.parts)
         best, source = own, ""
         others = sources if self.decisions.fetching else []
         for other in others:
             found = replicas[other.name]
-            if other.name != upstream.name and found >= best + LEAST_FETCHED:
+            if other.name != upstream.name and found >= best + MIN_TRANSFER_TOKENS:
                 best, source = found, other.address
-        return Reading(max(1, call.traits.prompt_tokens - best), best - own, source)
+        return PrefixLookup(
+            max(1, call.traits.prompt_tokens - best), best - own, source
+        )
 
     def _is_near(self, upstream: Upstream) -> bool:
         """Return whether to treat an upstream as being in this availability zone."""
@@ -322,10 +324,10 @@
     def _is_ejected(self, upstream: Upstream, now: float) -> bool:
         return self.decisions.ejection and self.plain_load(upstream).is_ejected(now)
 
-    def _forget_gone(self) -> None:
+    def _forget_departed(self) -> None:
         present = {
-            (seen.upstream.name, seen.upstream.boot)
-            for seen in self.fleet.seen.values()
+            (record.upstream.name, record.upstream.boot)
+            for record in self.fleet.upstream_records.values()
         }
         self.engines = {k: b for k, b in self.engines.items() if k in present}
         self.plain = {k: b for k, b in self.plain.items() if k in present}
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -9,6 +9,7 @@
 from ..errors import ReplyLostError
 from ..errors import RequestError
 from ..errors import ResultCode
+from .attempts import AttemptTracker
 from .caller import CallerReply
 from .context import Context
 from .forwarding import response_headers
@@ -16,9 +17,8 @@
 from .model import Upstream
 from .ports import Attempt
 from .ports import Headers
-from .sends import Sends
 
-PATIENCE = 2.0
+RETRY_AFTER_OBJECTIVES = 2.0
 """Multiple of the latency objective after which an idempotent request is retried at
 another upstream. Without a retry, a hanging upstream would delay it to its deadline."""
 
@@ -42,7 +42,7 @@
         self.context = context
         self.call = call
         self.reply = reply
-        self.sends = Sends(context, call)
+        self.attempts = AttemptTracker(context, call)
         self.last_failure: PlainResponse | None = None
 
     async def run(self) -> int:
@@ -54,22 +54,22 @@
             async with self.context.time_limits.limit(self.call.deadline):
                 response = await self._run_attempts()
         except TimeoutError:
-            raise self.sends.out_of_time() from None
+            raise self.attempts.timeout_error() from None
         await self.reply.respond(response.status, response.headers, response.body)
         return response.status
 
     async def _run_attempts(self) -> PlainResponse:
         while True:
             try:
-                upstream = self.context.placing.choose_plain_upstream(
-                    self.call, self.sends.excluded
+                upstream = self.context.placer.choose_plain_upstream(
+                    self.call, self.attempts.excluded
                 )
-                self.sends.begin(upstream)
+                self.attempts.begin(upstream)
             except RequestError:
                 if self.last_failure is not None:
                     return self.last_failure
-                if self.sends.maybe_ran:
-                    raise self.sends.exhausted() from None
+                if self.attempts.may_have_run:
+                    raise self.attempts.exhausted_error() from None
                 raise
             response = await self._send(upstream)
             if response is not None:
@@ -77,7 +77,7 @@
 
     async def _send(self, upstream: Upstream) -> PlainResponse | None:
         """Make one attempt; return ``None`` if another upstream may be tried."""
-        tracker = self.context.placing.plain_load(upstream)
+        tracker = self.context.placer.plain_load(upstream)
         loop = asyncio.get_running_loop()
         tracker.running += 1
         try:
@@ -85,12 +85,12 @@
                 return await self._exchange(upstream)
         except NotReachedError as error:
             tracker.failed(loop.time())
-            self.sends.on_unreached(upstream)
-            self.sends.log_failure(upstream, error.message, "not reached")
+            self.attempts.on_not_sent(upstream)
+            self.attempts.log_failure(upstream, error.message, "not reached")
             return None
         except (ReplyLostError, TimeoutError) as error:
             tracker.failed(loop.time())
-            self.sends.log_failure(
+            self.attempts.log_failure(
                 upstream, str(error) or "no reply within the timeout", "unknown"
             )
             if not self.call.route.repeatable:
@@ -103,9 +103,9 @@
 
     def _give_up_at(self, now: float) -> float:
         route = self.call.route
-        if not route.repeatable or len(self.sends.tried) >= route.max_attempts:
+        if not route.repeatable or len(self.attempts.tried) >= route.max_attempts:
             return self.call.deadline
-        return min(self.call.deadline, now + PATIENCE * route.objective)
+        return min(self.call.deadline, now + RETRY_AFTER_OBJECTIVES * route.objective)
 
     async def _exchange(self, upstream: Upstream) -> PlainResponse | None:
         call = self.call
@@ -123,13 +123,13 @@
         ) as reply:
             traits = self.context.read_reply(call, upstream, reply)
             if traits.not_run:
-                self.sends.on_not_run()
-                self.sends.log_failure(upstream, f"status {reply.status}", "not run")
+                self.attempts.on_not_run()
+                self.attempts.log_failure(upstream, f"status {reply.status}", "not run")
                 return None
             self.context.check_reply(call, reply, traits)
             body = await reply.read()
             response = PlainResponse(reply.status, response_headers(reply), body)
-        tracker = self.context.placing.plain_load(upstream)
+        tracker = self.context.placer.plain_load(upstream)
         if 200 <= response.status < 300:
             tracker.succeeded()
             return response
@@ -139,7 +139,7 @@
         self, upstream: Upstream, response: PlainResponse
     ) -> PlainResponse | None:
         """Return a failed response to forward, or ``None`` to retry elsewhere first."""
-        self.sends.log_failure(upstream, f"status {response.status}", "ran")
+        self.attempts.log_failure(upstream, f"status {response.status}", "ran")
         self.last_failure = response
         may_repeat = self.call.route.repeatable and response.status >= 500
         return None if may_repeat else response
--- a/src/bergamotmast/direct/ports.py
+++ b/src/bergamotmast/direct/ports.py
@@ -24,7 +24,7 @@
     :param prefill_only: only prefill the prompt and export its KV cache.
     :param kv_source: address of an exported KV cache to import, as returned by
         :meth:`Dialect.kv_source`; empty for none.
-    :param fetch_from: address of an engine with a longer prefix of the prompt in its
+    :param prefix_source: address of an engine with a longer prefix of the prompt in its
         cache, to transfer the prefix from; empty for none.
     :param last_event: number of the event to resume after; 0 to start.
     :param weights: required version of the weights; empty for any.
@@ -35,7 +35,7 @@
     priority: int | None = None
     prefill_only: bool = False
     kv_source: str = ""
-    fetch_from: str = ""
+    prefix_source: str = ""
     last_event: int = 0
     weights: str = ""
 
@@ -191,10 +191,10 @@
         ...
 
 
-class EngineCheck(t.Protocol):
+class LivenessProbe(t.Protocol):
     """Liveness probe that distinguishes a dead engine from a busy one."""
 
-    async def answers(self, engine: Upstream) -> bool:
+    async def probe(self, engine: Upstream) -> bool:
         """Return whether an engine replies within some tenths of a second.
 
         The probe is a request that does not queue behind the engine's other work.
--- a/src/bergamotmast/direct/read_notice.py
+++ b/src/bergamotmast/direct/prefill_notice.py
@@ -9,7 +9,7 @@
 from ..policy.prefix_cache import PrefillKey
 
 
-class ReadNotice(msgspec.Struct, frozen=True, array_like=True):
+class PrefillNotice(msgspec.Struct, frozen=True, array_like=True):
     """The start or the end of a prefill at an engine.
 
     :param engine: hash of the engine's name and boot.
--- a/src/bergamotmast/direct/prompt_reads.py
+++ b/src/bergamotmast/direct/prefill_tracker.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Read:
+class TrackedPrefill:
     """A running prefill.
 
     :param tokens: prompt tokens estimated not to be cached at the engine.
@@ -21,7 +21,7 @@
     :param started_at: start time; a point in time.
     :param predicted: predicted seconds, including the queueing delay.
     :param engine_was_idle: whether the engine had no other known prefill.
-    :param fetch_from: address of the engine to transfer the prefix from; may be empty.
+    :param prefix_source: address of the engine to transfer the prefix from, or empty.
     """
 
     key: PrefillKey
@@ -31,38 +31,38 @@
     started_at: float
     predicted: float
     engine_was_idle: bool
-    fetch_from: str
+    prefix_source: str
 
 
-class PromptReads:
+class PrefillTracker:
     """Tracks the prefills of one request."""
 
     def __init__(self, context: Context, call: Call) -> None:
         self.context = context
         self.call = call
 
-    def begin(self, engine: Upstream) -> Read:
+    def begin(self, engine: Upstream) -> TrackedPrefill:
         """Record a prefill that is about to start, and announce it to the peers."""
         context = self.context
-        tracker = context.placing.engine_load(engine)
+        tracker = context.placer.engine_load(engine)
         now = asyncio.get_running_loop().time()
-        lookup = context.placing.lookup_prefix(self.call, engine)
-        tokens = lookup.tokens
-        priority = context.placing.priority(self.call, tokens)
+        lookup = context.placer.lookup_prefix(self.call, engine)
+        tokens = lookup.uncached_tokens
+        priority = context.placer.priority(self.call, tokens)
         cached = max(0, self.call.traits.prompt_tokens - tokens)
         wait = tracker.wait(priority, now)
         predicted = wait + tracker.prefill_seconds(tokens, cached)
         engine_was_idle = not tracker.pending_prefills
-        key = context.placing.new_key()
+        key = context.placer.new_prefill_key()
         parts = self.call.parts
         goes_first = self.call.goes_first
         seconds = tracker.occupied_seconds(tokens, cached)
         tracker.begin(key, seconds, priority, now, goes_first=goes_first)
         tracker.prefix.expect(key, parts)
-        context.tell_begun(
+        context.announce_prefill_start(
             engine, key, priority, tokens, cached, parts, goes_first=goes_first
         )
-        return Read(
+        return TrackedPrefill(
             key,
             tokens,
             cached,
@@ -70,23 +70,29 @@
             now,
             predicted,
             engine_was_idle,
-            lookup.fetch_from,
+            lookup.prefix_source,
         )
 
-    def end(self, engine: Upstream, prefill: Read, *, done: bool) -> None:
+    def end(self, engine: Upstream, prefill: TrackedPrefill, *, done: bool) -> None:
         """Record the end of a prefill and learn from its duration.
 
         :param done: whether it was completed.
         """
-        tracker = self.context.placing.engine_load(engine)
+        tracker = self.context.placer.engine_load(engine)
         now = asyncio.get_running_loop().time()
         work = tracker.end(prefill.key, now, done=done)
         if done and work is not None and not work.overtaken:
             self._learn(tracker, prefill, now - prefill.started_at, now)
-        self.context.tell_ended(engine, prefill.key, prefill.tokens, done=done)
+        self.context.announce_prefill_end(
+            engine, prefill.key, prefill.tokens, done=done
+        )
 
     def _learn(
-        self, tracker: EngineLoadTracker, prefill: Read, seconds: float, now: float
+        self,
+        tracker: EngineLoadTracker,
+        prefill: TrackedPrefill,
+        seconds: float,
+        now: float,
     ) -> None:
         decisions = self.context.decisions
         if decisions.slowness:
--- a/src/bergamotmast/direct/presence.py
+++ b/src/bergamotmast/direct/presence.py
@@ -22,7 +22,7 @@
 RENEWAL_SECONDS = 4.0
 """Interval between renewals of the lease; two may fail before it expires."""
 
-LONGEST_RETRY_SECONDS = 3.0
+MAX_RETRY_DELAY_SECONDS = 3.0
 """Maximum delay between two attempts while the store is unavailable."""
 
 
@@ -43,7 +43,7 @@
         self.kv = kv
         self.key = presence_key(name)
         self.value = address.encode()
-        self.backoff = Backoff(rng, first=0.3, longest=LONGEST_RETRY_SECONDS)
+        self.backoff = Backoff(rng, first=0.3, longest=MAX_RETRY_DELAY_SECONDS)
 
     async def run(self) -> None:
         """Register and stay registered until cancelled."""
--- a/src/bergamotmast/direct/prefilling.py
+++ b/src/bergamotmast/direct/remote_prefill.py
@@ -9,23 +9,23 @@
 from ..errors import RequestError
 from ..errors import ResultCode
 from ..policy.direct_refusal import retry_after
+from .liveness import abort_when
 from .model import Upstream
 from .ports import Attempt
-from .prompt_reads import Read
-from .silence import silence_limit
+from .prefill_tracker import TrackedPrefill
 from .stream import Stream
 
-MOST_PREFILLS = 2
+MAX_PREFILL_ATTEMPTS = 2
 """Maximum number of engines tried before the decode engine prefills the prompt."""
 
-SILENT = "the engine is unresponsive"
-OVERDUE = "the prefill is overdue"
+UNRESPONSIVE = "the engine is unresponsive"
+PREFILL_OVERDUE = "the prefill is overdue"
 
-RETURN_SECONDS = 0.5
+BUDGET_RETRY_AFTER_SECONDS = 0.5
 """Minimum delay after which a caller may retry if the retry budget was exhausted."""
 
 
-class Prefilling:
+class RemotePrefill:
     """Runs the prefills of one stream.
 
     The first prefill that completes does not count as a retry. A failed one does: it is
@@ -45,23 +45,23 @@
     @property
     def may_retry(self) -> bool:
         """Whether another engine may be tried."""
-        return self.count < MOST_PREFILLS
+        return self.count < MAX_PREFILL_ATTEMPTS
 
     async def run(self, engine: Upstream) -> None:
         """Run a prefill; on success, the stream's KV cache handle is set."""
         stream = self.stream
-        if self.done and not stream.sends.spend():
-            self.count = MOST_PREFILLS
+        if self.done and not stream.attempts.spend():
+            self.count = MAX_PREFILL_ATTEMPTS
             return
         self.count += 1
         loop = asyncio.get_running_loop()
         prefill = stream.prefills.begin(engine)
         done = False
         try:
-            async with silence_limit(lambda: self._abort_reason(engine, prefill)):
+            async with abort_when(lambda: self._abort_reason(engine, prefill)):
                 stream.cache.source = await self._send_prompt(engine, prefill)
             done = self.done = True
-            stream.on_prompt_read()
+            stream.on_prefilled()
             stream.timeline.prefilled_at = loop.time()
             stream.timeline.uncached_tokens = prefill.tokens
         except NotReachedError as error:
@@ -79,27 +79,27 @@
             attempts would multiply the load. Nothing of the response has been
             generated, so the caller may retry.
         """
-        if not self.stream.sends.spend():
-            seconds = retry_after(self.context.rng, RETURN_SECONDS)
+        if not self.stream.attempts.spend():
+            seconds = retry_after(self.context.rng, BUDGET_RETRY_AFTER_SECONDS)
             raise RequestError(ResultCode.RETRY_BUDGET_SPENT, retry_after=seconds)
 
     def _on_failure(self, engine: Upstream, error: str) -> None:
-        self.stream.unread_at.add(engine.name)
-        if error != OVERDUE:
-            self.stream.leave_alone(engine)
-        self.stream.sends.log_failure(engine, error, "prefill")
+        self.stream.failed_prefill_engines.add(engine.name)
+        if error != PREFILL_OVERDUE:
+            self.stream.start_cool_down(engine)
+        self.stream.attempts.log_failure(engine, error, "prefill")
 
-    async def _abort_reason(self, engine: Upstream, prefill: Read) -> str:
+    async def _abort_reason(self, engine: Upstream, prefill: TrackedPrefill) -> str:
         """Return why to restart a pending prefill elsewhere; empty to keep waiting."""
         if not self.context.decisions.silence:
             return ""
-        tracker = self.context.placing.engine_load(engine)
+        tracker = self.context.placer.engine_load(engine)
         now = asyncio.get_running_loop().time()
         if now >= tracker.unresponsive_at(prefill.started_at, now):
-            if not await self.context.engine_checks.lives(engine):
-                return SILENT
+            if not await self.context.liveness_checker.is_alive(engine):
+                return UNRESPONSIVE
         if now >= tracker.overdue_at(prefill.key) and self._can_serve_elsewhere(engine):
-            return OVERDUE
+            return PREFILL_OVERDUE
         return ""
 
     def _can_serve_elsewhere(self, engine: Upstream) -> bool:
@@ -109,17 +109,17 @@
         would disconnect before a restarted prefill completes, waiting costs nothing.
         """
         stream = self.stream
-        if not self.may_retry or not stream.sends.has_room():
+        if not self.may_retry or not stream.attempts.has_room():
             return False
         excluded = {*stream.excluded, engine.name}
         try:
-            *_, placement = self.context.placing.place_stream(stream.call, excluded)
+            *_, placement = self.context.placer.place_stream(stream.call, excluded)
         except RequestError:
             return False
         now = asyncio.get_running_loop().time()
-        return now + placement.first_token <= stream.call.leaves_at
+        return now + placement.first_token <= stream.call.gives_up_at
 
-    async def _send_prompt(self, engine: Upstream, prefill: Read) -> str:
+    async def _send_prompt(self, engine: Upstream, prefill: TrackedPrefill) -> str:
         """Send the prompt and return the address of its exported KV cache."""
         call = self.stream.call
         dialect = self.context.dialect
@@ -129,7 +129,7 @@
             call.deadline,
             priority=prefill.priority,
             prefill_only=True,
-            fetch_from=prefill.fetch_from,
+            prefix_source=prefill.prefix_source,
             last_event=self.stream.last_event,
         )
         headers = dialect.write_headers(call.headers, attempt, now)
@@ -138,7 +138,7 @@
         ) as reply:
             self.context.read_reply(call, engine, reply)
             body = await reply.read()
-            self.stream.on_heard(engine)
+            self.stream.on_reply_received(engine)
             if reply.status != 200:
                 raise ReplyLostError(f"prefill failed with status {reply.status}")
             prefilled = dialect.read_prefilled(body)
--- a/src/bergamotmast/direct/second_sends.py
+++ b/src/bergamotmast/direct/retry_budget.py
@@ -18,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 
-class SecondSends:
+class SharedRetryBudget:
     """An entry's share of the retry budget common to all entries, by group.
 
     :param limits: retries allowed for all entries together.
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -27,30 +27,30 @@
 from ..policy.direct_roles import RoleController
 from ..policy.direct_roles import RoleOrder
 from .fleet import Fleet
-from .fleet import Planned
+from .fleet import PlannedRole
 from .model import Upstream
-from .placing import Placing
+from .placer import RequestPlacer
 
 logger = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.5
 """Interval between two evaluations of the fleet."""
 
-PAUSE_SECONDS = (1.0, 3.0)
+TERM_PAUSE_SECONDS = (1.0, 3.0)
 """Range of the random delay between two terms of one planner. Without it, a candidate
 that keeps losing the plan to another would call the store continuously."""
 
-MOST_READING_AGE = 1.0
+MAX_SEQUENCE_AGE_SECONDS = 1.0
 """Maximum time in seconds between reading an engine's order sequence number and sending
 the order with that number. A restart resets the number to 0 and takes at least two
 seconds: with an older reading, the number might match in another incarnation."""
 
-OVERDUE_SECONDS = 4.0
+ORDER_OVERDUE_SECONDS = 4.0
 """Time after which an order is overdue; orders usually take about three seconds. An
 engine with an overdue order is counted in neither role, so that another engine is
 ordered to a role that is left without any."""
 
-UNRESOLVED_SECONDS = 13.0
+UNRESOLVED_ORDER_SECONDS = 13.0
 """How long an order without a reply may still be carried out. Until then the engine
 gets no other order and is counted as changing its role."""
 
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RoleOrderCall:
+class RoleOrderCommand:
     """A command to an engine to change its role.
 
     :param sequence: number of orders that the engine must have accepted so far. An
@@ -90,7 +90,7 @@
         """
         ...
 
-    async def order(self, call: RoleOrderCall) -> OrderReply:
+    async def order(self, call: RoleOrderCommand) -> OrderReply:
         """Send an order.
 
         :raises OrderRefusedError: if the engine has seen a higher token.
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pending:
+class PendingOrder:
     """An order that is not known to have been carried out.
 
     :param boot: incarnation of the engine that it was sent to.
@@ -119,13 +119,14 @@
     """Assigns roles to engines while this entry holds the planner's lease.
 
     :param name: name of this entry, sent with each order.
-    :param quiet_seconds: hold-off time between two holders' orders to one engine.
+    :param hold_off_seconds: hold-off time between two holders' orders to one engine.
     :param controllers: role controllers, by group.
     :param pending: orders not known to have been carried out, by engine.
-    :param quiet_until: when the hold-off ends, by engine that another holder may have
-        ordered recently; points in time.
-    :param all_quiet_until: when the hold-off ends for all engines; set after a restore
-        of the store, which may have lost the last holder's orders; a point in time.
+    :param hold_off_until: when the hold-off ends, by engine that another holder may
+        have ordered recently; points in time.
+    :param global_hold_off_until: when the hold-off ends for all engines; set after a
+        restore of the store, which may have lost the last holder's orders; a point in
+        time.
     """
 
     def __init__(
@@ -134,25 +135,25 @@
         election: PlannerElection,
         store: PlanStore,
         fleet: Fleet,
-        placing: Placing,
+        placer: RequestPlacer,
         orders: EngineOrders,
         mix: MixMeter,
-        quiet_seconds: float,
+        hold_off_seconds: float,
         rng: random.Random,
     ) -> None:
         self.name = name
         self.election = election
         self.store = store
         self.fleet = fleet
-        self.placing = placing
+        self.placer = placer
         self.orders = orders
         self.mix = mix
-        self.quiet_seconds = quiet_seconds
+        self.hold_off_seconds = hold_off_seconds
         self.rng = rng
         self.controllers: dict[str, RoleController] = {}
-        self.pending: dict[str, Pending] = {}
-        self.quiet_until: dict[str, float] = {}
-        self.all_quiet_until = 0.0
+        self.pending: dict[str, PendingOrder] = {}
+        self.hold_off_until: dict[str, float] = {}
+        self.global_hold_off_until = 0.0
 
     async def run(self) -> None:
         """Acquire the lease and plan while it is held, repeatedly, until cancelled."""
@@ -171,17 +172,17 @@
             finally:
                 self.pending.clear()
                 await self.election.release()
-            await asyncio.sleep(self.rng.uniform(*PAUSE_SECONDS))
+            await asyncio.sleep(self.rng.uniform(*TERM_PAUSE_SECONDS))
 
     async def _plan(self) -> None:
-        known = dict(self.fleet.planned)
+        known = dict(self.fleet.planned_roles)
         token = await self.store.open()
         self._set_hold_offs(known)
         logger.info(
             "plan is open",
             extra={
                 "epoch": token.epoch,
-                "quiet": sorted(self.quiet_until),
+                "quiet": sorted(self.hold_off_until),
                 "restored": self.store.restored,
             },
         )
@@ -196,7 +197,7 @@
                 logger.info("no order given", extra={"error": error.message})
             await asyncio.sleep(TICK_SECONDS)
 
-    def _set_hold_offs(self, known: cabc.Mapping[str, Planned]) -> None:
+    def _set_hold_offs(self, known: cabc.Mapping[str, PlannedRole]) -> None:
         """Set the hold-off of engines that another holder may have ordered recently.
 
         Without it, two holders that lead in turn could give one engine contradictory
@@ -207,16 +208,20 @@
         :param known: this entry's view before it opened the plan, by engine.
         """
         now = asyncio.get_running_loop().time()
-        self.all_quiet_until = now + self.quiet_seconds if self.store.restored else 0.0
-        self.quiet_until = {}
+        self.global_hold_off_until = (
+            now + self.hold_off_seconds if self.store.restored else 0.0
+        )
+        self.hold_off_until = {}
         for name, token in self.store.tokens_at_open.items():
-            planned = known.get(name)
-            at = planned.at if planned and planned.token == token else now
-            if at + self.quiet_seconds > now:
-                self.quiet_until[name] = at + self.quiet_seconds
+            planned_role = known.get(name)
+            at = (
+                planned_role.at if planned_role and planned_role.token == token else now
+            )
+            if at + self.hold_off_seconds > now:
+                self.hold_off_until[name] = at + self.hold_off_seconds
 
     async def _tick(self) -> None:
-        if not self.fleet.ready or not self.placing.decisions.role_changes:
+        if not self.fleet.ready or not self.placer.decisions.role_changes:
             return
         now = asyncio.get_running_loop().time()
         for group in self.fleet.engine_groups():
@@ -245,12 +250,12 @@
                 return None
             return EngineRole(upstream.name, pending.order.role, changing=True)
         assert upstream.role is not None
-        tracker = self.placing.engine_load(upstream)
+        tracker = self.placer.engine_load(upstream)
         load = tracker.running_decodes(now) + len(tracker.pending_prefills)
-        quiet_until = max(
-            self.quiet_until.get(upstream.name, 0.0), self.all_quiet_until
+        hold_off_until = max(
+            self.hold_off_until.get(upstream.name, 0.0), self.global_hold_off_until
         )
-        may_change = now >= quiet_until
+        may_change = now >= hold_off_until
         return EngineRole(upstream.name, upstream.role, load, may_change)
 
     def _drop_finished_orders(self, members: list[Upstream], now: float) -> None:
@@ -276,14 +281,17 @@
         # over. The engine can only refuse tokens lower than those that it has received.
         if not self.election.lease_is_valid:
             raise AuthorityLostError("The lease may have lapsed before the order.")
-        if loop.time() - read_at > MOST_READING_AGE:
+        if loop.time() - read_at > MAX_SEQUENCE_AGE_SECONDS:
             logger.info("order postponed", extra={"upstream": upstream.name})
             return
-        call = RoleOrderCall(
+        call = RoleOrderCommand(
             upstream, order, sequence, self.name, self.store.highest_token.epoch
         )
-        self.pending[upstream.name] = Pending(
-            order, upstream.boot, now + OVERDUE_SECONDS, now + UNRESOLVED_SECONDS
+        self.pending[upstream.name] = PendingOrder(
+            order,
+            upstream.boot,
+            now + ORDER_OVERDUE_SECONDS,
+            now + UNRESOLVED_ORDER_SECONDS,
         )
         outcome = "no reply"
         try:
--- a/src/bergamotmast/direct/following.py
+++ b/src/bergamotmast/direct/store_watcher.py
@@ -15,15 +15,15 @@
 
 logger = logging.getLogger(__name__)
 
-LONGEST_RETRY_SECONDS = 0.5
+MAX_RETRY_DELAY_SECONDS = 0.5
 """Maximum delay between two attempts while the store is unavailable. A new
 configuration must be in force within two seconds, also after an outage."""
 
-OUTAGE_SECONDS = 0.6
+OUTAGE_THRESHOLD_SECONDS = 0.6
 """After so long without a reply, registrations may have lapsed because of the store."""
 
 
-class Follower:
+class StoreWatcher:
     """Keeps a fleet in sync with the store by reading all keys and watching them.
 
     A watch may be interrupted, fail because its history is compacted, or receive
@@ -32,7 +32,7 @@
     delivers: otherwise all entries would read a store whose watches fail without any
     delay.
 
-    :param heard_at: when the store last replied; a point in time.
+    :param last_reply_at: when the store last replied; a point in time.
     :param disconnected: whether the store is currently considered unreachable.
     :param restored: whether the store was restored from a backup since the last read.
     """
@@ -40,8 +40,8 @@
     def __init__(self, kv: KeyValueService, fleet: Fleet, rng: random.Random) -> None:
         self.kv = kv
         self.fleet = fleet
-        self.backoff = Backoff(rng, first=0.1, longest=LONGEST_RETRY_SECONDS)
-        self.heard_at: float | None = None
+        self.backoff = Backoff(rng, first=0.1, longest=MAX_RETRY_DELAY_SECONDS)
+        self.last_reply_at: float | None = None
         self.disconnected = True
         self.restored = False
 
@@ -85,12 +85,15 @@
     def _read_reason(self, now: float) -> ReadReason:
         if self.restored:
             return ReadReason.RESTORE
-        if self.heard_at is not None and now - self.heard_at > OUTAGE_SECONDS:
+        if (
+            self.last_reply_at is not None
+            and now - self.last_reply_at > OUTAGE_THRESHOLD_SECONDS
+        ):
             return ReadReason.OUTAGE
         return ReadReason.RESYNC
 
     def _on_reply(self, now: float) -> None:
-        self.heard_at = now
+        self.last_reply_at = now
         self.fleet.entry_share.on_store_reply(now)
         if self.disconnected:
             self.disconnected = False
--- a/src/bergamotmast/direct/stream_placing.py
+++ b/src/bergamotmast/direct/stream_placer.py
@@ -19,7 +19,7 @@
 """Interval between two checks for a decode engine."""
 
 
-class StreamPlacing:
+class StreamPlacer:
     """Places one stream, waiting for a decode engine if there is none yet."""
 
     def __init__(self, stream: Stream) -> None:
@@ -38,7 +38,7 @@
             try:
                 return self._place()
             except RequestError as error:
-                attempt_count = self.stream.sends.count
+                attempt_count = self.stream.attempts.count
                 if error.code is not ResultCode.NO_UPSTREAM or attempt_count:
                     raise
                 await asyncio.sleep(self._wait_for_role())
@@ -50,13 +50,13 @@
             prefill_upstream, upstream, placement = self._choose()
         timeline = self.stream.timeline
         timeline.placed_at = now
-        timeline.on_placed(placement, self.call.leaves_at - now)
+        timeline.on_placed(placement, self.call.gives_up_at - now)
         self._refuse_too_late(placement, now)
         return prefill_upstream, upstream
 
     def _choose(self) -> tuple[Upstream | None, Upstream, Placement]:
-        placing = self.context.placing
-        return placing.place_stream(self.call, self.stream.excluded)
+        placer = self.context.placer
+        return placer.place_stream(self.call, self.stream.excluded)
 
     def _claim_precedence(self) -> bool:
         """Claim precedence if the prompt's size class is entitled to it.
@@ -72,7 +72,7 @@
         """Return whether the caller would disconnect before the first event."""
         if not self.context.decisions.refusal or self.stream.reply.started:
             return False
-        seconds_left = self.call.leaves_at - now
+        seconds_left = self.call.gives_up_at - now
         return is_unreachable(
             placement.first_token, seconds_left, goes_first=self.call.goes_first
         )
@@ -87,11 +87,11 @@
         :raises RequestError: if the caller should retry later.
         """
         now = asyncio.get_running_loop().time()
-        ready_at = self.context.fleet.answers_from(self.call.group.name, now)
+        ready_at = self.context.fleet.decode_available_at(self.call.group.name, now)
         if ready_at is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         # An overdue role change may complete at any moment, or never.
-        if max(ready_at, now) + ROLE_MARGIN_SECONDS <= self.call.leaves_at:
+        if max(ready_at, now) + ROLE_MARGIN_SECONDS <= self.call.gives_up_at:
             return ROLE_CHECK_SECONDS
         raise self._refusal(ResultCode.NO_UPSTREAM, ready_at - now)
 
--- a/src/bergamotmast/direct/stream_run.py
+++ b/src/bergamotmast/direct/stream_run.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from ..errors import RequestError
-from .answering import Answering
 from .caller import CallerReply
 from .context import Context
+from .decode_attempt import DecodeAttempt
 from .model import Call
 from .model import Upstream
-from .prefilling import Prefilling
+from .remote_prefill import RemotePrefill
 from .stream import Stream
-from .stream_placing import StreamPlacing
+from .stream_placer import StreamPlacer
 
 
 class StreamRun:
@@ -20,8 +20,8 @@
         self.context = context
         self.call = call
         self.stream = Stream(context, call, reply)
-        self.placing = StreamPlacing(self.stream)
-        self.prefilling = Prefilling(self.stream)
+        self.placer = StreamPlacer(self.stream)
+        self.remote_prefill = RemotePrefill(self.stream)
 
     async def run(self) -> int:
         """Stream the response to the caller and return its status.
@@ -32,21 +32,21 @@
             async with self.context.time_limits.limit(self.call.deadline):
                 return await self._run_attempts()
         except TimeoutError:
-            raise self.stream.sends.out_of_time() from None
+            raise self.stream.attempts.timeout_error() from None
 
     async def _run_attempts(self) -> int:
-        sends = self.stream.sends
+        attempts = self.stream.attempts
         try:
             while True:
                 upstream = await self._engine()
                 if upstream is None:
                     continue
-                status = await Answering(self.stream, upstream).run()
+                status = await DecodeAttempt(self.stream, upstream).run()
                 if status is not None:
                     return status
         except RequestError as error:
-            if sends.maybe_ran:
-                raise sends.exhausted(error.code) from None
+            if attempts.may_have_run:
+                raise attempts.exhausted_error(error.code) from None
             raise
         finally:
             self.stream.cache.release()
@@ -57,11 +57,13 @@
         ``None`` if the prefill failed and the stream has to be placed again.
         """
         cache = self.stream.cache
-        prefill_upstream, upstream = await self.placing.place()
+        prefill_upstream, upstream = await self.placer.place()
         if prefill_upstream is not None and not cache:
-            await self.prefilling.run(prefill_upstream)
-            if not cache and self.prefilling.may_retry:
+            await self.remote_prefill.run(prefill_upstream)
+            if not cache and self.remote_prefill.may_retry:
                 return None
         if cache:
-            return self.context.placing.answering(self.call, self.stream.sends.excluded)
+            return self.context.placer.place_decode(
+                self.call, self.stream.attempts.excluded
+            )
         return upstream
--- a/src/bergamotmast/direct/time_limits.py
+++ b/src/bergamotmast/direct/time_limits.py
@@ -60,9 +60,9 @@
         :raises RequestError: if its caller should retry later.
         """
         if self.end is not None and not is_admitted(self.end, deadline, now):
-            raise self.refusal()
+            raise self.shutdown_error()
 
-    def refusal(self) -> RequestError:
+    def shutdown_error(self) -> RequestError:
         """Return the error of a request that was not run because of the shutdown."""
         seconds = retry_after(self.rng, SHUTDOWN_RETRY_SECONDS)
         return RequestError(ResultCode.SHUTTING_DOWN, retry_after=seconds)
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -16,14 +16,14 @@
 from .direct.context import Context
 from .direct.core import DirectCore
 from .direct.fleet import Fleet
-from .direct.following import Follower
-from .direct.front import DirectFront
-from .direct.notices import Notices
-from .direct.placing import Placing
+from .direct.http_frontend import DirectHttpFrontend
+from .direct.notices import NoticeExchange
+from .direct.placer import RequestPlacer
 from .direct.presence import Presence
 from .direct.presence import presence_key
+from .direct.retry_budget import SharedRetryBudget
 from .direct.role_planner import RolePlanner
-from .direct.second_sends import SecondSends
+from .direct.store_watcher import StoreWatcher
 from .history import NullHistory
 from .lifecycle import METRICS_PATH
 from .lifecycle import Ending
@@ -49,31 +49,31 @@
 
 logger = logging.getLogger(__name__)
 
-STILL_ROUTED_SECONDS = 2.6
+DEREGISTRATION_SECONDS = 2.6
 """How long new requests are accepted after SIGTERM: the load balancer probes readiness
 once a second and removes an entry after two failed probes."""
 
 SHUTDOWN_MARGIN_SECONDS = 1.0
 """Time left between the last response and the platform's SIGKILL."""
 
-LAST_ANSWERS_SECONDS = 0.3
+FINAL_REPLY_SECONDS = 0.3
 """Part of that margin for the responses to requests that the shutdown ended."""
 
-IDLE_CHECK_SECONDS = 0.05
+IDLE_POLL_SECONDS = 0.05
 """Interval between two checks whether all earlier requests have completed."""
 
 PLANNER_LEASE_SECONDS = 3
 """Time to live of the planner's lease. After the failure of its holder, no role changes
 for so long, even if a role has no engine left and nothing is served."""
 
-VACANCY_SPREAD_SECONDS = 0.3
+VACANCY_POLL_SPREAD_SECONDS = 0.3
 """Jitter of the entries' polls after the planner's lease has become free."""
 
 FIRST_POLL_SPREAD_SECONDS = 1.5
 """Maximum delay of the first poll of the lease: roles should be assigned before the
 first callers connect."""
 
-MOST_PLAN_WRITES = 24
+MAX_PLAN_WRITES = 24
 """Maximum number of engines changed by one transaction. The store accepts 32 operations
 per transaction, of which the plan needs three for itself."""
 
@@ -91,7 +91,7 @@
     clock = asyncio.get_running_loop().time
     fleet = Fleet(PlatformDirectory(), clock, presence_key(settings.name))
     decisions = Decisions.without(filter(None, settings.switched_off.split(",")))
-    placing = Placing(fleet, settings.name, settings.zone, rng, decisions)
+    placer = RequestPlacer(fleet, settings.name, settings.zone, rng, decisions)
     host, _, port = settings.peer_address.rpartition(":")
     async with contextlib.AsyncExitStack() as stack:
         client = await stack.enter_async_context(HttpUpstreamClient())
@@ -106,31 +106,31 @@
         )
         orders = PlatformOrders(client)
         limits = RetryLimits(settings.retry_share, settings.retry_free)
-        second_sends = SecondSends(fleet, limits, metrics)
+        retry_budget = SharedRetryBudget(fleet, limits, metrics)
         context = Context(
             fleet,
             client,
             PlatformDialect(),
-            placing,
+            placer,
             rng,
-            second_sends,
-            engine_check=orders,
+            retry_budget,
+            liveness_probe=orders,
         )
-        context.notices = Notices(
-            settings.name, placing, fleet.entries.values, peers.send
+        context.notices = NoticeExchange(
+            settings.name, placer, fleet.entries.values, peers.send
         )
         peers.on_datagram = context.notices.receive
         core = DirectCore(context, metrics)
-        front = DirectFront(core)
+        frontend = DirectHttpFrontend(core)
         callers = await _listen(
-            stack, front.callers(), settings.listen_address, front.busy
+            stack, frontend.callers(), settings.listen_address, frontend.busy
         )
-        await _listen(stack, front.probes(), settings.ready_address)
+        await _listen(stack, frontend.probes(), settings.ready_address)
         if settings.metrics_address:
             await _listen(stack, _metrics(metrics), settings.metrics_address)
         presence = Presence(store, settings.name, settings.peer_address, rng)
         planner = _planner(settings, store, context, orders)
-        follower = Follower(store, fleet, rng)
+        follower = StoreWatcher(store, fleet, rng)
         store.on_restored.append(follower.on_restored)
         works = (follower.run(), presence.run(), planner.run())
         tasks = await stack.enter_async_context(running(works, ending))
@@ -139,7 +139,7 @@
         # The planner releases its lease while requests are drained, so that a slow
         # store does not delay the shutdown.
         tasks[-1].cancel()
-        await _drain(front, callers, settings.shutdown_seconds)
+        await _drain(frontend, callers, settings.shutdown_seconds)
     logger.info("stops")
     ending.raise_failure()
 
@@ -158,7 +158,7 @@
         context.rng,
         PLANNER_LEASE_SECONDS,
         first_poll_spread_seconds=FIRST_POLL_SPREAD_SECONDS,
-        vacancy_poll_spread_seconds=VACANCY_SPREAD_SECONDS,
+        vacancy_poll_spread_seconds=VACANCY_POLL_SPREAD_SECONDS,
         holder_known=lambda: HOLDER_KEY in fleet.existing_keys,
     )
     fleet.on_removal[HOLDER_KEY] = election.on_vacant
@@ -168,7 +168,7 @@
         context.rng,
         NullHistory(),
         epoch_hint=store.min_epoch,
-        max_engines_per_txn=MOST_PLAN_WRITES,
+        max_engines_per_txn=MAX_PLAN_WRITES,
         carry_over=False,
     )
     return RolePlanner(
@@ -176,7 +176,7 @@
         election,
         plan,
         fleet,
-        context.placing,
+        context.placer,
         orders,
         context.mix,
         settings.order_pause_ms / 1e3,
@@ -208,7 +208,9 @@
     return web.Server(handle, access_log=None)
 
 
-async def _drain(front: DirectFront, callers: Listening, seconds: float) -> None:
+async def _drain(
+    frontend: DirectHttpFrontend, callers: Listening, seconds: float
+) -> None:
     """Serve until the load balancer has removed this entry and all requests are done.
 
     The entry keeps listening until all earlier requests have completed. If all entries
@@ -218,24 +220,24 @@
     :param seconds: time from SIGTERM to the platform's SIGKILL.
     """
     loop = asyncio.get_running_loop()
-    logger.info("stops soon", extra={"running": len(front.busy)})
+    logger.info("stops soon", extra={"running": len(frontend.busy)})
     now = loop.time()
     end_by = now + max(0.0, seconds - SHUTDOWN_MARGIN_SECONDS)
-    end = ShutdownWindow(min(now + STILL_ROUTED_SECONDS, end_by), end_by)
-    front.core.context.time_limits.begin(end)
+    end = ShutdownWindow(min(now + DEREGISTRATION_SECONDS, end_by), end_by)
+    frontend.core.context.time_limits.begin(end)
     await asyncio.sleep(end.routed_until - now)
     late_ms = round((loop.time() - end.routed_until) * 1e3, 1)
-    front.ending = True
+    frontend.shutting_down = True
     await callers.close_long_idle()
-    running = len(front.busy)
+    running = len(frontend.busy)
     logger.info("finishes its requests", extra={"running": running, "late_ms": late_ms})
     # Only requests that arrived earlier are waited for: later ones are short and must
     # not delay a restart.
-    earlier = frozenset(front.busy)
-    while earlier & front.busy and loop.time() < end_by:
-        await asyncio.sleep(IDLE_CHECK_SECONDS)
+    earlier = frozenset(frontend.busy)
+    while earlier & frontend.busy and loop.time() < end_by:
+        await asyncio.sleep(IDLE_POLL_SECONDS)
     await callers.stop_accepting()
     await asyncio.sleep(FIRST_REQUEST_SECONDS)
     await callers.stop_taking()
-    logger.info("takes no more requests", extra={"running": len(front.busy)})
-    await callers.wait_until_closed(end_by + LAST_ANSWERS_SECONDS)
+    logger.info("takes no more requests", extra={"running": len(frontend.busy)})
+    await callers.wait_until_closed(end_by + FINAL_REPLY_SECONDS)
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -108,8 +108,8 @@
             written.append((STAGE, "prefill"))
         if attempt.kv_source:
             written.append((KV_SOURCE, attempt.kv_source))
-        if attempt.fetch_from:
-            written.append((FETCH_FROM, attempt.fetch_from))
+        if attempt.prefix_source:
+            written.append((FETCH_FROM, attempt.prefix_source))
         if attempt.last_event:
             written.append((LAST_EVENT, str(attempt.last_event)))
         if attempt.weights:
--- a/src/bergamotmast/platform/orders.py
+++ b/src/bergamotmast/platform/orders.py
@@ -9,7 +9,7 @@
 from ..direct.model import Upstream
 from ..direct.ports import UpstreamClient
 from ..direct.role_planner import OrderReply
-from ..direct.role_planner import RoleOrderCall
+from ..direct.role_planner import RoleOrderCommand
 from ..errors import OrderRefusedError
 from ..errors import PortError
 from ..errors import ReplyLostError
@@ -35,7 +35,7 @@
 class PlatformOrders:
     """Implements :class:`~bergamotmast.direct.role_planner.EngineOrders`.
 
-    Its reports also implement :class:`~bergamotmast.direct.ports.EngineCheck`.
+    Its reports also implement :class:`~bergamotmast.direct.ports.LivenessProbe`.
     """
 
     def __init__(self, client: UpstreamClient) -> None:
@@ -52,7 +52,7 @@
             raise ReplyLostError(f"the report can't be decoded: {error}") from error
         return None if report.busy else report.sequence
 
-    async def answers(self, engine: Upstream) -> bool:
+    async def probe(self, engine: Upstream) -> bool:
         """Return whether an engine responds; reports don't queue behind other work."""
         try:
             async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
@@ -62,7 +62,7 @@
             return False
         return status == 200
 
-    async def order(self, call: RoleOrderCall) -> OrderReply:
+    async def order(self, call: RoleOrderCommand) -> OrderReply:
         """Send a role change order."""
         body = msgspec.json.encode(
             {
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -14,10 +14,10 @@
 from bergamotmast.direct.context import Context
 from bergamotmast.direct.core import DirectCore
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.front import DirectFront
-from bergamotmast.direct.placing import Placing
-from bergamotmast.direct.ports import EngineCheck
-from bergamotmast.direct.second_sends import SecondSends
+from bergamotmast.direct.http_frontend import DirectHttpFrontend
+from bergamotmast.direct.placer import RequestPlacer
+from bergamotmast.direct.ports import LivenessProbe
+from bergamotmast.direct.retry_budget import SharedRetryBudget
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.headers import PlatformDialect
 from bergamotmast.policy.retry_window import RetryLimits
@@ -95,9 +95,11 @@
 class Entry:
     """A running direct entry and its parts."""
 
-    def __init__(self, front: DirectFront, listening: Listening, port: int) -> None:
-        self.front = front
-        self.core = front.core
+    def __init__(
+        self, frontend: DirectHttpFrontend, listening: Listening, port: int
+    ) -> None:
+        self.frontend = frontend
+        self.core = frontend.core
         self.listening = listening
         self.port = port
         self.revision = 100
@@ -177,30 +179,30 @@
 async def direct_entry(
     *replicas: Replica,
     document: dict | None = None,
-    engine_check: EngineCheck | None = None,
+    liveness_probe: LivenessProbe | None = None,
 ) -> t.AsyncIterator[Entry]:
     """Run a direct entry in front of replicas that are already running."""
     fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
     rng = random.Random(7)
-    placing = Placing(fleet, "entry-1", "zone-a", rng)
+    placer = RequestPlacer(fleet, "entry-1", "zone-a", rng)
     async with HttpUpstreamClient() as client:
         telemetry = NullTelemetry()
         context = Context(
             fleet,
             client,
             PlatformDialect(),
-            placing,
+            placer,
             rng,
-            SecondSends(fleet, RetryLimits(), telemetry),
-            engine_check=engine_check,
+            SharedRetryBudget(fleet, RetryLimits(), telemetry),
+            liveness_probe=liveness_probe,
         )
         core = DirectCore(context, telemetry)
-        front = DirectFront(core)
-        listening = Listening(front.callers(), "127.0.0.1:0", front.busy)
+        frontend = DirectHttpFrontend(core)
+        listening = Listening(frontend.callers(), "127.0.0.1:0", frontend.busy)
         await listening.start()
         port = listening.runner.addresses[0][1]
-        entry = Entry(front, listening, port)
-        fleet.settled = True
+        entry = Entry(frontend, listening, port)
+        fleet.upstreams_loaded = True
         # As after a long uptime: its share of the retry budget is fully grown.
         fleet.entry_share.on_registered("", -math.inf)
         fleet.entry_share.on_store_reply(asyncio.get_running_loop().time())
@@ -218,14 +220,14 @@
 async def serving(
     *replicas: Replica,
     document: dict | None = None,
-    engine_check: EngineCheck | None = None,
+    liveness_probe: LivenessProbe | None = None,
 ) -> t.AsyncIterator[Entry]:
     """Start replicas and a direct entry in front of them."""
     async with contextlib.AsyncExitStack() as stack:
         for replica in replicas:
             await stack.enter_async_context(replica)
         yield await stack.enter_async_context(
-            direct_entry(*replicas, document=document, engine_check=engine_check)
+            direct_entry(*replicas, document=document, liveness_probe=liveness_probe)
         )
 
 
--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -20,9 +20,9 @@
 from bergamotmast.direct.context import Context
 from bergamotmast.direct.core import DirectCore
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.notices import Notices
-from bergamotmast.direct.placing import Placing
-from bergamotmast.direct.second_sends import SecondSends
+from bergamotmast.direct.notices import NoticeExchange
+from bergamotmast.direct.placer import RequestPlacer
+from bergamotmast.direct.retry_budget import SharedRetryBudget
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.headers import PlatformDialect
 from bergamotmast.policy.decisions import ALL_DECISIONS
@@ -149,7 +149,7 @@
 class SoundEngines:
     """A liveness probe that succeeds for every engine."""
 
-    async def answers(self, engine) -> bool:
+    async def probe(self, engine) -> bool:
         return True
 
 
@@ -270,7 +270,7 @@
             for number, stage in enumerate(stages, start=1)
         ]
         self.client = SimulatedClient(self.engines)
-        self.notices: dict[tuple[str, int], Notices] = {}
+        self.notices: dict[tuple[str, int], NoticeExchange] = {}
         self.cores = [self._entry(number, decisions) for number in range(entries)]
         self.served: set[str] = set()
 
@@ -285,24 +285,24 @@
         name = f"entry-{number}"
         fleet = Fleet(PlatformDirectory(), loop.time)
         rng = random.Random(self.rng.random())
-        placing = Placing(fleet, name, "zone-a", rng, decisions)
+        placer = RequestPlacer(fleet, name, "zone-a", rng, decisions)
         telemetry = NullTelemetry()
-        second_sends = SecondSends(fleet, RetryLimits(), telemetry)
+        retry_budget = SharedRetryBudget(fleet, RetryLimits(), telemetry)
         context = Context(
             fleet,
             self.client,
             PlatformDialect(),
-            placing,
+            placer,
             rng,
-            second_sends,
-            engine_check=SoundEngines(),
+            retry_budget,
+            liveness_probe=SoundEngines(),
         )
         address = (name, 1)
-        context.notices = Notices(
-            name, placing, lambda: self.notices.keys() - {address}, self._deliver
+        context.notices = NoticeExchange(
+            name, placer, lambda: self.notices.keys() - {address}, self._deliver
         )
         self.notices[address] = context.notices
-        fleet.settled = True
+        fleet.upstreams_loaded = True
         values = {
             f"servers/{e.entry.name}": registration(e.entry) for e in self.engines
         }
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -86,11 +86,11 @@
     # and so does every replay of the key: it never runs a second time.
     async with claiming_fleet(services=1) as f:
         f.upstreams["service-1"].pace = 5.0
-        placing = asyncio.create_task(outcome_of(f, "entry-1", "k"))
+        placer = asyncio.create_task(outcome_of(f, "entry-1", "k"))
         await asyncio.sleep(1.0)
         await f.kill("service-1")
         f.start_side("service-1")
-        assert (await placing).info.outcome is Outcome.UNKNOWN
+        assert (await placer).info.outcome is Outcome.UNKNOWN
         await asyncio.sleep(5.0)
         again = await outcome_of(f, "entry-2", "k")
         assert again.info.outcome is Outcome.UNKNOWN
@@ -102,10 +102,10 @@
     # The entry is killed before, during or after the claim, the dispatch or the answer;
     # the caller sends the key to the other entry.
     async with claiming_fleet() as f:
-        placing = asyncio.create_task(outcome_of(f, "entry-1", "k"))
+        placer = asyncio.create_task(outcome_of(f, "entry-1", "k"))
         await asyncio.sleep(after)
         await f.kill("entry-1")
-        placing.cancel()
+        placer.cancel()
         await asyncio.sleep(10.0)
         await outcome_of(f, "entry-2", "k")
         assert runs(f) <= 1
--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from bergamotmast.direct import front
+from bergamotmast.direct import http_frontend
 from bergamotmast.errors import ResultCode
 from direct_support import config
 from direct_support import engine
@@ -114,9 +114,9 @@
     async with serving(replica) as entry:
         _, writer = await entry.connect()
         writer.write(request("/order/x", body=b"x" * 1000)[:-900])
-        await until(lambda: bool(entry.front.busy))
+        await until(lambda: bool(entry.frontend.busy))
         writer.close()
-        await until(lambda: not entry.front.busy)
+        await until(lambda: not entry.frontend.busy)
     ended = [r for r in caplog.records if r.getMessage() == "request ended"]
     assert [record.code for record in ended] == [ResultCode.CANCELLED_BY_CALLER]
     assert not [r for r in caplog.records if r.levelno >= logging.WARNING]
@@ -165,7 +165,7 @@
 
     Either the request is not read, or it gets a response.
     """
-    monkeypatch.setattr(front, "IDLE_SECONDS", 0.2)
+    monkeypatch.setattr(http_frontend, "KEEPALIVE_SECONDS", 0.2)
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         caller = socket.create_connection(("127.0.0.1", entry.port))
@@ -239,7 +239,7 @@
     A request that arrived meanwhile is found in the same iteration as the timer, and
     must get a response.
     """
-    monkeypatch.setattr(front, "IDLE_SECONDS", 0.2)
+    monkeypatch.setattr(http_frontend, "KEEPALIVE_SECONDS", 0.2)
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         with socket.create_connection(("127.0.0.1", entry.port)) as caller:
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -398,7 +398,7 @@
     """
     replica = Replica("i-1", answer())
     async with serving(replica, document={}) as entry:
-        entry.fleet.settled = False
+        entry.fleet.upstreams_loaded = False
         asking = asyncio.create_task(entry.ask("/read/x"))
         await asyncio.sleep(0.1)
         assert not asking.done()
--- a/tests/test_direct_ending.py
+++ b/tests/test_direct_ending.py
@@ -138,7 +138,7 @@
 
     It was not sent anywhere, so that its caller may retry.
     """
-    monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.6)
+    monkeypatch.setattr(fleet_module, "TYPICAL_ROLE_CHANGE_SECONDS", 0.6)
     one = engine("i-1", EngineScript(), "prefill")
     async with serving(one) as entry:
         plan(entry, "i-1", "decode")
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -12,18 +12,18 @@
 import pytest
 
 import direct_support
-from bergamotmast.direct.fleet import CHANGE_SECONDS
-from bergamotmast.direct.fleet import RETURN_SECONDS
+from bergamotmast.direct.fleet import MISSING_UPSTREAM_GRACE_SECONDS
+from bergamotmast.direct.fleet import ROLE_CHANGE_TIMEOUT_SECONDS
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.following import LONGEST_RETRY_SECONDS
-from bergamotmast.direct.following import OUTAGE_SECONDS
-from bergamotmast.direct.following import Follower
 from bergamotmast.direct.model import CallKind
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.direct.presence import Presence
 from bergamotmast.direct.routing import RouteTable
 from bergamotmast.direct.routing import pick_group
+from bergamotmast.direct.store_watcher import MAX_RETRY_DELAY_SECONDS
+from bergamotmast.direct.store_watcher import OUTAGE_THRESHOLD_SECONDS
+from bergamotmast.direct.store_watcher import StoreWatcher
 from bergamotmast.errors import ConfigError
 from bergamotmast.errors import KeyValueOutcomeUnknownError
 from bergamotmast.errors import KeyValueUnavailableError
@@ -69,7 +69,7 @@
     async with Store() as store, store_session() as session:
         fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
         adapter = PlatformStore(session, store.address, RECOVERY_SECONDS, pause)
-        task = asyncio.create_task(Follower(adapter, fleet, random.Random(1)).run())
+        task = asyncio.create_task(StoreWatcher(adapter, fleet, random.Random(1)).run())
         try:
             yield store, fleet, adapter
         finally:
@@ -99,7 +99,7 @@
 
 async def test_entry_is_ready_with_configuration_and_upstreams():
     async with following() as (store, fleet, _):
-        await until(lambda: fleet.settled)
+        await until(lambda: fleet.upstreams_loaded)
         assert not fleet.ready
         store.put("op/config", config())
         store.put("servers/i-1", entry())
@@ -161,12 +161,12 @@
         store.put("op/config", config())
         store.put("servers/i-1", entry(born=1000))
         await until(lambda: names(fleet) == {"i-1"})
-        placing = Placing(fleet, "entry-1", "zone-a", random.Random(1))
-        placing.plain_load(fleet.members("plain", 0.0)[0]).running = 5
+        placer = RequestPlacer(fleet, "entry-1", "zone-a", random.Random(1))
+        placer.plain_load(fleet.members("plain", 0.0)[0]).running = 5
         store.put("servers/i-1", entry(born=2000))
         await until(lambda: fleet.members("plain", 0.0)[0].boot == "2000")
-        assert placing.plain_load(fleet.members("plain", 0.0)[0]).running == 0
-        assert len(placing.plain) == 1
+        assert placer.plain_load(fleet.members("plain", 0.0)[0]).running == 0
+        assert len(placer.plain) == 1
 
 
 async def test_configuration_never_goes_back():
@@ -217,14 +217,17 @@
         store.put("servers/i-2", entry())
         await until(lambda: names(fleet) == {"i-1", "i-2"})
         store.outage = 503
-        await asyncio.sleep(OUTAGE_SECONDS + 0.5)
+        await asyncio.sleep(OUTAGE_THRESHOLD_SECONDS + 0.5)
         store.remove("servers/i-1")
         store.remove("servers/i-2")
         store.outage = 0
         await asyncio.sleep(0.8)
         assert names(fleet) == {"i-1", "i-2"}
         store.put("servers/i-1", entry())
-        await until(lambda: names(fleet) == {"i-1"}, seconds=RETURN_SECONDS + 1.0)
+        await until(
+            lambda: names(fleet) == {"i-1"},
+            seconds=MISSING_UPSTREAM_GRACE_SECONDS + 1.0,
+        )
 
 
 async def test_compacted_history_leads_to_a_full_read():
@@ -280,7 +283,7 @@
         await until(lambda: fleet.members("llm", now) == [])
         assert len(fleet.present("llm", now)) == 1
         # An order that is never carried out must not exclude the engine for longer.
-        assert len(fleet.members("llm", CHANGE_SECONDS + 0.1)) == 1
+        assert len(fleet.members("llm", ROLE_CHANGE_TIMEOUT_SECONDS + 0.1)) == 1
         store.put("servers/i-1", entry(service="llm", stage="prefill"))
         await until(lambda: len(fleet.members("llm", now)) == 1)
 
@@ -300,7 +303,7 @@
     """Guards against one watch call per registration while a fleet starts."""
     pause = 0.4
     async with following(lambda: pause) as (store, fleet, _):
-        await until(lambda: fleet.settled)
+        await until(lambda: fleet.upstreams_loaded)
         store.calls.clear()
         started_at = time.monotonic()
         for number in range(40):
@@ -342,13 +345,13 @@
     """Guards against reads without backoff if only watches fail."""
     async with following() as (store, fleet, _):
         store.compacted = 1_000_000
-        await until(lambda: fleet.settled)
+        await until(lambda: fleet.upstreams_loaded)
         store.calls.clear()
         seconds = 3.0
         await asyncio.sleep(seconds)
         readings = sum(call.endswith("/kv-watch") for call in store.calls)
     # A delay is drawn between zero and its maximum; the first three are shorter.
-    assert readings <= 2 * (3 + 2 * seconds / LONGEST_RETRY_SECONDS)
+    assert readings <= 2 * (3 + 2 * seconds / MAX_RETRY_DELAY_SECONDS)
 
 
 async def test_entry_whose_removal_was_missed_is_removed():
@@ -458,7 +461,7 @@
     fleet.put(KeyValue("servers/i-1", json.dumps(entry()).encode(), 5))
     assert fleet.members("plain", 0.0) == []
     fleet.remove("servers/i-1", 4)
-    assert "servers/i-1" in fleet.seen
+    assert "servers/i-1" in fleet.upstream_records
 
 
 def test_stand_in_engine_registers_as_one():
--- a/tests/test_direct_fuzz.py
+++ b/tests/test_direct_fuzz.py
@@ -17,8 +17,8 @@
 
 from bergamotmast.direct.events import EventSplitter
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.notices import Notices
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.notices import NoticeExchange
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.errors import RequestError
@@ -174,8 +174,8 @@
 def test_no_datagram_stops_an_entry(data):
     async def main() -> None:
         fleet = Fleet(PlatformDirectory(), lambda: 0.0)
-        placing = Placing(fleet, "e", "z", random.Random(1))
-        Notices("e", placing, list, lambda data, address: None).receive(data)
+        placer = RequestPlacer(fleet, "e", "z", random.Random(1))
+        NoticeExchange("e", placer, list, lambda data, address: None).receive(data)
 
     asyncio.run(main())
 
@@ -308,8 +308,8 @@
                     assert "x-response-signature" in got.headers
                     assert got.headers["x-request-id"] == f"bad-{number}"
             corrupts = False
-            entry.core.context.placing.engines.clear()
-            entry.core.context.placing.plain.clear()
+            entry.core.context.placer.engines.clear()
+            entry.core.context.placer.plain.clear()
             got = await entry.ask(path, request_id=f"good-{number}")
             assert (got.status, got.complete) == (200, True)
             assert got.headers["x-request-id"] == f"good-{number}"
--- a/tests/test_direct_last_callers.py
+++ b/tests/test_direct_last_callers.py
@@ -27,7 +27,7 @@
     raw.setblocking(False)
     for _ in range(turns):
         await asyncio.sleep(0)
-    entry.front.ending = True
+    entry.frontend.shutting_down = True
     await entry.listening.stop_taking()
     return raw
 
@@ -62,7 +62,7 @@
             reader, writer = await asyncio.open_connection(sock=raw)
             await asyncio.sleep(0.5)
             writer.write(request("/read/x", request_id="late"))
-            while entry.front.busy:
+            while entry.frontend.busy:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.02)
             await entry.listening.close()
--- a/tests/test_direct_load.py
+++ b/tests/test_direct_load.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bergamotmast.direct.read_notice import ReadNotice
+from bergamotmast.direct.prefill_notice import PrefillNotice
 from bergamotmast.model import Role
 from bergamotmast.policy.direct_placement import DECODE_ENGINE_PREFILL_SHARE
 from bergamotmast.policy.direct_placement import REPLICA_COST_SHARE
@@ -129,7 +129,7 @@
 
 def test_a_peers_own_part_displaces_others_too():
     """What nobody asks for again takes as much memory as what many share."""
-    notice = ReadNotice(1, 7, 5, tokens=3_000, cached=4_000, parts=((1, 4_000),))
+    notice = PrefillNotice(1, 7, 5, tokens=3_000, cached=4_000, parts=((1, 4_000),))
     memory = PrefixCacheModel(8_000)
     memory.store(((9, 4_000),))
     memory.expect(("peer", 7), notice.all_parts(("peer", 7)))
--- a/tests/test_direct_process.py
+++ b/tests/test_direct_process.py
@@ -16,8 +16,8 @@
 import pytest
 
 from bergamotmast.direct.notices import Datagram
+from bergamotmast.direct.prefill_notice import PrefillNotice
 from bergamotmast.direct.presence import PRESENCE_PREFIX
-from bergamotmast.direct.read_notice import ReadNotice
 from direct_support import config
 from direct_support import engine
 from direct_support import read_answer
@@ -231,7 +231,7 @@
     ]
     assert [notice.tokens for notice in notices] == [6000, 0]
     assert notices[0].parts[0][1] == 2000
-    assert isinstance(notices[0], ReadNotice)
+    assert isinstance(notices[0], PrefillNotice)
 
 
 async def test_blocked_log_pipe_delays_no_request():
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -13,7 +13,7 @@
 import direct_support
 from bergamotmast.adapters.upstream_http import HttpUpstreamClient
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.role_planner import RolePlanner
 from bergamotmast.errors import AuthorityLostError
 from bergamotmast.history import NullHistory
@@ -85,7 +85,7 @@
         found = []
         for number in range(count):
             fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
-            fleet.settled = True
+            fleet.upstreams_loaded = True
             fleet.put(KeyValue("op/config", json.dumps(config()).encode(), 1))
             for replica in replicas:
                 value = json.dumps(registration(replica)).encode()
@@ -107,7 +107,7 @@
                         carry_over=False,
                     ),
                     fleet,
-                    Placing(fleet, name, "zone-a", rng),
+                    RequestPlacer(fleet, name, "zone-a", rng),
                     PlatformOrders(client),
                     MixMeter(),
                     quiet,
@@ -243,7 +243,7 @@
 def enter(fleet: Fleet, name: str, **changes: str) -> None:
     """Change an engine's entry as it does itself."""
     replica = engine(name, None)
-    replica.address = fleet.seen[f"servers/{name}"].upstream.address
+    replica.address = fleet.upstream_records[f"servers/{name}"].upstream.address
     value = json.dumps(registration(replica) | changes).encode()
     fleet.put(KeyValue(f"servers/{name}", value, 10))
 
--- a/tests/test_direct_stopping.py
+++ b/tests/test_direct_stopping.py
@@ -40,7 +40,7 @@
         raw.send(request("/read/x", request_id="late"))
         for _ in range(turns):
             await asyncio.sleep(0)
-        entry.front.ending = True
+        entry.frontend.shutting_down = True
         await entry.listening.stop_taking()
         status = 0
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -72,7 +72,7 @@
 
         async def end_taking():
             await asyncio.sleep(0.05)
-            entry.front.ending = True
+            entry.frontend.shutting_down = True
             await entry.listening.stop_taking()
 
         ending = asyncio.create_task(end_taking())
@@ -102,14 +102,14 @@
         whole = request("/read/x", body=b"x" * 1000, request_id="slow")
         writer.write(whole[:-900])
         await asyncio.sleep(0.05)
-        entry.front.ending = True
+        entry.frontend.shutting_down = True
         await entry.listening.stop_taking()
-        assert entry.front.busy
+        assert entry.frontend.busy
         writer.write(whole[-900:])
         got = await asyncio.wait_for(read_answer(reader), 2)
         assert got.status == 200
         assert await asyncio.wait_for(reader.read(), 2) == b""
-        assert not entry.front.busy
+        assert not entry.frontend.busy
         writer.close()
 
 
@@ -128,7 +128,7 @@
         raw, reader, writer = await idle_connection(entry)
         writer.write(request("/read/x", request_id="slow"))
         await asyncio.sleep(0.03)
-        entry.front.ending = True
+        entry.frontend.shutting_down = True
         await entry.listening.stop_taking()
         assert (await read_answer(reader)).status == 200
         assert await asyncio.wait_for(reader.read(), 2) == b""
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -8,8 +8,8 @@
 import pytest
 
 from bergamotmast.direct import fleet as fleet_module
-from bergamotmast.direct.answering import STALL_SECONDS
-from bergamotmast.direct.fleet import USUAL_CHANGE_SECONDS
+from bergamotmast.direct.decode_attempt import STALL_TIMEOUT_SECONDS
+from bergamotmast.direct.fleet import TYPICAL_ROLE_CHANGE_SECONDS
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
 from bergamotmast.protocol.plan import EnginePlan
@@ -332,7 +332,7 @@
 
     async def pausing(replica: Replica, received: Received, writer) -> None:
         if not replica.received[:-1]:
-            script = EngineScript(last=2, pause=STALL_SECONDS + 0.4)
+            script = EngineScript(last=2, pause=STALL_TIMEOUT_SECONDS + 0.4)
             await script(replica, received, writer)
 
     one = engine("i-1", pausing)
@@ -358,7 +358,7 @@
         writer.write(head(200, received.request_id, "X-Weight-Versions: 1", *headers))
         for number in range(1, streamed + 1):
             writer.write(chunk(event(number)))
-        await asyncio.sleep(STALL_SECONDS + 2.0)
+        await asyncio.sleep(STALL_TIMEOUT_SECONDS + 2.0)
 
     stalled = engine("i-3", stall)
     slow = route("/slow/", "streaming", "llm", resumable=True, **{"timeout-ms": 9000})
@@ -368,7 +368,7 @@
         # Pending work makes the other prefill engine the worse choice.
         others = entry.fleet.members("llm", asyncio.get_running_loop().time())
         busy = next(member for member in others if member.name == "i-2")
-        tracker = entry.core.context.placing.engine_load(busy)
+        tracker = entry.core.context.placer.engine_load(busy)
         tracker.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
         asking = asyncio.create_task(
             entry.ask("/slow/x", X_Deadline_Ms="60000", **LONG)
@@ -392,10 +392,10 @@
     one = engine("i-1", EngineScript(), "prefill")
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
-        placing = entry.core.context.placing
+        placer = entry.core.context.placer
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
+            placer.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         began = time.monotonic()
         got = await entry.ask("/talk/x", **LONG)
         assert time.monotonic() - began < 0.2
@@ -418,10 +418,10 @@
     one = engine("i-1", EngineScript(), "prefill")
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
-        placing = entry.core.context.placing
+        placer = entry.core.context.placer
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
+            placer.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         told = []
         for number in range(8):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **LONG)
@@ -442,7 +442,7 @@
     stays long enough: its stream starts as soon as the engine is ready, without the
     round trip that a refusal would cost.
     """
-    monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.6)
+    monkeypatch.setattr(fleet_module, "TYPICAL_ROLE_CHANGE_SECONDS", 0.6)
     one, two = engine("i-1", EngineScript(), "prefill"), engine("i-2", EngineScript())
     async with serving(one, two) as entry:
         entry.register(two, state="draining")
@@ -471,8 +471,8 @@
             assert got.status == 503
             told.add(float(got.headers["retry-after"]))
     assert one.received == []
-    assert min(told) > USUAL_CHANGE_SECONDS - 0.5
-    assert max(told) < USUAL_CHANGE_SECONDS + 0.5
+    assert min(told) > TYPICAL_ROLE_CHANGE_SECONDS - 0.5
+    assert max(told) < TYPICAL_ROLE_CHANGE_SECONDS + 0.5
     assert len(told) == 5
 
 
@@ -482,7 +482,7 @@
     The change is overdue, and the entry can't know that it will never complete. Each
     caller is refused before it would disconnect, two seconds after its request.
     """
-    monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.1)
+    monkeypatch.setattr(fleet_module, "TYPICAL_ROLE_CHANGE_SECONDS", 0.1)
     one = engine("i-1", EngineScript(), "prefill")
     async with serving(one) as entry:
         plan(entry, "i-1", "decode")
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -19,10 +19,10 @@
 from bergamotmast.bounded_log import BoundedJsonHandler
 from bergamotmast.direct import role_planner
 from bergamotmast.direct.events import EventSplitter
-from bergamotmast.direct.following import Follower
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.direct.presence import Presence
 from bergamotmast.direct.role_planner import RolePlanner
+from bergamotmast.direct.store_watcher import StoreWatcher
 from bergamotmast.direct_daemon import serve_direct
 from bergamotmast.logs import ContextFilter
 from bergamotmast.planner import election
@@ -46,7 +46,7 @@
 from test_direct_process import Process
 
 
-@pytest.mark.parametrize("part", [Follower, Presence, RolePlanner])
+@pytest.mark.parametrize("part", [StoreWatcher, Presence, RolePlanner])
 async def test_failure_of_a_background_task_ends_no_request(part, monkeypatch):
     """Guards against closed connections after an unexpected error in a background task.
 
@@ -66,7 +66,7 @@
         store.put("op/config", config())
         store.put("servers/i-1", registration(replica))
         async with entry_in_this_process(store) as (port, task):
-            if part is not Follower:
+            if part is not StoreWatcher:
                 monkeypatch.setattr(part, "run", run)
             else:
                 read = part.run
@@ -213,7 +213,7 @@
 
     The planner releases its lease and tries again, and requests are still served.
     """
-    monkeypatch.setattr(role_planner, "PAUSE_SECONDS", (0.05, 0.05))
+    monkeypatch.setattr(role_planner, "TERM_PAUSE_SECONDS", (0.05, 0.05))
     monkeypatch.setattr(direct_daemon, "FIRST_POLL_SPREAD_SECONDS", 0.01)
     monkeypatch.setattr(election, "MIN_POLL_SECONDS", 0.01)
     monkeypatch.setattr(election, "MAX_POLL_SECONDS", 0.02)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -247,7 +247,7 @@
         caller.setblocking(False)
         for _ in range(turns):
             await asyncio.sleep(0)
-        entry.front.ending = True
+        entry.frontend.shutting_down = True
         await entry.listening.stop_taking()
         with caller, contextlib.suppress(ConnectionError):
             loop = asyncio.get_running_loop()
@@ -266,8 +266,8 @@
         assert (await read_answer(kept)).status == 200
         loop = asyncio.get_running_loop()
         entry.process.send_signal(signal.SIGTERM)
-        wakes_at = loop.time() + direct_daemon.STILL_ROUTED_SECONDS + 0.1
-        await asyncio.sleep(direct_daemon.STILL_ROUTED_SECONDS - 0.4)
+        wakes_at = loop.time() + direct_daemon.DEREGISTRATION_SECONDS + 0.1
+        await asyncio.sleep(direct_daemon.DEREGISTRATION_SECONDS - 0.4)
         entry.process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
         # Both have deadlines before the process exits, so that both are admitted.
@@ -351,7 +351,7 @@
         whole = request("/read/x")
         writer.write(whole[:60])
         await asyncio.sleep(0.05)
-        entry.core.stopping = entry.front.ending = True
+        entry.core.stopping = entry.frontend.shutting_down = True
         await entry.listening.stop_taking()
         writer.write(whole[60:])
         got = await asyncio.wait_for(read_answer(reader), 1)
@@ -372,7 +372,7 @@
         reader, writer = await entry.connect()
         writer.write(request("/talk/x", X_Token_Count="400,9", request_id="first"))
         await reader.readuntil(b"id: 1")
-        entry.core.stopping = entry.front.ending = True
+        entry.core.stopping = entry.frontend.shutting_down = True
         writer.write(request("/read/x", request_id="second"))
         await reader.readuntil(b"0\r\n\r\n")
         got = await asyncio.wait_for(read_answer(reader), 1)
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -18,9 +18,9 @@
 
 from bergamotmast.direct.fleet import Fleet
 from bergamotmast.direct.model import Upstream
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.role_planner import OrderReply
-from bergamotmast.direct.role_planner import RoleOrderCall
+from bergamotmast.direct.role_planner import RoleOrderCommand
 from bergamotmast.direct.role_planner import RolePlanner
 from bergamotmast.errors import AuthorityLostError
 from bergamotmast.errors import PortError
@@ -66,7 +66,7 @@
         self.last = Given(0, 0, 0)
         self.late.clear()
 
-    def give(self, call: RoleOrderCall) -> Given:
+    def give(self, call: RoleOrderCommand) -> Given:
         self.given += 1
         return Given(self.given, call.token, call.sequence)
 
@@ -97,7 +97,7 @@
             await self.meanwhile()
         return count
 
-    async def order(self, call: RoleOrderCall) -> OrderReply:
+    async def order(self, call: RoleOrderCommand) -> OrderReply:
         order = self.engine.give(call)
         if self.how == "late":
             self.engine.late.append(order)
@@ -136,7 +136,7 @@
             PlannerElection(client, name, rng, LEASE_SECONDS),
             PlanStore(client, name, rng, NullHistory(), carry_over=False),
             fleet,
-            Placing(fleet, name, "z", rng),
+            RequestPlacer(fleet, name, "z", rng),
             Orders(self.engine),
             MixMeter(),
             0.0,
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -13,8 +13,8 @@
 from bergamotmast.direct.model import Call
 from bergamotmast.direct.model import CallTraits
 from bergamotmast.direct.model import PromptPart
-from bergamotmast.direct.placing import Placing
-from bergamotmast.direct.placing import shared_parts
+from bergamotmast.direct.placer import RequestPlacer
+from bergamotmast.direct.placer import shared_parts
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.ports import KeyValue
 from direct_support import HOST
@@ -54,8 +54,10 @@
     fleet = make_fleet(ENGINES)
     chosen = collections.Counter()
     for number in range(ENTRIES):
-        placing = Placing(fleet, f"entry-{number}", "zone-a", random.Random(number))
-        reader, answering, _ = placing.place_stream(make_call(fleet, tokens), ())
+        placer = RequestPlacer(
+            fleet, f"entry-{number}", "zone-a", random.Random(number)
+        )
+        reader, answering, _ = placer.place_stream(make_call(fleet, tokens), ())
         chosen[reader.name if reader else answering.name] += 1
     # With a uniform random choice among the 20 prefill engines, the probability that
     # any of them gets more than 12 of the 68 prompts is below 0.001.
@@ -71,11 +73,13 @@
             lookups["kept"] += 1
             return super().__getitem__(key)
 
-    original_kept = Placing._kept
+    original_kept = RequestPlacer._prefix_replicas
     monkeypatch.setattr(
-        Placing, "_kept", lambda *arguments: CountingDict(original_kept(*arguments))
+        RequestPlacer,
+        "_prefix_replicas",
+        lambda *arguments: CountingDict(original_kept(*arguments)),
     )
     fleet = make_fleet(ENGINES)
-    placing = Placing(fleet, "entry-1", "zone-a", random.Random(1))
-    placing.place_stream(make_call(fleet, 3_000), ())
+    placer = RequestPlacer(fleet, "entry-1", "zone-a", random.Random(1))
+    placer.place_stream(make_call(fleet, 3_000), ())
     assert lookups["kept"] <= 4 * ENGINES
--- a/tests/test_restore_machine.py
+++ b/tests/test_restore_machine.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.role_planner import RolePlanner
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.history import NullHistory
@@ -174,7 +174,7 @@
                 carry_over=False,
             ),
             fleet,
-            Placing(fleet, name, "z", rng),
+            RequestPlacer(fleet, name, "z", rng),
             Orders(self.engine),
             MixMeter(),
             0.0,
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -12,7 +12,7 @@
 from bergamotmast.adapters.metrics import OpenTelemetryMetrics
 from bergamotmast.direct.fleet import Fleet
 from bergamotmast.direct.presence import presence_key
-from bergamotmast.direct.second_sends import SecondSends
+from bergamotmast.direct.retry_budget import SharedRetryBudget
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.policy.retry_window import WINDOW_SECONDS
 from bergamotmast.policy.retry_window import RetryLimits
@@ -44,9 +44,9 @@
     metrics = OpenTelemetryMetrics("p")
     replicas = [Replica(f"r-{number}", not_run()) for number in range(2)]
     async with serving(*replicas) as entry:
-        second_sends = entry.core.context.second_sends
-        second_sends.limits = RetryLimits(0.0, 8.0)
-        second_sends.telemetry = metrics
+        retry_budget = entry.core.context.retry_budget
+        retry_budget.limits = RetryLimits(0.0, 8.0)
+        retry_budget.telemetry = metrics
         await entry.ask("/read/1")
         await entry.ask("/read/2")
     lines = [line for line in caplog.records if "second send" in line.message]
@@ -66,7 +66,7 @@
         clock = asyncio.get_running_loop().time
         self.key = presence_key(f"e{number}")
         self.fleet = Fleet(PlatformDirectory(), clock, self.key)
-        self.second_sends = SecondSends(self.fleet, limits, NullTelemetry())
+        self.retry_budget = SharedRetryBudget(self.fleet, limits, NullTelemetry())
 
     def learn(self, keys: cabc.Iterable[str]) -> None:
         for key in keys:
@@ -83,7 +83,7 @@
 
     def send_all(self) -> int:
         """Return how many retries the budget allows now, taking all of them."""
-        return sum(iter(lambda: self.second_sends.spend("llm"), False))
+        return sum(iter(lambda: self.retry_budget.spend("llm"), False))
 
 
 async def serve(members: list[Member], seconds: float) -> None:
@@ -242,7 +242,7 @@
     patient = route("/talk/", "streaming", "llm", **{"target-latency-ms": 700})
     async with serving(*gone, last, document=config(routes=[patient])) as entry:
         context = entry.core.context
-        context.second_sends.limits = limits = RetryLimits(0.2, 8.0)
+        context.retry_budget.limits = limits = RetryLimits(0.2, 8.0)
         for number in range(entries):
             context.fleet.entries[f"e{number}"] = ("127.0.0.1", 9)
         answers = [
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bergamotmast.direct.silence import silence_limit
+from bergamotmast.direct.liveness import abort_when
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.platform.orders import PlatformOrders
 from bergamotmast.policy.engine_load import OVERDUE_FACTOR
@@ -37,7 +37,7 @@
         self.lives = lives
         self.asked: list[str] = []
 
-    async def answers(self, engine):
+    async def probe(self, engine):
         self.asked.append(engine.name)
         await asyncio.sleep(0.01)
         return self.lives
@@ -58,7 +58,7 @@
         idle,
         engine("i-3", EngineScript()),
         document=config(routes=[PATIENT]),
-        engine_check=check,
+        liveness_probe=check,
     ) as entry:
         entry.register(idle, state="draining")
         short = asyncio.create_task(entry.ask("/talk/x", **LONG))
@@ -84,7 +84,7 @@
         sound,
         engine("i-3", EngineScript()),
         document=config(routes=[PATIENT]),
-        engine_check=Check(lives=True),
+        liveness_probe=Check(lives=True),
     ) as entry:
         entry.register(sound, state="draining")
         began = time.monotonic()
@@ -108,7 +108,7 @@
         first,
         other,
         document=config(routes=[route("/long/", "streaming", "llm", resumable=True)]),
-        engine_check=check,
+        liveness_probe=check,
     ) as entry:
         entry.register(other, state="draining")
         asked = asyncio.create_task(entry.ask("/long/x", **LONG))
@@ -150,9 +150,9 @@
     sound = engine("i-2", EngineScript(), "prefill")
     check = Check(lives=False)
     async with serving(
-        dead, sound, engine("i-3", EngineScript()), engine_check=check
+        dead, sound, engine("i-3", EngineScript()), liveness_probe=check
     ) as entry:
-        entry.front.core.context.second_sends.limits = RetryLimits(1.0, 100.0)
+        entry.frontend.core.context.retry_budget.limits = RetryLimits(1.0, 100.0)
         entry.register(sound, state="draining")
         asked = [
             asyncio.create_task(entry.ask("/talk/x", request_id=f"id-{n}", **LONG))
@@ -171,9 +171,9 @@
 async def test_liveness_probe_asks_for_a_report(script, lives):
     one = engine("i-1", script)
     async with serving(one) as entry:
-        context = entry.front.core.context
+        context = entry.frontend.core.context
         (upstream,) = context.fleet.members("llm", asyncio.get_running_loop().time())
-        assert await PlatformOrders(context.client).answers(upstream) is lives
+        assert await PlatformOrders(context.client).probe(upstream) is lives
 
 
 @pytest.mark.parametrize("entries", [1, 4, 31])
@@ -188,8 +188,8 @@
     dead = [engine(f"i-{n}", hang(), "prefill") for n in range(3)]
     last = engine("i-9", EngineScript())
     async with serving(*dead, last, document=config(routes=[PATIENT])) as entry:
-        context = entry.front.core.context
-        context.second_sends.limits = limits = RetryLimits(0.2, 8.0)
+        context = entry.frontend.core.context
+        context.retry_budget.limits = limits = RetryLimits(0.2, 8.0)
         for number in range(entries):
             context.fleet.entries[f"e{number}"] = ("127.0.0.1", 9)
         answers = await asyncio.gather(
@@ -258,5 +258,5 @@
         return ""
 
     with pytest.raises(ReplyLostError):
-        async with silence_limit(goes_on):
+        async with abort_when(goes_on):
             raise TimeoutError
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -13,11 +13,11 @@
 from answer_support import CALLER
 from answer_support import entry_before
 from answer_support import send
-from bergamotmast.direct.fleet import RETURN_SECONDS
+from bergamotmast.direct.fleet import MISSING_UPSTREAM_GRACE_SECONDS
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.following import Follower
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.direct.presence import Presence
+from bergamotmast.direct.store_watcher import StoreWatcher
 from bergamotmast.errors import AuthorityLostError
 from bergamotmast.errors import KeyValueOutcomeUnknownError
 from bergamotmast.errors import KeyValueUnavailableError
@@ -53,7 +53,7 @@
     async with Store() as store, store_session() as session:
         fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
         adapter = PlatformStore(session, store.address, RECOVERY_SECONDS)
-        follower = Follower(adapter, fleet, random.Random(1))
+        follower = StoreWatcher(adapter, fleet, random.Random(1))
         adapter.on_restored.append(follower.on_restored)
         task = asyncio.create_task(follower.run())
         try:
@@ -105,7 +105,7 @@
         backup = store.backup()
         for _ in range(5):
             store.put("servers/i-1", upstream_entry(slots=9))
-        await until(lambda: fleet.seen["servers/i-1"].upstream.slots == 9)
+        await until(lambda: fleet.upstream_records["servers/i-1"].upstream.slots == 9)
         store.restore(backup)
         store.put("servers/i-1", upstream_entry(state="draining"))
         await until(lambda: member_names(fleet) == set())
@@ -152,11 +152,12 @@
         store.put("servers/i-2", upstream_entry())
         await until(lambda: member_names(fleet) == {"i-1", "i-2"})
         store.restore(backup)
-        await until(lambda: fleet.seen["servers/i-1"].gone_at)
+        await until(lambda: fleet.upstream_records["servers/i-1"].gone_at)
         assert member_names(fleet) == {"i-1", "i-2"}
         store.put("servers/i-1", upstream_entry())
         await until(
-            lambda: member_names(fleet) == {"i-1"}, seconds=RETURN_SECONDS + 1.0
+            lambda: member_names(fleet) == {"i-1"},
+            seconds=MISSING_UPSTREAM_GRACE_SECONDS + 1.0,
         )
 
 
@@ -182,7 +183,7 @@
         store.compacted = 0
         await asyncio.sleep(0.3)
         assert member_names(fleet) == {"i-3", "i-4"}
-        assert fleet.seen["servers/i-3"].upstream.address == "10.0.0.3:80"
+        assert fleet.upstream_records["servers/i-3"].upstream.address == "10.0.0.3:80"
         store.put("servers/i-2", upstream_entry(born=1))
         await until(lambda: member_names(fleet) == {"i-2", "i-3", "i-4"})
 
