--- /dev/null
+++ b/src/bergamotmast/direct/attempts.py
@@ -0,0 +1,127 @@
+"""Bookkeeping of one request's attempts."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+from ..errors import RequestError
+from ..errors import ResultCode
+from ..model import Role
+from .context import Context
+from .model import Call
+from .model import Upstream
+
+logger = logging.getLogger(__name__)
+
+
+class AttemptTracker:
+    """One request's attempts, limited by its route and the retry budget.
+
+    :param tried: upstreams that the request was sent to.
+    :param unreachable: upstreams to which no connection could be made.
+    :param count: number of attempts.
+    :param may_have_run: whether an upstream may have run the request.
+    :param may_have_run_before: the same without the last attempt.
+    """
+
+    def __init__(self, context: Context, call: Call) -> None:
+        self.context = context
+        self.call = call
+        self.tried: set[str] = set()
+        self.unreachable: set[str] = set()
+        self.count = 0
+        self.may_have_run = False
+        self.may_have_run_before = False
+
+    @property
+    def excluded(self) -> set[str]:
+        """Upstreams that are not to be tried again."""
+        return self.tried | self.unreachable
+
+    def can_move(self) -> bool:
+        """Return whether the request may be moved to an upstream not tried yet."""
+        if len(self.tried) >= self.call.route.max_attempts:
+            return False
+        now = asyncio.get_running_loop().time()
+        members = self.context.fleet.members(self.call.group.name, now)
+        others = (m for m in members if m.role is not Role.PREFILL)
+        if all(member.name in self.excluded for member in others):
+            return False
+        return self.has_room()
+
+    def begin(self, upstream: Upstream) -> None:
+        """Record the start of an attempt.
+
+        :raises RequestError: if the route or the budget allows no further attempt.
+        """
+        new = upstream.name not in self.tried
+        if new and len(self.tried) >= self.call.route.max_attempts:
+            raise self.exhausted_error()
+        if self.count and not self.spend():
+            raise self.exhausted_error(ResultCode.RETRY_BUDGET_SPENT)
+        self.count += 1
+        self.tried.add(upstream.name)
+        self.may_have_run_before = self.may_have_run
+        self.may_have_run = True
+
+    def on_not_run(self) -> None:
+        """Record that the last attempt was not run; an earlier one may have been."""
+        self.may_have_run = self.may_have_run_before
+
+    def on_not_sent(self, upstream: Upstream) -> None:
+        """Record that nothing was sent in the last attempt."""
+        self.on_not_run()
+        self.count -= 1
+        self.tried.discard(upstream.name)
+        self.unreachable.add(upstream.name)
+
+    def exhausted_error(
+        self, code: ResultCode = ResultCode.NO_UPSTREAM
+    ) -> RequestError:
+        """Return the error of a request with no attempt left.
+
+        If the request may have run, its outcome is unknown. Any other error would tell
+        the caller that it may send the request again, which would run it twice.
+        """
+        if self.may_have_run:
+            return RequestError(ResultCode.OUTCOME_UNKNOWN)
+        return RequestError(code)
+
+    def timeout_error(self) -> RequestError:
+        """Return the error of a request ended by its deadline or by the shutdown."""
+        if self.context.time_limits.is_over(asyncio.get_running_loop().time()):
+            return self._shutdown_error()
+        if self.may_have_run:
+            return RequestError(ResultCode.DEADLINE_EXCEEDED)
+        return RequestError(ResultCode.DEADLINE_UNREACHABLE)
+
+    def _shutdown_error(self) -> RequestError:
+        if self.may_have_run:
+            return RequestError(ResultCode.OUTCOME_UNKNOWN)
+        return self.context.time_limits.shutdown_error()
+
+    def log_failure(
+        self, upstream: Upstream, error: str, outcome: str, last_event: int = 0
+    ) -> None:
+        """Log a failed attempt.
+
+        :param outcome: what is known of the request at that upstream.
+        :param last_event: number of the last event that the caller received.
+        """
+        fields = {
+            "upstream": upstream.name,
+            "error": error,
+            "outcome": outcome,
+            "sends": self.count,
+            "last_event": last_event,
+        }
+        logger.info("send failed", extra=fields)
+
+    def has_room(self) -> bool:
+        """Return whether the retry budget has room for another attempt."""
+        return self.context.retry_budget.has_room(self.call.group.name)
+
+    def spend(self) -> bool:
+        """Take an attempt out of the retry budget; return whether it had room."""
+        return self.context.retry_budget.spend(self.call.group.name)
--- a/src/bergamotmast/direct/fleet.py
+++ b/src/bergamotmast/direct/fleet.py
@@ -1,4 +1,4 @@
-"""The configuration and the upstreams as this entry knows them now."""
+"""An entry's view of the configuration, the upstreams and the other entries."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 
 logger = logging.getLogger(__name__)
 
-RETURN_SECONDS = 2.0
-"""How long an upstream whose entry lapsed during an outage is still used.
+MISSING_UPSTREAM_GRACE_SECONDS = 2.0
+"""How long an upstream whose registration lapsed during an outage is still used.
 
-The platform has the entries of living upstreams back within about two seconds of the
-store's return; an upstream that is missing after that is gone.
+The platform restores the registrations of live upstreams within about two seconds of
+the store's return; an upstream that is missing after that is gone.
 """
 
 
-CHANGE_SECONDS = 6.0
-"""How long an engine is left alone after the plan has changed its role: the change
-takes some three seconds, and one that was never carried out must not cost it longer."""
+ROLE_CHANGE_TIMEOUT_SECONDS = 6.0
+"""How long an engine gets no work after the plan has changed its role, at most. A
+change takes about three seconds; an order that is never carried out costs no more."""
 
-USUAL_CHANGE_SECONDS = 3.2
-"""From an order to the first request under the new role."""
+TYPICAL_ROLE_CHANGE_SECONDS = 3.2
+"""Typical time from an order to the first request under the new role."""
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 DEPARTED_RETENTION_SECONDS = 60.0
-"""How long a departed upstream is remembered, to recognize its entry after a restore
-of the store from a backup that is a few seconds old."""
+"""How long a departed upstream is remembered, to recognize its registration after a
+restore of the store from a backup that is a few seconds old."""
 
 
 class ReadReason(enum.Enum):
@@ -61,12 +61,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """An upstream with what was read of it.
+class UpstreamRecord:
+    """An upstream and the state of its registration.
 
-    :param revision: store revision of its entry.
-    :param gone_at: when an entry that lapsed during an outage counts as gone; a point
-        on the monotonic clock, ``None`` while the entry stands.
+    :param revision: store revision of its registration.
+    :param gone_at: when an upstream whose registration lapsed during an outage is
+        considered gone; a point on the monotonic clock, ``None`` while registered.
     """
 
     upstream: Upstream
@@ -75,11 +75,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Planned:
-    """The role that the plan has lately given an engine.
+class PlannedRole:
+    """The role that the plan assigns to an engine.
 
-    :param at: when this entry learnt of it; a point in time.
-    :param token: authority of the order.
+    :param at: when this entry received the assignment; a point in time.
+    :param token: fencing token of the order.
     """
 
     role: Role
@@ -88,25 +88,29 @@
 
     @property
     def until(self) -> float:
-        """When the change should be over, carried out or not; a point in time."""
-        return self.at + CHANGE_SECONDS
+        """When the role change is no longer waited for; a point in time."""
+        return self.at + ROLE_CHANGE_TIMEOUT_SECONDS
 
 
 class Fleet:
-    """What the store said last.
+    """The state of the store as of the last read or watch event.
 
     :param own_entry: key under which this entry registers.
     :param table: routes in force; ``None`` before the first configuration.
-    :param entries: where the entries that the store lists take datagrams, by key.
-    :param entry_share: counts those that share a budget.
-    :param settled: whether the upstreams have been read once.
-    :param first_ready: set once requests can be routed for the first time.
-    :param on_removal: callbacks for the removal of an existing key, by key.
-    :param existing_keys: keys of ``on_removal`` that the store is known to hold.
+    :param upstreams_loaded: whether the upstreams have been loaded once.
+    :param upstream_records: registered upstreams, by key.
     :param departed: when the record of a departed upstream expires, by key and boot;
         points in time.
-    :param outdated_revisions: revisions of outdated upstreams' entries in a restored
-        store, by key.
+    :param outdated_revisions: revisions of outdated registrations in a restored store,
+        by key.
+    :param undecodable_revisions: revisions of registrations that can't be decoded, by
+        key.
+    :param planned_roles: roles assigned by the plan, by engine.
+    :param entries: datagram addresses of the registered entries, by key.
+    :param entry_share: this entry's share of budgets common to all entries.
+    :param on_removal: callbacks for the removal of an existing key, by key.
+    :param existing_keys: keys of ``on_removal`` that the store is known to hold.
+    :param first_ready: set once requests can be routed for the first time.
     """
 
     def __init__(
@@ -118,12 +122,12 @@
         self.directory = directory
         self.clock = clock
         self.table: RouteTable | None = None
-        self.settled = False
-        self.seen: dict[str, Seen] = {}
+        self.upstreams_loaded = False
+        self.upstream_records: dict[str, UpstreamRecord] = {}
         self.departed: dict[tuple[str, str], float] = {}
         self.outdated_revisions: dict[str, int] = {}
-        self.unread: dict[str, int] = {}
-        self.planned: dict[str, Planned] = {}
+        self.undecodable_revisions: dict[str, int] = {}
+        self.planned_roles: dict[str, PlannedRole] = {}
         self.entries: dict[str, tuple[str, int]] = {}
         self.entry_share = EntryShare(own_entry)
         self.on_removal: dict[str, cabc.Callable[[], None]] = {}
@@ -133,76 +137,76 @@
     @property
     def ready(self) -> bool:
         """Whether requests can be routed."""
-        return self.table is not None and self.settled
+        return self.table is not None and self.upstreams_loaded
 
     @property
     def generation(self) -> int:
-        """Generation in force; 0 before the first."""
+        """Generation of the configuration in force; 0 before the first one."""
         return self.table.routing.generation if self.table else 0
 
     def group(self, name: str) -> Group:
-        """Return a group, also one that the configuration does not describe."""
+        """Return a group, a plain one if the configuration does not describe it."""
         assert self.table is not None
         return self.table.routing.groups.get(name) or Group(name)
 
     def engine_groups(self) -> list[str]:
-        """Return the names of the groups that serve models."""
+        """Return the names of the groups of engines."""
         assert self.table is not None
         groups = self.table.routing.groups.values()
         return [group.name for group in groups if group.engine is not None]
 
     def tightest_objective(self, group: str) -> float:
-        """Return the least objective of the streams that a group serves, in seconds."""
+        """Return the lowest latency objective of a group's streams, in seconds."""
         assert self.table is not None
         return self.table.tightest_objective(group)
 
     def present(self, group: str, now: float) -> list[Upstream]:
-        """Return the upstreams of a group that are not leaving."""
+        """Return the upstreams of a group that are registered and not leaving."""
         return [
-            seen.upstream
-            for seen in self.seen.values()
-            if seen.upstream.group == group
-            and not seen.upstream.leaving
-            and (seen.gone_at is None or now < seen.gone_at)
+            record.upstream
+            for record in self.upstream_records.values()
+            if record.upstream.group == group
+            and not record.upstream.leaving
+            and (record.gone_at is None or now < record.gone_at)
         ]
 
     def members(self, group: str, now: float) -> list[Upstream]:
-        """Return the upstreams of a group that may be given new work."""
+        """Return the upstreams of a group that are eligible for new requests."""
         return [u for u in self.present(group, now) if not self._changing(u, now)]
 
-    def answers_from(self, group: str, now: float) -> float | None:
-        """Return when a group without an answering engine should have one again.
+    def decode_available_at(self, group: str, now: float) -> float | None:
+        """Return when a group without a decode engine is expected to have one again.
 
-        ``None`` where no engine is known to be on its way to that role.
+        ``None`` if no engine is known to be changing to that role.
         """
-        begun = [
-            planned.at
+        started = [
+            planned_role.at
             for upstream in self.present(group, now)
-            if (planned := self.planned.get(upstream.name)) is not None
-            and planned.role is not Role.PREFILL
+            if (planned_role := self.planned_roles.get(upstream.name)) is not None
+            and planned_role.role is not Role.PREFILL
             and self._changing(upstream, now)
         ]
-        return min(begun) + USUAL_CHANGE_SECONDS if begun else None
+        return min(started) + TYPICAL_ROLE_CHANGE_SECONDS if started else None
 
     def _changing(self, upstream: Upstream, now: float) -> bool:
-        """Return whether an engine is on its way to another role.
+        """Return whether an engine is changing its role, during which it refuses work.
 
-        It refuses all work meanwhile; a prompt sent there loses its time.
+        A request sent to it would only lose time.
         """
-        planned = self.planned.get(upstream.name)
-        if planned is None or now >= planned.until:
+        planned_role = self.planned_roles.get(upstream.name)
+        if planned_role is None or now >= planned_role.until:
             return False
-        return planned.role is not upstream.role
+        return planned_role.role is not upstream.role
 
     def put(self, item: KeyValue) -> None:
-        """Take one key's new value; one that can't be taken is left out of account."""
+        """Apply one key's new value; a value that can't be processed is ignored."""
         try:
             self._put(item)
         except Exception:
-            # A value that its reader did not foresee would end the process with every
-            # request at work, and each of its successors. What was known stays, and
-            # the key is read anew with its next change.
-            logger.exception("key is not taken", extra={"key": item.key})
+            # An unexpected value would otherwise terminate the process, with all its
+            # running requests, and every process started after it. The last known
+            # state is kept until the key changes again.
+            logger.exception("key cannot be processed", extra={"key": item.key})
 
     def _put(self, item: KeyValue) -> None:
         if item.key in self.on_removal:
@@ -212,28 +216,28 @@
         elif item.key.startswith(self.directory.upstream_prefix):
             self._put_upstream(item)
         elif item.key.startswith(ENGINES_PREFIX):
-            self._put_planned(item)
+            self._put_planned_role(item)
         elif item.key.startswith(PRESENCE_PREFIX):
             self._put_entry(item)
 
     def remove(self, key: str, revision: int) -> None:
-        """Take a key's removal; without a configuration the last one stays."""
+        """Apply a key's removal; a removed configuration stays in force."""
         self._forget_entry(key)
         if key in self.existing_keys:
             self._notify_removal(key)
-        seen = self.seen.get(key)
-        if seen is not None and revision > seen.revision:
-            del self.seen[key]
-            self._record_departed(key, seen.upstream)
+        record = self.upstream_records.get(key)
+        if record is not None and revision > record.revision:
+            del self.upstream_records[key]
+            self._record_departed(key, record.upstream)
             logger.info(
                 "upstream is gone",
-                extra={"upstream": seen.upstream.name, "revision": revision},
+                extra={"upstream": record.upstream.name, "revision": revision},
             )
 
     def replace_all(
         self, items: tuple[KeyValue, ...], now: float, reason: ReadReason
     ) -> None:
-        """Update upstreams, entries and configuration from a read of all keys."""
+        """Replace upstreams, entries and configuration by a snapshot of all keys."""
         present = {item.key for item in items}
         for key in self.existing_keys - present:
             self._notify_removal(key)
@@ -247,10 +251,10 @@
     def replace(
         self, items: tuple[KeyValue, ...], now: float, reason: ReadReason
     ) -> None:
-        """Update the upstreams from a read of all their entries.
+        """Replace the upstreams by a snapshot of all their registrations.
 
         After an outage or a restore, missing upstreams are kept for
-        :data:`RETURN_SECONDS`.
+        :data:`MISSING_UPSTREAM_GRACE_SECONDS`.
         """
         if reason is ReadReason.RESTORE:
             outdated = filter(self._is_outdated, items)
@@ -262,23 +266,23 @@
         for item in items:
             self.put(item)
         present = {item.key for item in items}
-        for key in [key for key in self.seen if key not in present]:
-            seen = self.seen[key]
-            if reason is ReadReason.RESYNC and seen.gone_at is None:
-                self.remove(key, seen.revision + 1)
-            elif seen.gone_at is None or reason is ReadReason.RESTORE:
-                seen.gone_at = now + RETURN_SECONDS
-            elif now >= seen.gone_at:
-                self.remove(key, seen.revision + 1)
-        self.settled = True
-        self._note_ready()
+        for key in [key for key in self.upstream_records if key not in present]:
+            record = self.upstream_records[key]
+            if reason is ReadReason.RESYNC and record.gone_at is None:
+                self.remove(key, record.revision + 1)
+            elif record.gone_at is None or reason is ReadReason.RESTORE:
+                record.gone_at = now + MISSING_UPSTREAM_GRACE_SECONDS
+            elif now >= record.gone_at:
+                self.remove(key, record.revision + 1)
+        self.upstreams_loaded = True
+        self._signal_ready()
 
     def _is_outdated(self, item: KeyValue) -> bool:
-        """Return whether a restored entry is older than the known upstream state.
+        """Return whether a restored registration is older than the known state.
 
         The upstream has since begun to leave, left or restarted, and requests routed by
-        this entry would be lost. A live upstream rewrites its entry, and the watch
-        reports that change.
+        this registration would be lost. A live upstream rewrites its registration, and
+        the watch reports that change.
         """
         try:
             upstream = self.directory.decode_upstream(item.key, item.value)
@@ -286,10 +290,10 @@
             return False
         if (item.key, upstream.boot) in self.departed:
             return True
-        seen = self.seen.get(item.key)
-        if seen is None or seen.upstream.boot != upstream.boot:
+        record = self.upstream_records.get(item.key)
+        if record is None or record.upstream.boot != upstream.boot:
             return False
-        return seen.upstream.leaving and not upstream.leaving
+        return record.upstream.leaving and not upstream.leaving
 
     def _record_departed(self, key: str, upstream: Upstream) -> None:
         now = self.clock()
@@ -299,7 +303,7 @@
         self.departed[key, upstream.boot] = now + DEPARTED_RETENTION_SECONDS
 
     def replace_entries(self, items: tuple[KeyValue, ...]) -> None:
-        """Take a whole reading of the entries' registrations."""
+        """Replace the other entries by a snapshot of their registrations."""
         present = {item.key for item in items}
         for key in [key for key in self.entries if key not in present]:
             self._forget_entry(key)
@@ -310,14 +314,14 @@
         self.existing_keys.discard(key)
         self.on_removal[key]()
 
-    def _note_ready(self) -> None:
+    def _signal_ready(self) -> None:
         if self.ready:
             self.first_ready.set()
 
     def _put_entry(self, item: KeyValue) -> None:
         address = _datagram_address(item.value)
         if address is None:
-            logger.warning("entry's address is none", extra={"key": item.key})
+            logger.warning("entry's address is invalid", extra={"key": item.key})
             self._forget_entry(item.key)
         else:
             self.entries[item.key] = address
@@ -327,19 +331,21 @@
         if self.entries.pop(key, None) is not None:
             self.entry_share.on_lapsed(key, self.clock())
 
-    def _put_planned(self, item: KeyValue) -> None:
+    def _put_planned_role(self, item: KeyValue) -> None:
         try:
-            part = decode_engine_plan(item.value)
+            engine_plan = decode_engine_plan(item.value)
         except msgspec.DecodeError as error:
             logger.warning(
-                "plan is not understood", extra={"key": item.key, "error": str(error)}
+                "plan cannot be decoded", extra={"key": item.key, "error": str(error)}
             )
             return
         name = engine_of_key(item.key)
-        self.planned[name] = Planned(part.assignment.role, self.clock(), part.token)
+        self.planned_roles[name] = PlannedRole(
+            engine_plan.assignment.role, self.clock(), engine_plan.token
+        )
         logger.info(
             "plan is known",
-            extra={"upstream": name, "role": part.assignment.role.value},
+            extra={"upstream": name, "role": engine_plan.assignment.role.value},
         )
 
     def _put_routing(self, item: KeyValue) -> None:
@@ -347,16 +353,16 @@
             routing = self.directory.decode_routing(item.value)
         except ConfigError as error:
             logger.warning(
-                "configuration is not understood",
+                "configuration cannot be decoded",
                 extra={"revision": item.mod_revision, "error": error.message},
             )
             return
-        # A read that was answered late may bring an older version: going back would
-        # send requests where the operators no longer want them.
+        # A delayed reply to a read may hold an older version. Applying it would route
+        # requests by a configuration that the operators have replaced.
         if routing.generation <= self.generation:
             return
         self.table = RouteTable(routing)
-        self._note_ready()
+        self._signal_ready()
         logger.info(
             "configuration is in force",
             extra={
@@ -367,7 +373,7 @@
         )
 
     def _put_upstream(self, item: KeyValue) -> None:
-        known = self.seen.get(item.key)
+        known = self.upstream_records.get(item.key)
         if known is not None and known.revision >= item.mod_revision:
             known.gone_at = None
             return
@@ -376,15 +382,15 @@
         try:
             upstream = self.directory.decode_upstream(item.key, item.value)
         except ConfigError as error:
-            if self.unread.get(item.key) != item.mod_revision:
-                self.unread[item.key] = item.mod_revision
+            if self.undecodable_revisions.get(item.key) != item.mod_revision:
+                self.undecodable_revisions[item.key] = item.mod_revision
                 logger.warning(
-                    "upstream's entry is not understood",
+                    "upstream's registration cannot be decoded",
                     extra={"key": item.key, "error": error.message},
                 )
-            self.seen.pop(item.key, None)
+            self.upstream_records.pop(item.key, None)
             return
-        self.seen[item.key] = Seen(upstream, item.mod_revision)
+        self.upstream_records[item.key] = UpstreamRecord(upstream, item.mod_revision)
         self.departed.pop((item.key, upstream.boot), None)
         if known is not None and known.upstream.boot != upstream.boot:
             self._record_departed(item.key, known.upstream)
@@ -409,10 +415,10 @@
 
 
 def _datagram_address(value: bytes) -> tuple[str, int] | None:
-    """Return an entry's address; ``None`` for what is no IP number and port.
+    """Return an entry's address, or ``None`` if it is not an IP address and a port.
 
-    A name would be looked up at each datagram, with the event loop standing still
-    meanwhile; a port out of range would close the port that datagrams are sent from.
+    A host name would be resolved for every datagram, blocking the event loop. A port
+    out of range would close the socket that sends the datagrams.
     """
     host, _, port = value.decode(errors="replace").rpartition(":")
     try:
@@ -420,4 +426,4 @@
         number = int(port)
     except ValueError:
         return None
-    return (host, number) if 0 < number <= MOST_PORT else None
+    return (host, number) if 0 < number <= MAX_PORT else None
--- /dev/null
+++ b/src/bergamotmast/direct/liveness.py
@@ -0,0 +1,100 @@
+"""Detection of unresponsive engines: liveness probes and cancellation of calls."""
+
+from __future__ import annotations
+
+import asyncio
+import collections.abc as cabc
+import contextlib
+import logging
+
+from ..errors import ReplyLostError
+from .model import Upstream
+from .placer import RequestPlacer
+from .placer import UpstreamKey
+from .ports import LivenessProbe
+
+logger = logging.getLogger(__name__)
+
+WATCHDOG_INTERVAL_SECONDS = 0.15
+"""Interval between two checks of a running call."""
+
+AbortCheck = cabc.Callable[[], cabc.Awaitable[str]]
+"""Returns why a call is to be cancelled, or an empty string to let it run."""
+
+
+@contextlib.asynccontextmanager
+async def abort_when(check: AbortCheck) -> cabc.AsyncIterator[None]:
+    """Cancel the body as soon as a check returns a reason.
+
+    A power loss or a dead connection causes no error. With the call's deadline as the
+    only limit, the caller would disconnect before another engine has taken over.
+
+    :raises ReplyLostError: with the reason that the check returned.
+    """
+    reasons: list[str] = []
+    try:
+        async with asyncio.timeout(None) as limit:
+            poll_task = asyncio.create_task(_poll_check(check, limit, reasons))
+            try:
+                yield
+            finally:
+                poll_task.cancel()
+    except TimeoutError:
+        # Without a reason, the operating system has timed the connection out.
+        reason = reasons[0] if reasons else "the connection timed out"
+        raise ReplyLostError(reason) from None
+
+
+async def _poll_check(
+    check: AbortCheck, limit: asyncio.Timeout, reasons: list[str]
+) -> None:
+    while not (reason := await check()):
+        await asyncio.sleep(WATCHDOG_INTERVAL_SECONDS)
+    reasons.append(reason)
+    limit.reschedule(asyncio.get_running_loop().time())
+
+
+class LivenessChecker:
+    """Probes unresponsive engines, with at most one probe per engine at a time.
+
+    Without probes, every prompt that queues behind a long one would be withdrawn from
+    an engine that is only busy and restarted at the next one, which then falls behind
+    as well.
+
+    :param liveness_probe: if missing, an unresponsive engine is considered dead.
+    :param running_probes: running probes, by engine.
+    """
+
+    def __init__(
+        self, placer: RequestPlacer, liveness_probe: LivenessProbe | None = None
+    ) -> None:
+        self.placer = placer
+        self.liveness_probe = liveness_probe
+        self.running_probes: dict[UpstreamKey, asyncio.Task[bool]] = {}
+
+    async def is_alive(self, engine: Upstream) -> bool:
+        """Return whether an engine replies to the liveness probe."""
+        if self.liveness_probe is None:
+            return False
+        key = (engine.name, engine.boot)
+        task = self.running_probes.get(key)
+        if task is None:
+            task = asyncio.create_task(self._run_probe(self.liveness_probe, engine))
+            self.running_probes[key] = task
+            task.add_done_callback(lambda _: self.running_probes.pop(key, None))
+        # Other requests may wait for the same probe: if this one is cancelled, the
+        # probe must go on.
+        return await asyncio.shield(task)
+
+    async def _run_probe(self, liveness_probe: LivenessProbe, engine: Upstream) -> bool:
+        loop = asyncio.get_running_loop()
+        started_at = loop.time()
+        is_alive = await liveness_probe.probe(engine)
+        if is_alive:
+            self.placer.engine_load(engine).last_reply_at = loop.time()
+        ms = round((loop.time() - started_at) * 1e3, 1)
+        logger.info(
+            "unresponsive engine was probed",
+            extra={"upstream": engine.name, "lives": is_alive, "ms": ms},
+        )
+        return is_alive
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -1,4 +1,4 @@
-"""How far a stream came and when, for its line in the log."""
+"""Event timeline of a stream, for its log line."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 @dataclasses.dataclass(slots=True)
 class Timeline:
-    """When a stream came how far, as points in time; the last send's where it had more.
+    """Points in time and predictions of a stream's last attempt.
 
-    :param reader: engine that read the prompt for the answering one.
-    :param upstream: the answering engine.
-    :param uncached_tokens: prompt tokens that were thought not to be cached.
-    :param predicted: seconds from the choice to the first token.
-    :param waiting: the part of it in which other prompts are read.
-    :param caller_seconds: until the caller leaves, at the choice.
+    :param prefill_engine: name; empty if the decode engine prefills the prompt.
+    :param upstream: name of the decode engine.
+    :param uncached_tokens: prompt tokens estimated not to be cached.
+    :param predicted: predicted seconds from the placement to the first token.
+    :param waiting: the part of them spent queueing behind other prompts.
+    :param seconds_to_timeout: seconds from the placement until the caller disconnects.
     """
 
-    reader: str = ""
+    prefill_engine: str = ""
     upstream: str = ""
     uncached_tokens: int = 0
     predicted: float = 0.0
     waiting: float = 0.0
     priority: int = 0
-    caller_seconds: float = 0.0
+    seconds_to_timeout: float = 0.0
     placed_at: float | None = None
     prefilled_at: float | None = None
     replied_at: float | None = None
     first_event_at: float | None = None
 
-    def on_placed(self, placement: Placement, caller_seconds: float) -> None:
-        """Take a choice, and what it or a refusal went by."""
-        self.reader = placement.prefill_engine or ""
+    def on_placed(self, placement: Placement, seconds_to_timeout: float) -> None:
+        """Record a placement and the predictions that it, or a refusal, is based on."""
+        self.prefill_engine = placement.prefill_engine or ""
         self.predicted = placement.first_token
         self.uncached_tokens = placement.prefill_candidate.uncached_tokens
         self.waiting = (
             placement.prefill_candidate.wait * placement.prefill_candidate.slowdown
         )
         self.priority = placement.prefill_candidate.priority
-        self.caller_seconds = caller_seconds
+        self.seconds_to_timeout = seconds_to_timeout
 
     def fields(self, arrived_at: float) -> dict[str, object]:
-        """Return what a log line says of it, in milliseconds since the arrival."""
+        """Return the fields of the log line, with times in ms since arrival."""
         points = {
             "placed_ms": self.placed_at,
             "prefilled_ms": self.prefilled_at,
@@ -56,14 +56,14 @@
             if point is not None
         }
         if self.placed_at is not None:
-            # A refusal, too, was decided by the prediction.
+            # The predictions are logged for refusals as well, which depend on them.
             found |= {
-                "reader": self.reader,
+                "reader": self.prefill_engine,
                 "upstream": self.upstream,
                 "to_read": self.uncached_tokens,
                 "predicted_ms": round(self.predicted * 1e3, 1),
                 "waiting_ms": round(self.waiting * 1e3, 1),
                 "priority": self.priority,
-                "caller_ms": round(self.caller_seconds * 1e3, 1),
+                "caller_ms": round(self.seconds_to_timeout * 1e3, 1),
             }
         return found
--- a/tests/test_platform_boundary.py
+++ b/tests/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in one folder, and nothing decides there."""
+"""Platform names occur in one package only, which makes no decisions."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 PACKAGE = pathlib.Path(headers.__file__).resolve().parent.parent
 PLATFORM = PACKAGE / "platform"
-ROOTS = {"direct_daemon.py"}
-"""The composition root, which alone imports the folder."""
+COMPOSITION_ROOTS = {"direct_daemon.py"}
+"""Modules that may import the package."""
 
-MOST_LINES = 900
-"""Length of the whole folder: it holds names, formats and calls."""
+MAX_LINES = 900
+"""Upper bound on the package's lines: it holds names, formats and calls only."""
 
 
 def sources(folder: pathlib.Path) -> list[pathlib.Path]:
@@ -36,20 +36,20 @@
 
 
 OWN_PROTOCOLS = ("standins", "adapters", "bench")
-"""Where the product's own protocols may use such words."""
+"""Packages whose own protocols may use the same words."""
 
-UNAWARE = [
+INDEPENDENT = [
     path for path in OUTSIDE if path.relative_to(PACKAGE).parts[0] not in OWN_PROTOCOLS
 ]
 
 
-@pytest.mark.parametrize("path", UNAWARE, ids=lambda path: path.stem)
-def test_no_name_of_the_platform_outside_its_folder(path):
+@pytest.mark.parametrize("path", INDEPENDENT, ids=lambda path: path.stem)
+def test_platform_names_occur_only_in_its_package(path):
     found = NAMES.findall(path.read_text())
     assert found == []
 
 
-def test_only_the_composition_root_imports_it():
+def test_only_the_composition_root_imports_the_platform():
     importers = set()
     for path in OUTSIDE:
         for node in ast.walk(ast.parse(path.read_text())):
@@ -57,12 +57,12 @@
                 module = node.module or ""
                 if node.level and module.split(".")[0] == "platform":
                     importers.add(path.name)
-    assert importers == ROOTS
+    assert importers == COMPOSITION_ROOTS
 
 
-def test_it_stays_small_and_decides_nothing():
+def test_platform_stays_small_and_imports_no_policy():
     lines = sum(len(path.read_text().splitlines()) for path in sources(PLATFORM))
-    assert lines < MOST_LINES
+    assert lines < MAX_LINES
     for path in sources(PLATFORM):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom):
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -1,4 +1,4 @@
-"""Prompts at engines that say nothing: busy, dead, or answering everything but one."""
+"""Tests of unresponsive engines: busy ones, dead ones, and ones that skip a prompt."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bergamotmast.direct.silence import silence_limit
+from bergamotmast.direct.liveness import abort_when
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.platform.orders import PlatformOrders
 from bergamotmast.policy.engine_load import OVERDUE_FACTOR
@@ -31,24 +31,24 @@
 
 
 class Check:
-    """Says of every engine whether it lives."""
+    """A liveness probe with a fixed result."""
 
     def __init__(self, lives: bool) -> None:
         self.lives = lives
         self.asked: list[str] = []
 
-    async def answers(self, engine):
+    async def probe(self, engine):
         self.asked.append(engine.name)
         await asyncio.sleep(0.01)
         return self.lives
 
 
-async def test_engine_that_is_only_busy_keeps_a_long_prompt():
-    """A long prompt is begun anew at one engine after the other; its caller leaves.
+async def test_busy_engine_keeps_a_long_prompt():
+    """Guards against restarting a long prefill at one engine after another.
 
-    It is being read, and the book takes the short one behind it for the one under way.
-    Nothing is heard for longer than that one takes. Taken for dead, the engine loses
-    what it has read, and the next one is late in turn.
+    The engine prefills the long prompt while the load tracker assumes that it works on
+    the short one, and it does not reply for longer than the short one takes. If it were
+    considered dead, its progress would be lost, and the next engine would be late too.
     """
     busy = engine("i-1", EngineScript(prefill_seconds=1.2), "prefill")
     idle = engine("i-2", EngineScript(), "prefill")
@@ -58,7 +58,7 @@
         idle,
         engine("i-3", EngineScript()),
         document=config(routes=[PATIENT]),
-        engine_check=check,
+        liveness_probe=check,
     ) as entry:
         entry.register(idle, state="draining")
         short = asyncio.create_task(entry.ask("/talk/x", **LONG))
@@ -75,8 +75,8 @@
     assert "long" not in [received.request_id for received in idle.received]
 
 
-async def test_prompt_that_a_living_engine_never_reads_goes_elsewhere():
-    """An engine answers everything but this prompt: its caller is served by another."""
+async def test_prompt_that_a_live_engine_never_prefills_is_moved():
+    """Guards against waiting for an engine that is alive but never runs a prompt."""
     mute = engine("i-2", hang(), "prefill")
     sound = engine("i-1", EngineScript(), "prefill")
     async with serving(
@@ -84,7 +84,7 @@
         sound,
         engine("i-3", EngineScript()),
         document=config(routes=[PATIENT]),
-        engine_check=Check(lives=True),
+        liveness_probe=Check(lives=True),
     ) as entry:
         entry.register(sound, state="draining")
         began = time.monotonic()
@@ -108,7 +108,7 @@
         first,
         other,
         document=config(routes=[route("/long/", "streaming", "llm", resumable=True)]),
-        engine_check=check,
+        liveness_probe=check,
     ) as entry:
         entry.register(other, state="draining")
         asked = asyncio.create_task(entry.ask("/long/x", **LONG))
@@ -145,14 +145,14 @@
 
 
 async def test_one_question_serves_all_that_wait():
-    """A dozen prompts wait at an engine without power; it is asked once at a time."""
+    """Guards against one probe per waiting prompt: a dozen wait at a dead engine."""
     dead = engine("i-1", hang(), "prefill")
     sound = engine("i-2", EngineScript(), "prefill")
     check = Check(lives=False)
     async with serving(
-        dead, sound, engine("i-3", EngineScript()), engine_check=check
+        dead, sound, engine("i-3", EngineScript()), liveness_probe=check
     ) as entry:
-        entry.front.core.context.second_sends.limits = RetryLimits(1.0, 100.0)
+        entry.frontend.core.context.retry_budget.limits = RetryLimits(1.0, 100.0)
         entry.register(sound, state="draining")
         asked = [
             asyncio.create_task(entry.ask("/talk/x", request_id=f"id-{n}", **LONG))
@@ -168,27 +168,28 @@
 @pytest.mark.parametrize(
     ("script", "lives"), [(answer(), True), (answer(503), False), (hang(), False)]
 )
-async def test_a_report_tells_whether_an_engine_lives(script, lives):
+async def test_liveness_probe_asks_for_a_report(script, lives):
     one = engine("i-1", script)
     async with serving(one) as entry:
-        context = entry.front.core.context
+        context = entry.frontend.core.context
         (upstream,) = context.fleet.members("llm", asyncio.get_running_loop().time())
-        assert await PlatformOrders(context.client).answers(upstream) is lives
+        assert await PlatformOrders(context.client).probe(upstream) is lives
 
 
 @pytest.mark.parametrize("entries", [1, 4, 31])
 async def test_prompts_that_fail_everywhere_stay_within_the_budget(entries):
-    """All reading engines die: each request begins anew until the budget is spent.
+    """Guards against prefill retries that the budget does not count.
 
-    A prompt whose engine never took it is a send like any other. Counted only from the
-    second one on, requests that fail twice make one send more than the budget knows.
-    The others are told that theirs did not run.
+    All prefill engines are dead, so that each request is retried until the budget is
+    exhausted. If the first failed prefill were not counted, requests that fail twice
+    would make one attempt more than the budget allows. The other callers are told that
+    their requests were not run.
     """
     dead = [engine(f"i-{n}", hang(), "prefill") for n in range(3)]
     last = engine("i-9", EngineScript())
     async with serving(*dead, last, document=config(routes=[PATIENT])) as entry:
-        context = entry.front.core.context
-        context.second_sends.limits = limits = RetryLimits(0.2, 8.0)
+        context = entry.frontend.core.context
+        context.retry_budget.limits = limits = RetryLimits(0.2, 8.0)
         for number in range(entries):
             context.fleet.entries[f"e{number}"] = ("127.0.0.1", 9)
         answers = await asyncio.gather(
@@ -200,59 +201,62 @@
     assert all("retry-after" in got.headers for got in answers if got.status == 503)
 
 
-def test_a_long_prompt_is_given_the_time_it_takes():
-    """44,000 tokens behind 17,000: at 1.2 s, the first half of it is read.
+def test_overdue_time_of_a_long_prompt_covers_the_queue():
+    """Guards against restarting a long prefill that is making progress.
 
-    The caller leaves after 2.4 s. Begun anew elsewhere then, it would be read there by
-    2.3 s at best, and everything behind it would wait a second longer.
+    A prompt of 44,000 tokens queues behind one of 17,000; its first half is prefilled
+    at 1.2 s, and its caller disconnects after 2.4 s. Restarted elsewhere at 1.2 s, the
+    prefill would complete at 2.3 s at best, and all prompts behind it would wait one
+    second longer.
     """
-    book = EngineLoadTracker(500_000)
-    book.begin(("e", 1), PREFILL_ENGINE_PRIOR.occupied_seconds(17_000, 0), 5, 0.0)
-    book.begin(("e", 2), PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0), 8, 0.0)
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("e", 1), PREFILL_ENGINE_PRIOR.occupied_seconds(17_000, 0), 5, 0.0)
+    tracker.begin(("e", 2), PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0), 8, 0.0)
     takes = PREFILL_ENGINE_PRIOR.occupied_seconds(
         17_000, 0
     ) + PREFILL_ENGINE_PRIOR.occupied_seconds(44_000, 0)
-    assert book.overdue_at(("e", 2)) == pytest.approx(
+    assert tracker.overdue_at(("e", 2)) == pytest.approx(
         OVERDUE_FACTOR * takes + UNRESPONSIVE_SECONDS
     )
-    assert book.overdue_at(("e", 1)) < book.overdue_at(("e", 2))
+    assert tracker.overdue_at(("e", 1)) < tracker.overdue_at(("e", 2))
 
 
-def test_what_overtakes_a_prompt_puts_its_end_off():
-    book = EngineLoadTracker(500_000)
-    book.begin(("e", 1), 0.5, 8, 0.0)
-    before = book.overdue_at(("e", 1))
-    book.begin(("e", 2), 0.3, 2, 0.1)
-    assert book.overdue_at(("e", 1)) == pytest.approx(before + OVERDUE_FACTOR * 0.3)
+def test_overdue_time_covers_prompts_that_overtake():
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("e", 1), 0.5, 8, 0.0)
+    before = tracker.overdue_at(("e", 1))
+    tracker.begin(("e", 2), 0.3, 2, 0.1)
+    assert tracker.overdue_at(("e", 1)) == pytest.approx(before + OVERDUE_FACTOR * 0.3)
 
 
-def test_a_slow_engine_is_given_longer():
-    book = EngineLoadTracker(500_000)
+def test_overdue_time_covers_the_slowdown_of_an_engine():
+    tracker = EngineLoadTracker(500_000)
     for number in range(12):
-        book.observe_slowdown(0.1, 0.3, number * 0.05)
-    book.begin(("e", 1), 0.5, 8, 0.6)
+        tracker.observe_slowdown(0.1, 0.3, number * 0.05)
+    tracker.begin(("e", 1), 0.5, 8, 0.6)
     assert (
-        book.overdue_at(("e", 1))
+        tracker.overdue_at(("e", 1))
         > 0.6 + OVERDUE_FACTOR * 0.5 * 2 + UNRESPONSIVE_SECONDS
     )
 
 
-def test_a_forgotten_prompt_is_overdue():
-    book = EngineLoadTracker(500_000)
-    book.begin(("e", 1), 0.5, 8, 0.0)
-    book.wait(9, PENDING_TTL_SECONDS + 0.1)
-    assert book.overdue_at(("e", 1)) < 0.0
+def test_a_prompt_no_longer_tracked_is_overdue():
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("e", 1), 0.5, 8, 0.0)
+    tracker.wait(9, PENDING_TTL_SECONDS + 0.1)
+    assert tracker.overdue_at(("e", 1)) < 0.0
 
 
-async def test_a_time_out_of_the_call_itself_is_a_lost_reply():
-    """The system gives a connection up while the engine is not yet taken for silent.
+async def test_tcp_timeout_is_a_lost_reply():
+    """Guards against reporting a TCP timeout as an internal error.
 
-    That ends the call as any lost reply does; it must not pass for a fault of ours.
+    The operating system times the connection out before the engine is considered
+    unresponsive. The call must end like one whose reply was lost.
     """
 
     async def goes_on() -> str:
         return ""
 
     with pytest.raises(ReplyLostError):
-        async with silence_limit(goes_on):
+        async with abort_when(goes_on):
             raise TimeoutError
