--- a/src/bergamotmast/direct/notices.py
+++ b/src/bergamotmast/direct/notices.py
@@ -1,8 +1,9 @@
-"""What entries tell each other: which engine reads what, and what it has cached.
+"""Exchange of prefill notices between entries, over UDP.
 
-Each entry sends each long prompt's start and end to the entries that place work on the
-same engines, in datagrams. A notice that is lost costs a worse placement and nothing
-else: what it would have told is guessed or forgotten within seconds.
+Each entry announces the start and the end of long prefills to the entries that use the
+same engines, so that their load trackers and prefix-cache models include them. A lost
+datagram costs at most a worse placement: its content is estimated or expires within
+seconds.
 """
 
 from __future__ import annotations
@@ -13,74 +14,79 @@
 
 import msgspec
 
-from .placing import Placing
-from .read_notice import ReadNotice
+from .placer import RequestPlacer
+from .prefill_notice import PrefillNotice
 
 logger = logging.getLogger(__name__)
 
-GATHER_SECONDS = 0.005
-"""Notices that follow each other so closely share a datagram."""
+BATCH_WINDOW_SECONDS = 0.005
+"""How long notices are collected before they are sent in one datagram."""
 
-LEAST_TOKENS = 1_000
-"""Shorter prompts are not told of: they are read within 20 ms, when a notice of them
-would be late."""
+MIN_NOTICE_TOKENS = 1_000
+"""Shortest prefill that is announced. Shorter ones take less than 20 ms, so a notice
+would arrive too late."""
 
-MOST_NOTICES = 64
-"""In one datagram, which must fit into a packet."""
+MAX_NOTICES_PER_DATAGRAM = 64
+"""Maximum number of notices in one datagram, which must fit into a packet."""
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """All notices of a moment."""
+    """A batch of notices from one entry.
+
+    :param sender: name of the entry.
+    """
 
     sender: str
-    notices: tuple[ReadNotice, ...]
+    notices: tuple[PrefillNotice, ...]
 
 
-class Notices:
-    """Sends this entry's notices and takes those of others.
+class NoticeExchange:
+    """Sends this entry's notices and applies those of others.
 
+    :param name: name of this entry.
     :param peers: returns the addresses of the other entries.
-    :param send: hands a datagram over, without waiting.
+    :param send: sends a datagram without blocking.
+    :param pending: notices that have not been sent yet.
     """
 
     def __init__(
         self,
         name: str,
-        placing: Placing,
+        placer: RequestPlacer,
         peers: cabc.Callable[[], cabc.Iterable[tuple[str, int]]],
         send: cabc.Callable[[bytes, tuple[str, int]], None],
     ) -> None:
         self.name = name
-        self.placing = placing
+        self.placer = placer
         self.peers = peers
         self.send = send
-        self.waiting: list[ReadNotice] = []
+        self.pending: list[PrefillNotice] = []
         self.decoder = msgspec.msgpack.Decoder(Datagram)
 
-    def tell(self, notice: ReadNotice) -> None:
-        """Send a notice soon."""
-        if not self.waiting:
-            asyncio.get_running_loop().call_later(GATHER_SECONDS, self._flush)
-        self.waiting.append(notice)
+    def enqueue(self, notice: PrefillNotice) -> None:
+        """Add a notice to the next batch, which is sent shortly."""
+        if not self.pending:
+            asyncio.get_running_loop().call_later(BATCH_WINDOW_SECONDS, self._flush)
+        self.pending.append(notice)
 
     def receive(self, data: bytes) -> None:
-        """Take another entry's datagram; what is none is dropped."""
+        """Apply another entry's datagram; invalid data is dropped."""
         try:
             datagram = self.decoder.decode(data)
         except msgspec.DecodeError as error:
-            logger.warning("datagram is not understood", extra={"error": str(error)})
+            logger.warning("datagram cannot be decoded", extra={"error": str(error)})
             return
         if datagram.sender == self.name:
             return
         now = asyncio.get_running_loop().time()
         for notice in datagram.notices:
-            self.placing.on_notice(datagram.sender, notice, now)
+            self.placer.on_notice(datagram.sender, notice, now)
 
     def _flush(self) -> None:
-        waiting, self.waiting = self.waiting, []
+        pending, self.pending = self.pending, []
         addresses = list(self.peers())
-        for start in range(0, len(waiting), MOST_NOTICES):
-            part = tuple(waiting[start : start + MOST_NOTICES])
+        for start in range(0, len(pending), MAX_NOTICES_PER_DATAGRAM):
+            part = tuple(pending[start : start + MAX_NOTICES_PER_DATAGRAM])
             data = msgspec.msgpack.encode(Datagram(self.name, part))
             for address in addresses:
                 self.send(data, address)
--- a/src/bergamotmast/direct/following.py
+++ b/src/bergamotmast/direct/store_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the configuration and the upstreams' entries in the key-value service."""
+"""Watch of the key-value store that keeps a :class:`~.fleet.Fleet` up to date."""
 
 from __future__ import annotations
 
@@ -15,40 +15,44 @@
 
 logger = logging.getLogger(__name__)
 
-LONGEST_RETRY_SECONDS = 0.5
-"""Between two tries while the store does not answer: an outage's end must be noticed
-well within the two seconds in which a new configuration has to be in force."""
+MAX_RETRY_DELAY_SECONDS = 0.5
+"""Maximum delay between two attempts while the store is unavailable. A new
+configuration must be in force within two seconds, also after an outage."""
 
-OUTAGE_SECONDS = 0.6
-"""Without an answer for so long, entries may have lapsed through the store's fault."""
+OUTAGE_THRESHOLD_SECONDS = 0.6
+"""After so long without a reply, registrations may have lapsed because of the store."""
 
 
-class Follower:
-    """Keeps a fleet as the store has it.
+class StoreWatcher:
+    """Keeps a fleet in sync with the store by reading all keys and watching them.
 
-    A watch may be cut, may lose its history, or may hear nothing on a connection that
-    is dead: the store's adapter ends each wait after a bounded time, and whatever
-    ends a watch leads to a whole new reading. Only a watch that was answered has the
-    next one follow soon: a store that reads and does not watch would otherwise be read
-    without a pause by all entries.
+    A watch may be interrupted, fail because its history is compacted, or receive
+    nothing on a dead connection. The store's adapter bounds each wait, and all keys are
+    read again after any end of a watch. The backoff is reset only by a watch that
+    delivers: otherwise all entries would read a store whose watches fail without any
+    delay.
+
+    :param last_reply_at: when the store last replied; a point in time.
+    :param disconnected: whether the store is currently considered unreachable.
+    :param restored: whether the store was restored from a backup since the last read.
     """
 
     def __init__(self, kv: KeyValueService, fleet: Fleet, rng: random.Random) -> None:
         self.kv = kv
         self.fleet = fleet
-        self.backoff = Backoff(rng, first=0.1, longest=LONGEST_RETRY_SECONDS)
-        self.heard_at: float | None = None
-        self.lost = True
+        self.backoff = Backoff(rng, first=0.1, longest=MAX_RETRY_DELAY_SECONDS)
+        self.last_reply_at: float | None = None
+        self.disconnected = True
         self.restored = False
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read and watch the store until cancelled."""
         while True:
             try:
                 revision = await self._read()
                 await self._watch(revision)
             except PortError as error:
-                self._on_lost(error)
+                self._on_disconnected(error)
             await asyncio.sleep(self.backoff.next_delay())
 
     async def _read(self) -> int:
@@ -59,13 +63,13 @@
         reason = self._read_reason(now)
         self.restored = False
         self.fleet.replace_all(result.items, now, reason)
-        self._on_heard(now)
+        self._on_reply(now)
         return result.revision
 
     async def _watch(self, revision: int) -> None:
         loop = asyncio.get_running_loop()
         async for event in self.kv.watch("", revision + 1):
-            self._on_heard(loop.time())
+            self._on_reply(loop.time())
             self.backoff.reset()
             if event is None:
                 continue
@@ -81,20 +85,23 @@
     def _read_reason(self, now: float) -> ReadReason:
         if self.restored:
             return ReadReason.RESTORE
-        if self.heard_at is not None and now - self.heard_at > OUTAGE_SECONDS:
+        if (
+            self.last_reply_at is not None
+            and now - self.last_reply_at > OUTAGE_THRESHOLD_SECONDS
+        ):
             return ReadReason.OUTAGE
         return ReadReason.RESYNC
 
-    def _on_heard(self, now: float) -> None:
-        self.heard_at = now
+    def _on_reply(self, now: float) -> None:
+        self.last_reply_at = now
         self.fleet.entry_share.on_store_reply(now)
-        if self.lost:
-            self.lost = False
+        if self.disconnected:
+            self.disconnected = False
             logger.info("store is reached", extra={"dependency": "store"})
 
-    def _on_lost(self, error: PortError) -> None:
-        if not self.lost:
-            self.lost = True
+    def _on_disconnected(self, error: PortError) -> None:
+        if not self.disconnected:
+            self.disconnected = True
             logger.warning(
                 "store is lost", extra={"dependency": "store", "error": error.message}
             )
--- /dev/null
+++ b/src/bergamotmast/direct/stream_placer.py
@@ -0,0 +1,106 @@
+"""Placement and admission control of streams."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ..errors import RequestError
+from ..errors import ResultCode
+from ..policy.direct_placement import Placement
+from ..policy.direct_refusal import is_unreachable
+from ..policy.direct_refusal import retry_after
+from .model import Upstream
+from .stream import Stream
+
+ROLE_MARGIN_SECONDS = 0.3
+"""Time that a stream needs once a decode engine has become available."""
+
+ROLE_CHECK_SECONDS = 0.05
+"""Interval between two checks for a decode engine."""
+
+
+class StreamPlacer:
+    """Places one stream, waiting for a decode engine if there is none yet."""
+
+    def __init__(self, stream: Stream) -> None:
+        self.stream = stream
+        self.context = stream.context
+        self.call = stream.call
+
+    async def place(self) -> tuple[Upstream | None, Upstream]:
+        """Place the stream, or wait for an engine that is changing its role to decode.
+
+        :returns: the prefill engine, ``None`` for the decode engine itself, and the
+            decode engine.
+        :raises RequestError: if there is no engine, or none in time for this caller.
+        """
+        while True:
+            try:
+                return self._place()
+            except RequestError as error:
+                attempt_count = self.stream.attempts.count
+                if error.code is not ResultCode.NO_UPSTREAM or attempt_count:
+                    raise
+                await asyncio.sleep(self._wait_for_role())
+
+    def _place(self) -> tuple[Upstream | None, Upstream]:
+        now = asyncio.get_running_loop().time()
+        prefill_upstream, upstream, placement = self._choose()
+        if self._is_too_late(placement, now) and self._claim_precedence():
+            prefill_upstream, upstream, placement = self._choose()
+        timeline = self.stream.timeline
+        timeline.placed_at = now
+        timeline.on_placed(placement, self.call.gives_up_at - now)
+        self._refuse_too_late(placement, now)
+        return prefill_upstream, upstream
+
+    def _choose(self) -> tuple[Upstream | None, Upstream, Placement]:
+        placer = self.context.placer
+        return placer.place_stream(self.call, self.stream.excluded)
+
+    def _claim_precedence(self) -> bool:
+        """Claim precedence if the prompt's size class is entitled to it.
+
+        :returns: whether the prompt goes first.
+        """
+        sized = self.call.sized
+        return (
+            self.context.decisions.size_shares and sized is not None and sized.claim()
+        )
+
+    def _is_too_late(self, placement: Placement, now: float) -> bool:
+        """Return whether the caller would disconnect before the first event."""
+        if not self.context.decisions.refusal or self.stream.reply.started:
+            return False
+        seconds_left = self.call.gives_up_at - now
+        return is_unreachable(
+            placement.first_token, seconds_left, goes_first=self.call.goes_first
+        )
+
+    def _wait_for_role(self) -> float:
+        """Return how long to wait, in seconds, before the next placement.
+
+        If all decode engines are gone, another engine changes its role within seconds.
+        A caller that stays for so long is served soonest by waiting here; any other is
+        refused with the time after which to retry.
+
+        :raises RequestError: if the caller should retry later.
+        """
+        now = asyncio.get_running_loop().time()
+        ready_at = self.context.fleet.decode_available_at(self.call.group.name, now)
+        if ready_at is None:
+            raise RequestError(ResultCode.NO_UPSTREAM)
+        # An overdue role change may complete at any moment, or never.
+        if max(ready_at, now) + ROLE_MARGIN_SECONDS <= self.call.gives_up_at:
+            return ROLE_CHECK_SECONDS
+        raise self._refusal(ResultCode.NO_UPSTREAM, ready_at - now)
+
+    def _refuse_too_late(self, placement: Placement, now: float) -> None:
+        """Raise an error if the caller would disconnect before the first event."""
+        if self._is_too_late(placement, now):
+            late = placement.first_token - self.call.route.objective
+            raise self._refusal(ResultCode.DEADLINE_UNREACHABLE, late)
+
+    def _refusal(self, code: ResultCode, seconds: float) -> RequestError:
+        """Return the error of a request whose caller should retry later."""
+        return RequestError(code, retry_after=retry_after(self.context.rng, seconds))
--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -1,4 +1,4 @@
-"""Callers that break off, send what is no request, or use a connection at its end."""
+"""Tests of callers that disconnect or send invalid requests, and idle connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 
-from bergamotmast.direct import front
+from bergamotmast.direct import http_frontend
 from bergamotmast.errors import ResultCode
 from direct_support import config
 from direct_support import engine
@@ -28,9 +28,9 @@
 
 
 async def test_body_that_does_not_come_by_the_deadline():
-    """A request's head has come and its body does not, until its caller's time is over.
+    """Guards against waiting for a request's body beyond the caller's deadline.
 
-    Nothing was sent on: the caller is told so in time.
+    Nothing was sent to an upstream, and the caller is told so in time.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -44,10 +44,10 @@
     assert replica.received == []
 
 
-async def test_body_that_breaks_off_in_a_wrong_chunk():
-    """A body comes in chunks, and one is none: the rest can't be read any more.
+async def test_request_body_with_an_invalid_chunk_is_refused():
+    """An invalid chunk in a request's body: the caller gets an error in time.
 
-    The request was not sent on, and its caller is told so by its deadline.
+    Nothing was sent to an upstream.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -62,11 +62,8 @@
     assert replica.received == []
 
 
-async def test_caller_that_asks_before_it_sends_its_body():
-    """A caller sends its body only once it is told to, as HTTP allows.
-
-    Untold, it would wait for the entry, and the entry for it.
-    """
+async def test_caller_that_expects_100_continue():
+    """Guards against a deadlock with a caller that waits for ``100 Continue``."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         reader, writer = await entry.connect()
@@ -81,11 +78,8 @@
     assert replica.received[0].body == b"x" * 1000
 
 
-async def test_stream_to_a_caller_of_the_older_protocol():
-    """A caller speaks HTTP/1.0, which has no chunks: the end of the connection ends it.
-
-    An answer that breaks off must not look like one that is whole.
-    """
+async def test_stream_to_an_http_1_0_caller():
+    """A stream to an HTTP/1.0 caller has no chunks and ends with the connection."""
     async with serving(engine("i-1", EngineScript(last=3))) as entry:
         reader, writer = await entry.connect()
         sent = request("/talk/x", X_Token_Count="400,9")
@@ -98,8 +92,8 @@
     assert body.count(b"id:") == 3
 
 
-async def test_broken_stream_to_a_caller_of_the_older_protocol():
-    """The engine breaks off: the connection is reset, where an end would look whole."""
+async def test_truncated_stream_to_an_http_1_0_caller_ends_with_a_reset():
+    """Guards against a truncated stream that looks complete: it ends with a reset."""
     script = EngineScript(last=3, break_after=2)
     async with serving(engine("i-1", script)) as entry:
         reader, writer = await entry.connect()
@@ -110,19 +104,19 @@
         writer.close()
 
 
-async def test_caller_that_leaves_within_its_body_is_no_fault(caplog):
-    """A caller closes its connection before its body is whole.
+async def test_disconnect_within_the_body_is_not_logged_as_an_error(caplog):
+    """A caller disconnects before its body is complete.
 
-    Nobody is left to answer: no fault is logged, and nothing is sent on.
+    Guards against logging that as an error, and against sending the request.
     """
     caplog.set_level(logging.INFO)
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         _, writer = await entry.connect()
         writer.write(request("/order/x", body=b"x" * 1000)[:-900])
-        await until(lambda: bool(entry.front.busy))
+        await until(lambda: bool(entry.frontend.busy))
         writer.close()
-        await until(lambda: not entry.front.busy)
+        await until(lambda: not entry.frontend.busy)
     ended = [r for r in caplog.records if r.getMessage() == "request ended"]
     assert [record.code for record in ended] == [ResultCode.CANCELLED_BY_CALLER]
     assert not [r for r in caplog.records if r.levelno >= logging.WARNING]
@@ -132,8 +126,8 @@
 @pytest.mark.parametrize(
     "framing", ["Content-Length: 5000000", "Transfer-Encoding: chunked"]
 )
-async def test_body_too_large_is_refused_before_it_has_come(framing):
-    """A body is beyond the limit: its caller is told without having sent the rest."""
+async def test_body_too_large_is_refused_before_it_has_arrived(framing):
+    """A body over the limit is refused before the caller has sent the rest of it."""
     replica = Replica("i-1", answer())
     async with serving(replica, document=config(**{"max-body-bytes": 1000})) as entry:
         reader, writer = await entry.connect()
@@ -148,8 +142,8 @@
 
 
 @pytest.mark.parametrize("name", ["X-Request-Id", "X-Other"])
-async def test_header_of_a_caller_that_can_not_be_written_is_refused(name):
-    """A caller's header has a control character: no upstream could get it unchanged."""
+async def test_header_with_a_control_character_is_refused(name):
+    """A header with a control character is refused: it can't be forwarded unchanged."""
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         reader, writer = await entry.connect()
@@ -167,11 +161,11 @@
 async def test_request_that_comes_as_its_connection_has_been_idle_too_long(
     turns, monkeypatch
 ):
-    """A kept connection brings a request in the moment at which it is to be closed.
+    """A request arrives on an idle connection just as its keep-alive timeout expires.
 
-    Either it was not read, or it is answered.
+    Either the request is not read, or it gets a response.
     """
-    monkeypatch.setattr(front, "IDLE_SECONDS", 0.2)
+    monkeypatch.setattr(http_frontend, "KEEPALIVE_SECONDS", 0.2)
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         caller = socket.create_connection(("127.0.0.1", entry.port))
@@ -199,11 +193,11 @@
     assert got.startswith(b"HTTP/1.1 200") is bool(replica.received)
 
 
-async def test_request_behind_another_on_a_connection_that_closes_never_runs():
-    """Two requests come at once on one connection, and the entry is about to end.
+async def test_pipelined_request_on_a_closing_connection_never_runs():
+    """Two pipelined requests arrive during the shutdown.
 
-    The first answer says "Connection: close": by HTTP the second has not been run, and
-    it has not.
+    The first response says "Connection: close", by which HTTP tells the caller that the
+    second request was not run: it must not run.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -218,8 +212,8 @@
     assert [received.request_id for received in replica.received] == ["first"]
 
 
-async def test_reset_of_an_idle_connection_is_no_fault(caplog):
-    """A replica resets a kept connection that carries no request: nothing is logged."""
+async def test_reset_of_an_idle_connection_is_not_logged(caplog):
+    """Guards against a warning when a replica resets an idle connection."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         writer.write(head(200, received.request_id, "Content-Length: 4"))
@@ -237,14 +231,15 @@
     assert not [r for r in caplog.records if r.levelno >= logging.WARNING]
 
 
-async def test_request_that_waits_as_a_stalled_process_finds_its_connection_idle(
+async def test_request_received_while_the_event_loop_is_blocked_is_served(
     monkeypatch,
 ):
-    """The event loop stands still over the end of a connection's idle time.
+    """The event loop is blocked until after a connection's keep-alive timeout.
 
-    A request has come meanwhile, found in one pass with the timer: it is answered.
+    A request that arrived meanwhile is found in the same iteration as the timer, and
+    must get a response.
     """
-    monkeypatch.setattr(front, "IDLE_SECONDS", 0.2)
+    monkeypatch.setattr(http_frontend, "KEEPALIVE_SECONDS", 0.2)
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         with socket.create_connection(("127.0.0.1", entry.port)) as caller:
@@ -258,11 +253,11 @@
 
 
 @pytest.mark.parametrize("target", ["http://xn--/read/x", "http://[::1/x", "//[::1/x"])
-async def test_target_that_can_not_be_understood_is_refused(target):
-    """A request names a host that is none, in the form that proxies are asked in.
+async def test_target_with_an_invalid_host_is_refused(target):
+    """Guards against an open connection that is no longer read.
 
-    The HTTP library fails on it between the reading of the head and the handler, and
-    would leave the connection open and read by nobody.
+    On an absolute URL with an invalid host, the HTTP library fails after it has parsed
+    the headers and before it calls the handler.
     """
     async with serving(Replica("i-1", answer())) as entry:
         reader, writer = await entry.connect()
@@ -273,8 +268,8 @@
 
 
 @pytest.mark.parametrize("version", ["HTTP/0.9", "HTTP/2.0"])
-async def test_stream_to_a_caller_of_another_protocol(version):
-    """The head names a version that has no chunks, or none in this form."""
+async def test_stream_to_a_caller_of_another_http_version(version):
+    """The request names a protocol version without chunked encoding."""
     async with serving(engine("i-1", EngineScript(last=3))) as entry:
         reader, writer = await entry.connect()
         sent = request("/talk/x", X_Token_Count="400,9", Connection="close")
@@ -286,10 +281,10 @@
     assert body.count(b"id:") == 3
 
 
-async def test_rest_of_a_refused_body_holds_no_end_up():
-    """A request was refused before its body had come, and its caller sends the rest.
+async def test_rest_of_a_refused_body_does_not_delay_a_shutdown():
+    """Guards against a shutdown delayed by the rest of a refused request's body.
 
-    Its answer is out: the connection is idle, and closed as such.
+    After the response, the connection counts as idle, although the caller still sends.
     """
     replica = Replica("i-1", answer())
     async with serving(replica, document=config(**{"max-body-bytes": 10})) as entry:
@@ -304,8 +299,8 @@
         writer.close()
 
 
-async def test_part_of_a_head_is_forgotten_once_the_request_is_answered():
-    """A head came in two parts; its connection is idle again after the answer."""
+async def test_connection_is_idle_after_headers_in_two_parts():
+    """Headers that arrive in two parts: the connection is idle after the response."""
     loop = asyncio.get_running_loop()
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -1,4 +1,4 @@
-"""Configuration and upstreams of a direct entry, from a store with faults."""
+"""Tests of a direct entry's configuration and upstreams, with faults of the store."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 import pytest
 
 import direct_support
-from bergamotmast.direct.fleet import CHANGE_SECONDS
-from bergamotmast.direct.fleet import RETURN_SECONDS
+from bergamotmast.direct.fleet import MISSING_UPSTREAM_GRACE_SECONDS
+from bergamotmast.direct.fleet import ROLE_CHANGE_TIMEOUT_SECONDS
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.following import LONGEST_RETRY_SECONDS
-from bergamotmast.direct.following import OUTAGE_SECONDS
-from bergamotmast.direct.following import Follower
 from bergamotmast.direct.model import CallKind
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.direct.presence import Presence
 from bergamotmast.direct.routing import RouteTable
 from bergamotmast.direct.routing import pick_group
+from bergamotmast.direct.store_watcher import MAX_RETRY_DELAY_SECONDS
+from bergamotmast.direct.store_watcher import OUTAGE_THRESHOLD_SECONDS
+from bergamotmast.direct.store_watcher import StoreWatcher
 from bergamotmast.errors import ConfigError
 from bergamotmast.errors import KeyValueOutcomeUnknownError
 from bergamotmast.errors import KeyValueUnavailableError
@@ -65,11 +65,11 @@
 
 @contextlib.asynccontextmanager
 async def following(pause=no_pause):
-    """Yield a store, a fleet that follows it, and the adapter between."""
+    """Yield a store, a fleet that is kept up to date with it, and their adapter."""
     async with Store() as store, store_session() as session:
         fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
         adapter = PlatformStore(session, store.address, RECOVERY_SECONDS, pause)
-        task = asyncio.create_task(Follower(adapter, fleet, random.Random(1)).run())
+        task = asyncio.create_task(StoreWatcher(adapter, fleet, random.Random(1)).run())
         try:
             yield store, fleet, adapter
         finally:
@@ -81,7 +81,7 @@
 
 
 async def refuse_watches_until_read(store: Store) -> None:
-    """Say that the history is gone until the whole store is read anew."""
+    """Refuse watches as compacted until the whole store has been read again."""
     store.calls.clear()
     store.compacted = store.revision + 1
     await until(lambda: "GET /kv-range" in store.calls)
@@ -97,9 +97,9 @@
     return registration(Replica("i", answer())) | {"address": "10.0.0.1:80"} | changes
 
 
-async def test_entry_is_ready_once_it_knows_both():
+async def test_entry_is_ready_with_configuration_and_upstreams():
     async with following() as (store, fleet, _):
-        await until(lambda: fleet.settled)
+        await until(lambda: fleet.upstreams_loaded)
         assert not fleet.ready
         store.put("op/config", config())
         store.put("servers/i-1", entry())
@@ -107,7 +107,7 @@
 
 
 async def test_full_read_makes_one_store_call():
-    """Several calls per entry would exhaust the store's calls when a fleet starts."""
+    """Guards against exceeding the store's call limit when a whole fleet starts."""
     async with following() as (store, fleet, _):
         store.page_size = 500
         store.put("op/config", config(7))
@@ -120,7 +120,7 @@
     assert store.calls[start : start + 2] == ["GET /kv-range", "GET /kv-watch"]
 
 
-async def test_leaving_and_gone_upstreams_get_nothing_more():
+async def test_leaving_and_removed_upstreams_are_not_members():
     async with following() as (store, fleet, _):
         store.put("op/config", config())
         for number in range(3):
@@ -145,8 +145,8 @@
         json.dumps({k: v for k, v in entry().items() if k != "zone"}).encode(),
     ],
 )
-async def test_entry_of_another_writer_names_nobody(value):
-    """Bytes that can't be read, fields missing or of another type: the rest holds."""
+async def test_undecodable_registration_is_ignored(value):
+    """An undecodable registration is ignored and does not affect the others."""
     async with following() as (store, fleet, _):
         store.put("op/config", config())
         store.put("servers/i-1", entry())
@@ -155,22 +155,22 @@
         await until(lambda: names(fleet) == {"i-1", "i-3"})
 
 
-async def test_reborn_upstream_is_another_one():
-    """A replica starts again under its id: handles, caches and counts are void."""
+async def test_restarted_upstream_gets_a_new_load_tracker():
+    """Guards against keeping the load of an upstream that restarted under its name."""
     async with following() as (store, fleet, _):
         store.put("op/config", config())
         store.put("servers/i-1", entry(born=1000))
         await until(lambda: names(fleet) == {"i-1"})
-        placing = Placing(fleet, "entry-1", "zone-a", random.Random(1))
-        placing.plain_load(fleet.members("plain", 0.0)[0]).running = 5
+        placer = RequestPlacer(fleet, "entry-1", "zone-a", random.Random(1))
+        placer.plain_load(fleet.members("plain", 0.0)[0]).running = 5
         store.put("servers/i-1", entry(born=2000))
         await until(lambda: fleet.members("plain", 0.0)[0].boot == "2000")
-        assert placing.plain_load(fleet.members("plain", 0.0)[0]).running == 0
-        assert len(placing.plain) == 1
+        assert placer.plain_load(fleet.members("plain", 0.0)[0]).running == 0
+        assert len(placer.plain) == 1
 
 
 async def test_configuration_never_goes_back():
-    """A late answer brings an older version than the one in force."""
+    """A delayed reply holds an older version than the one in force."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
@@ -180,7 +180,7 @@
         assert fleet.generation == 7
 
 
-async def test_configuration_that_is_not_understood_changes_nothing():
+async def test_invalid_configuration_is_ignored():
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
@@ -190,8 +190,8 @@
         await until(lambda: fleet.generation == 9)
 
 
-async def test_outage_leaves_what_is_known():
-    """The store is down: serving goes on with the last configuration and members."""
+async def test_outage_of_the_store_keeps_the_last_known_state():
+    """While the store is down, the last configuration and members are used."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
@@ -206,10 +206,10 @@
 
 
 async def test_entries_that_lapsed_in_an_outage_have_two_seconds():
-    """Leases ran out while the store was away, though the replicas live.
+    """Guards against losing the whole fleet after an outage of the store.
 
-    Used at once as gone, a store that was away for seconds would take the whole fleet
-    with it; one that is not back after two seconds is gone.
+    Leases expire during an outage of some seconds although the replicas are alive. A
+    replica that has not registered again after two seconds is removed.
     """
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
@@ -217,18 +217,21 @@
         store.put("servers/i-2", entry())
         await until(lambda: names(fleet) == {"i-1", "i-2"})
         store.outage = 503
-        await asyncio.sleep(OUTAGE_SECONDS + 0.5)
+        await asyncio.sleep(OUTAGE_THRESHOLD_SECONDS + 0.5)
         store.remove("servers/i-1")
         store.remove("servers/i-2")
         store.outage = 0
         await asyncio.sleep(0.8)
         assert names(fleet) == {"i-1", "i-2"}
         store.put("servers/i-1", entry())
-        await until(lambda: names(fleet) == {"i-1"}, seconds=RETURN_SECONDS + 1.0)
+        await until(
+            lambda: names(fleet) == {"i-1"},
+            seconds=MISSING_UPSTREAM_GRACE_SECONDS + 1.0,
+        )
 
 
-async def test_history_that_is_gone_leads_to_a_new_reading():
-    """The store has dropped what the watch would go on from (410)."""
+async def test_compacted_history_leads_to_a_full_read():
+    """The store has compacted the revision that the watch would resume from (410)."""
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
@@ -242,10 +245,10 @@
         await until(lambda: names(fleet) == {"i-2"}, seconds=4.0)
 
 
-async def test_watch_on_a_dead_connection_is_opened_anew():
-    """The connection went silent without a reset: nothing is heard, nothing fails.
+async def test_watch_on_a_dead_connection_is_reopened():
+    """Guards against a watch that hangs on a dead connection without a reset.
 
-    The watch's own bound ends it, and what happened meanwhile is read.
+    The watch's timeout ends it, and all keys are read again.
     """
     async with following() as (store, fleet, _):
         store.put("op/config", config(7))
@@ -257,7 +260,7 @@
 
 
 async def test_configuration_applies_within_recovery_time_after_connections_go_silent():
-    """The read after a failed watch must not wait on another silent connection."""
+    """The read after a failed watch must not wait on another dead connection."""
     async with following() as (store, fleet, adapter):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
@@ -267,8 +270,8 @@
         await until(lambda: fleet.generation == 8, seconds=RECOVERY_SECONDS)
 
 
-async def test_changing_engine_is_left_alone_for_a_while():
-    """The plan gives an engine another role: it refuses all work for seconds."""
+async def test_engine_that_changes_its_role_is_not_a_member():
+    """Guards against sending work to an engine that is changing its role."""
     async with following() as (store, fleet, _):
         now = 0.0
         fleet.clock = lambda: now
@@ -279,13 +282,13 @@
         store.put(engine_key("i-1"), encode_record(plan))
         await until(lambda: fleet.members("llm", now) == [])
         assert len(fleet.present("llm", now)) == 1
-        # An order that was never carried out costs the engine no longer than that.
-        assert len(fleet.members("llm", CHANGE_SECONDS + 0.1)) == 1
+        # An order that is never carried out must not exclude the engine for longer.
+        assert len(fleet.members("llm", ROLE_CHANGE_TIMEOUT_SECONDS + 0.1)) == 1
         store.put("servers/i-1", entry(service="llm", stage="prefill"))
         await until(lambda: len(fleet.members("llm", now)) == 1)
 
 
-async def test_entries_know_each_other_while_they_live():
+async def test_entries_are_registered_under_a_lease():
     async with following() as (store, fleet, adapter):
         presence = Presence(adapter, "entry-9", "10.0.0.9:7380", random.Random(1))
         task = asyncio.create_task(presence.run())
@@ -300,7 +303,7 @@
     """Guards against one watch call per registration while a fleet starts."""
     pause = 0.4
     async with following(lambda: pause) as (store, fleet, _):
-        await until(lambda: fleet.settled)
+        await until(lambda: fleet.upstreams_loaded)
         store.calls.clear()
         started_at = time.monotonic()
         for number in range(40):
@@ -338,21 +341,21 @@
         assert notifications == ["gone"]
 
 
-async def test_store_that_does_not_watch_is_not_read_without_a_pause():
-    """Each watch fails at once, each reading succeeds: the pauses must still grow."""
+async def test_failing_watches_are_retried_with_backoff():
+    """Guards against reads without backoff if only watches fail."""
     async with following() as (store, fleet, _):
         store.compacted = 1_000_000
-        await until(lambda: fleet.settled)
+        await until(lambda: fleet.upstreams_loaded)
         store.calls.clear()
         seconds = 3.0
         await asyncio.sleep(seconds)
         readings = sum(call.endswith("/kv-watch") for call in store.calls)
-    # A pause is drawn from zero to its longest, and the first three are shorter.
-    assert readings <= 2 * (3 + 2 * seconds / LONGEST_RETRY_SECONDS)
+    # A delay is drawn between zero and its maximum; the first three are shorter.
+    assert readings <= 2 * (3 + 2 * seconds / MAX_RETRY_DELAY_SECONDS)
 
 
-async def test_entry_that_left_unseen_is_forgotten():
-    """Its removal was dropped from the history before the watch came to it."""
+async def test_entry_whose_removal_was_missed_is_removed():
+    """The removal of its key was compacted before the watch could deliver it."""
     async with following() as (store, fleet, _):
         key = PRESENCE_PREFIX + "entry-9"
         store.put(key, b"10.0.0.9:7380")
@@ -389,7 +392,7 @@
 
 
 async def test_lost_reply_to_a_write_is_of_unknown_outcome():
-    """The store has done it and the answer is lost: "not done" would be wrong."""
+    """Guards against reporting a write as not done if only its reply was lost."""
     async with following() as (store, _, adapter):
         store.lose_replies = 1
         with pytest.raises(KeyValueOutcomeUnknownError):
@@ -425,7 +428,7 @@
     assert (found.name if found else None) == name
 
 
-def test_split_follows_its_weights():
+def test_traffic_split_matches_its_weights():
     split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
     document = config(routes=[route("/a/", "safe", **{"traffic-split": split})])
     routing = PlatformDirectory().decode_routing(json.dumps(document).encode())
@@ -434,7 +437,7 @@
     assert 120 < drawn.count("b") < 280
 
 
-def test_kinds_say_what_may_be_repeated():
+def test_kind_of_a_route_decides_whether_requests_may_be_retried():
     kinds = {"safe": True, "unsafe": False, "streaming": False}
     routes = [route(f"/{kind}/", kind) for kind in kinds]
     routes.append(route("/resumed/", "streaming", resumable=True))
@@ -445,20 +448,20 @@
     assert routing.routes[2].kind is CallKind.STREAM
 
 
-def test_unknown_fields_are_left_out_of_account():
+def test_unknown_fields_are_ignored():
     document = config() | {"new-field": {"deep": [1]}}
     assert PlatformDirectory().decode_routing(json.dumps(document).encode()).routes
     with pytest.raises(ConfigError):
         PlatformDirectory().decode_routing(b"nothing")
 
 
-def test_older_reading_of_an_upstream_changes_nothing():
+def test_outdated_registration_is_ignored():
     fleet = Fleet(PlatformDirectory(), lambda: 0.0)
     fleet.put(KeyValue("servers/i-1", json.dumps(entry(state="draining")).encode(), 9))
     fleet.put(KeyValue("servers/i-1", json.dumps(entry()).encode(), 5))
     assert fleet.members("plain", 0.0) == []
     fleet.remove("servers/i-1", 4)
-    assert "servers/i-1" in fleet.seen
+    assert "servers/i-1" in fleet.upstream_records
 
 
 def test_stand_in_engine_registers_as_one():
