--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -1,4 +1,4 @@
-"""One call of a plain upstream, from the choice of the upstream to its answer."""
+"""Handling of one request to a plain upstream, including retries."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from ..errors import ReplyLostError
 from ..errors import RequestError
 from ..errors import ResultCode
+from .attempts import AttemptTracker
 from .caller import CallerReply
 from .context import Context
-from .forwarding import answer_headers
+from .forwarding import response_headers
 from .model import Call
 from .model import Upstream
 from .ports import Attempt
 from .ports import Headers
-from .sends import Sends
 
-PATIENCE = 2.0
-"""Multiples of the objective after which an idempotent call is tried elsewhere: by
-then its answer is late, and an upstream that hangs would hold it to its deadline."""
+RETRY_AFTER_OBJECTIVES = 2.0
+"""Multiple of the latency objective after which an idempotent request is retried at
+another upstream. Without a retry, a hanging upstream would delay it to its deadline."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlainAnswer:
-    """An upstream's whole answer."""
+class PlainResponse:
+    """An upstream's complete response."""
 
     status: int
     headers: Headers
@@ -33,62 +33,65 @@
 
 
 class PlainRun:
-    """Runs one call of a plain upstream."""
+    """Runs one request to a plain upstream.
+
+    :param last_failure: last failed response, forwarded if no attempt is left.
+    """
 
     def __init__(self, context: Context, call: Call, reply: CallerReply) -> None:
         self.context = context
         self.call = call
         self.reply = reply
-        self.sends = Sends(context, call)
-        self.last_failure: PlainAnswer | None = None
+        self.attempts = AttemptTracker(context, call)
+        self.last_failure: PlainResponse | None = None
 
     async def run(self) -> int:
-        """Answer the caller and return the status.
+        """Send the response to the caller and return its status.
 
-        :raises RequestError: if there is no answer to give.
+        :raises RequestError: if there is no response to forward.
         """
         try:
             async with self.context.time_limits.limit(self.call.deadline):
-                answer = await self._answer()
+                response = await self._run_attempts()
         except TimeoutError:
-            raise self.sends.out_of_time() from None
-        await self.reply.answer(answer.status, answer.headers, answer.body)
-        return answer.status
+            raise self.attempts.timeout_error() from None
+        await self.reply.respond(response.status, response.headers, response.body)
+        return response.status
 
-    async def _answer(self) -> PlainAnswer:
+    async def _run_attempts(self) -> PlainResponse:
         while True:
             try:
-                upstream = self.context.placing.choose_plain(
-                    self.call, self.sends.excluded
+                upstream = self.context.placer.choose_plain_upstream(
+                    self.call, self.attempts.excluded
                 )
-                self.sends.begin(upstream)
+                self.attempts.begin(upstream)
             except RequestError:
                 if self.last_failure is not None:
                     return self.last_failure
-                if self.sends.maybe_ran:
-                    raise self.sends.exhausted() from None
+                if self.attempts.may_have_run:
+                    raise self.attempts.exhausted_error() from None
                 raise
-            answer = await self._send(upstream)
-            if answer is not None:
-                return answer
+            response = await self._send(upstream)
+            if response is not None:
+                return response
 
-    async def _send(self, upstream: Upstream) -> PlainAnswer | None:
-        """Send once; ``None`` where the call may be tried elsewhere."""
-        book = self.context.placing.plain_book(upstream)
+    async def _send(self, upstream: Upstream) -> PlainResponse | None:
+        """Make one attempt; return ``None`` if another upstream may be tried."""
+        tracker = self.context.placer.plain_load(upstream)
         loop = asyncio.get_running_loop()
-        book.running += 1
+        tracker.running += 1
         try:
             async with asyncio.timeout_at(self._give_up_at(loop.time())):
                 return await self._exchange(upstream)
         except NotReachedError as error:
-            book.failed(loop.time())
-            self.sends.on_unreached(upstream)
-            self.sends.log_failure(upstream, error.message, "not reached")
+            tracker.failed(loop.time())
+            self.attempts.on_not_sent(upstream)
+            self.attempts.log_failure(upstream, error.message, "not reached")
             return None
         except (ReplyLostError, TimeoutError) as error:
-            book.failed(loop.time())
-            self.sends.log_failure(
-                upstream, str(error) or "no answer in time", "unknown"
+            tracker.failed(loop.time())
+            self.attempts.log_failure(
+                upstream, str(error) or "no reply within the timeout", "unknown"
             )
             if not self.call.route.repeatable:
                 raise RequestError(ResultCode.OUTCOME_UNKNOWN) from None
@@ -96,15 +99,15 @@
                 raise RequestError(ResultCode.DEADLINE_EXCEEDED) from None
             return None
         finally:
-            book.running -= 1
+            tracker.running -= 1
 
     def _give_up_at(self, now: float) -> float:
         route = self.call.route
-        if not route.repeatable or len(self.sends.tried) >= route.max_attempts:
+        if not route.repeatable or len(self.attempts.tried) >= route.max_attempts:
             return self.call.deadline
-        return min(self.call.deadline, now + PATIENCE * route.objective)
+        return min(self.call.deadline, now + RETRY_AFTER_OBJECTIVES * route.objective)
 
-    async def _exchange(self, upstream: Upstream) -> PlainAnswer | None:
+    async def _exchange(self, upstream: Upstream) -> PlainResponse | None:
         call = self.call
         dialect = self.context.dialect
         now = asyncio.get_running_loop().time()
@@ -120,23 +123,23 @@
         ) as reply:
             traits = self.context.read_reply(call, upstream, reply)
             if traits.not_run:
-                self.sends.on_not_run()
-                self.sends.log_failure(upstream, f"status {reply.status}", "not run")
+                self.attempts.on_not_run()
+                self.attempts.log_failure(upstream, f"status {reply.status}", "not run")
                 return None
             self.context.check_reply(call, reply, traits)
             body = await reply.read()
-            answer = PlainAnswer(reply.status, answer_headers(reply), body)
-        book = self.context.placing.plain_book(upstream)
-        if 200 <= answer.status < 300:
-            book.succeeded()
-            return answer
-        return self._on_failure_status(upstream, answer)
+            response = PlainResponse(reply.status, response_headers(reply), body)
+        tracker = self.context.placer.plain_load(upstream)
+        if 200 <= response.status < 300:
+            tracker.succeeded()
+            return response
+        return self._on_failure_status(upstream, response)
 
     def _on_failure_status(
-        self, upstream: Upstream, answer: PlainAnswer
-    ) -> PlainAnswer | None:
-        """Return a failure to pass on, or ``None`` to try elsewhere first."""
-        self.sends.log_failure(upstream, f"status {answer.status}", "ran")
-        self.last_failure = answer
-        may_repeat = self.call.route.repeatable and answer.status >= 500
-        return None if may_repeat else answer
+        self, upstream: Upstream, response: PlainResponse
+    ) -> PlainResponse | None:
+        """Return a failed response to forward, or ``None`` to retry elsewhere first."""
+        self.attempts.log_failure(upstream, f"status {response.status}", "ran")
+        self.last_failure = response
+        may_repeat = self.call.route.repeatable and response.status >= 500
+        return None if may_repeat else response
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -1,9 +1,9 @@
-"""Gives engines their roles, in whichever entry holds the planner's lease.
+"""Planner that assigns roles to engines, run by the entry that holds its lease.
 
-Authority is the product's own: the lease keeps two planners apart most of the time,
-and each order is preceded by a write of the plan that fails once another planner has
-taken it. The epoch of that write is the order's fencing token. The plan also tells
-every other entry which engine is about to change.
+The lease alone can't exclude two concurrent planners. Each order is therefore preceded
+by a compare-and-swap write of the plan, which fails once another planner has taken the
+plan over, and the epoch of that write is the order's fencing token. The other entries
+learn from the plan which engine is about to change its role.
 """
 
 from __future__ import annotations
@@ -27,36 +27,36 @@
 from ..policy.direct_roles import RoleController
 from ..policy.direct_roles import RoleOrder
 from .fleet import Fleet
-from .fleet import Planned
+from .fleet import PlannedRole
 from .model import Upstream
-from .placing import Placing
+from .placer import RequestPlacer
 
 logger = logging.getLogger(__name__)
 
 TICK_SECONDS = 0.5
-"""Between two looks at the fleet."""
+"""Interval between two evaluations of the fleet."""
 
-PAUSE_SECONDS = (1.0, 3.0)
-"""Between two terms of one planner: a candidate that keeps losing the plan to another
-would otherwise call the store without end."""
+TERM_PAUSE_SECONDS = (1.0, 3.0)
+"""Range of the random delay between two terms of one planner. Without it, a candidate
+that keeps losing the plan to another would call the store continuously."""
 
-MOST_READING_AGE = 1.0
-"""Seconds from the reading of an engine's count of orders to the order for just that
-count. An engine that restarts counts from 0 again and takes two seconds at least: an
-order on an older reading might meet the same count in another life."""
+MAX_SEQUENCE_AGE_SECONDS = 1.0
+"""Maximum time in seconds between reading an engine's order sequence number and sending
+the order with that number. A restart resets the number to 0 and takes at least two
+seconds: with an older reading, the number might match in another incarnation."""
 
-OVERDUE_SECONDS = 4.0
-"""An order is usually carried out within some three seconds. An engine that has not
-by then is not counted on in either role: where a role has no other, another engine is
-ordered to it."""
+ORDER_OVERDUE_SECONDS = 4.0
+"""Time after which an order is overdue; orders usually take about three seconds. An
+engine with an overdue order is counted in neither role, so that another engine is
+ordered to a role that is left without any."""
 
-UNRESOLVED_SECONDS = 13.0
-"""An order without a reply may be carried out so much later; the engine gets no other
-one until then, and is counted as changing."""
+UNRESOLVED_ORDER_SECONDS = 13.0
+"""How long an order without a reply may still be carried out. Until then the engine
+gets no other order and is counted as changing its role."""
 
 
 class OrderReply(enum.Enum):
-    """What an engine says to an order."""
+    """An engine's reply to an order."""
 
     TAKEN = "taken"
     HOLDS = "holds"
@@ -64,13 +64,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RoleOrderCall:
-    """An order as an engine gets it.
+class RoleOrderCommand:
+    """A command to an engine to change its role.
 
-    :param sequence: orders that the engine must have taken before, and no more: an
-        order that is carried out late, after a newer one, then changes nothing.
-    :param holder: name of this machine.
-    :param token: authority; engines refuse a lower one than they have seen.
+    :param sequence: number of orders that the engine must have accepted so far. An
+        order that is delivered late, after a newer one, then has no effect.
+    :param holder: name of the entry that holds the planner's lease.
+    :param token: fencing token; engines refuse a lower one than they have seen.
     """
 
     upstream: Upstream
@@ -81,17 +81,17 @@
 
 
 class EngineOrders(t.Protocol):
-    """Gives orders to engines."""
+    """Sends role orders to engines."""
 
     async def sequence(self, upstream: Upstream) -> int | None:
-        """Return how many orders an engine has taken; ``None`` while one is going on.
+        """Return how many orders an engine has accepted; ``None`` while one is running.
 
-        :raises PortError: if it can't be told.
+        :raises PortError: if it can't be determined.
         """
         ...
 
-    async def order(self, call: RoleOrderCall) -> OrderReply:
-        """Give an order.
+    async def order(self, call: RoleOrderCommand) -> OrderReply:
+        """Send an order.
 
         :raises OrderRefusedError: if the engine has seen a higher token.
         :raises NotReachedError: if nothing was sent.
@@ -101,11 +101,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pending:
-    """An order whose end has not been seen.
+class PendingOrder:
+    """An order that is not known to have been carried out.
 
+    :param boot: incarnation of the engine that it was sent to.
     :param overdue_at: when it should have been carried out; a point in time.
-    :param until: when the engine may get another one; a point in time.
+    :param until: when the engine may get another order; a point in time.
     """
 
     order: RoleOrder
@@ -115,14 +116,17 @@
 
 
 class RolePlanner:
-    """One entry's share in planning.
-
-    :param name: of this machine, as orders carry it.
-    :param quiet_seconds: pause between the orders of two holders to one engine.
-    :param quiet_until: when an engine that another holder may have ordered lately may
-        get this one's first order; points in time.
-    :param all_quiet_until: when any engine may get its first order; set when a restore
-        of the store may have lost the last holder's orders; a point in time.
+    """Assigns roles to engines while this entry holds the planner's lease.
+
+    :param name: name of this entry, sent with each order.
+    :param hold_off_seconds: hold-off time between two holders' orders to one engine.
+    :param controllers: role controllers, by group.
+    :param pending: orders not known to have been carried out, by engine.
+    :param hold_off_until: when the hold-off ends, by engine that another holder may
+        have ordered recently; points in time.
+    :param global_hold_off_until: when the hold-off ends for all engines; set after a
+        restore of the store, which may have lost the last holder's orders; a point in
+        time.
     """
 
     def __init__(
@@ -131,28 +135,28 @@
         election: PlannerElection,
         store: PlanStore,
         fleet: Fleet,
-        placing: Placing,
+        placer: RequestPlacer,
         orders: EngineOrders,
         mix: MixMeter,
-        quiet_seconds: float,
+        hold_off_seconds: float,
         rng: random.Random,
     ) -> None:
         self.name = name
         self.election = election
         self.store = store
         self.fleet = fleet
-        self.placing = placing
+        self.placer = placer
         self.orders = orders
         self.mix = mix
-        self.quiet_seconds = quiet_seconds
+        self.hold_off_seconds = hold_off_seconds
         self.rng = rng
         self.controllers: dict[str, RoleController] = {}
-        self.pending: dict[str, Pending] = {}
-        self.quiet_until: dict[str, float] = {}
-        self.all_quiet_until = 0.0
+        self.pending: dict[str, PendingOrder] = {}
+        self.hold_off_until: dict[str, float] = {}
+        self.global_hold_off_until = 0.0
 
     async def run(self) -> None:
-        """Plan whenever this entry holds the lease, until cancelled."""
+        """Acquire the lease and plan while it is held, repeatedly, until cancelled."""
         while True:
             await self.election.acquire()
             logger.info("planner's lease is held", extra={"lease": self.election.lease})
@@ -161,23 +165,24 @@
             except (AuthorityLostError, OrderRefusedError, PortError) as error:
                 logger.warning("planner gives up", extra={"error": error.message})
             except Exception:
-                # A fault in planning would otherwise end one entry after the other, as
-                # each takes the lease. Roles stay as they are, and requests are served.
-                logger.exception("planner has failed")
+                # An unexpected error would otherwise terminate one entry after another,
+                # as each acquires the lease. Roles stay as they are, and requests are
+                # still served.
+                logger.exception("planner failed")
             finally:
                 self.pending.clear()
                 await self.election.release()
-            await asyncio.sleep(self.rng.uniform(*PAUSE_SECONDS))
+            await asyncio.sleep(self.rng.uniform(*TERM_PAUSE_SECONDS))
 
     async def _plan(self) -> None:
-        known = dict(self.fleet.planned)
+        known = dict(self.fleet.planned_roles)
         token = await self.store.open()
-        self._leave_quiet(known)
+        self._set_hold_offs(known)
         logger.info(
             "plan is open",
             extra={
                 "epoch": token.epoch,
-                "quiet": sorted(self.quiet_until),
+                "quiet": sorted(self.hold_off_until),
                 "restored": self.store.restored,
             },
         )
@@ -187,50 +192,57 @@
             except OrderRefusedError:
                 raise
             except PortError as error:
-                # An outage, or an engine that can't be reached, stops changes of roles
-                # and nothing else; the lease tells when it has lasted too long.
+                # An outage, or an engine that can't be reached, only stops role
+                # changes. If it lasts too long, the lease expires.
                 logger.info("no order given", extra={"error": error.message})
             await asyncio.sleep(TICK_SECONDS)
 
-    def _leave_quiet(self, known: cabc.Mapping[str, Planned]) -> None:
-        """Note which engines another holder may have ordered a moment ago.
+    def _set_hold_offs(self, known: cabc.Mapping[str, PlannedRole]) -> None:
+        """Set the hold-off of engines that another holder may have ordered recently.
 
-        Two holders that take turns at one engine would leave it torn between them. The
-        plan as it was found tells each engine's last order, and what this entry knew
-        before tells how old that is; one that it did not know of counts as new.
+        Without it, two holders that lead in turn could give one engine contradictory
+        orders. The plan holds the token of each engine's last order, and this entry's
+        earlier view of the plan tells how old that order is; one that it had not
+        received yet counts as new.
+
+        :param known: this entry's view before it opened the plan, by engine.
         """
         now = asyncio.get_running_loop().time()
-        self.all_quiet_until = now + self.quiet_seconds if self.store.restored else 0.0
-        self.quiet_until = {}
+        self.global_hold_off_until = (
+            now + self.hold_off_seconds if self.store.restored else 0.0
+        )
+        self.hold_off_until = {}
         for name, token in self.store.tokens_at_open.items():
-            planned = known.get(name)
-            at = planned.at if planned and planned.token == token else now
-            if at + self.quiet_seconds > now:
-                self.quiet_until[name] = at + self.quiet_seconds
+            planned_role = known.get(name)
+            at = (
+                planned_role.at if planned_role and planned_role.token == token else now
+            )
+            if at + self.hold_off_seconds > now:
+                self.hold_off_until[name] = at + self.hold_off_seconds
 
     async def _tick(self) -> None:
-        if not self.fleet.ready or not self.placing.decisions.role_changes:
+        if not self.fleet.ready or not self.placer.decisions.role_changes:
             return
         now = asyncio.get_running_loop().time()
         for group in self.fleet.engine_groups():
             members = self.fleet.present(group, now)
-            self._settle(members, now)
+            self._drop_finished_orders(members, now)
             found = [self._engine_role(member, now) for member in members]
             engines = [engine for engine in found if engine is not None]
             controller = self.controllers.setdefault(group, RoleController())
             order = controller.decide(engines, self.mix.decode_share, now)
             if order is None:
                 continue
-            # Engines change one at a time. Only where a role has no engine at all, and
-            # nothing is served, the order for one does not wait.
+            # Engines change one at a time, except if a role has no engine at all, as
+            # nothing is served then.
             if order.urgent or not any(m.name in self.pending for m in members):
                 chosen = next(m for m in members if m.name == order.name)
-                await self._give(chosen, order, now)
+                await self._send_order(chosen, order, now)
 
     def _engine_role(self, upstream: Upstream, now: float) -> EngineRole | None:
-        """Return the role that an engine has or is on its way to.
+        """Return the role that an engine has or is changing to.
 
-        ``None`` where an order is overdue: nobody can tell what becomes of the engine.
+        ``None`` if its order is overdue, as its role is then unknown.
         """
         pending = self.pending.get(upstream.name)
         if pending is not None:
@@ -238,16 +250,16 @@
                 return None
             return EngineRole(upstream.name, pending.order.role, changing=True)
         assert upstream.role is not None
-        book = self.placing.engine_book(upstream)
-        load = book.answers(now) + len(book.reading)
-        quiet_until = max(
-            self.quiet_until.get(upstream.name, 0.0), self.all_quiet_until
+        tracker = self.placer.engine_load(upstream)
+        load = tracker.running_decodes(now) + len(tracker.pending_prefills)
+        hold_off_until = max(
+            self.hold_off_until.get(upstream.name, 0.0), self.global_hold_off_until
         )
-        may_change = now >= quiet_until
+        may_change = now >= hold_off_until
         return EngineRole(upstream.name, upstream.role, load, may_change)
 
-    def _settle(self, members: list[Upstream], now: float) -> None:
-        """Forget orders that are carried out, void by a restart, or long overdue."""
+    def _drop_finished_orders(self, members: list[Upstream], now: float) -> None:
+        """Drop orders that were carried out, voided by a restart, or have expired."""
         for member in members:
             pending = self.pending.get(member.name)
             if pending is None:
@@ -256,26 +268,30 @@
             if done or now >= pending.until:
                 del self.pending[member.name]
 
-    async def _give(self, upstream: Upstream, order: RoleOrder, now: float) -> None:
+    async def _send_order(
+        self, upstream: Upstream, order: RoleOrder, now: float
+    ) -> None:
         loop = asyncio.get_running_loop()
         read_at = loop.time()
         sequence = await self.orders.sequence(upstream)
         if sequence is None:
             return
         await self.store.write({upstream.name: Assignment(order.role)})
-        # Paused between the write and here, this machine would order on an authority
-        # that another one has taken over meanwhile. The engine's own check knows only
-        # tokens that have reached it.
+        # If this process was suspended after the write, another planner may have taken
+        # over. The engine can only refuse tokens lower than those that it has received.
         if not self.election.lease_is_valid:
             raise AuthorityLostError("The lease may have lapsed before the order.")
-        if loop.time() - read_at > MOST_READING_AGE:
-            logger.info("order is put off", extra={"upstream": upstream.name})
+        if loop.time() - read_at > MAX_SEQUENCE_AGE_SECONDS:
+            logger.info("order postponed", extra={"upstream": upstream.name})
             return
-        call = RoleOrderCall(
+        call = RoleOrderCommand(
             upstream, order, sequence, self.name, self.store.highest_token.epoch
         )
-        self.pending[upstream.name] = Pending(
-            order, upstream.boot, now + OVERDUE_SECONDS, now + UNRESOLVED_SECONDS
+        self.pending[upstream.name] = PendingOrder(
+            order,
+            upstream.boot,
+            now + ORDER_OVERDUE_SECONDS,
+            now + UNRESOLVED_ORDER_SECONDS,
         )
         outcome = "no reply"
         try:
--- a/src/bergamotmast/direct/stream.py
+++ b/src/bergamotmast/direct/stream.py
@@ -1,58 +1,62 @@
-"""What the steps of one streamed request share."""
+"""State of one streamed request."""
 
 from __future__ import annotations
 
 import asyncio
 
+from .attempts import AttemptTracker
 from .caller import CallerReply
 from .context import Context
 from .exported_cache import ExportedCache
 from .model import Call
 from .model import Upstream
-from .prompt_reads import PromptReads
-from .sends import Sends
+from .prefill_tracker import PrefillTracker
 from .timeline import Timeline
 
-FAILED_SECONDS = 1.0
-"""How long an engine that could not be reached, or broke off, is left alone."""
+COOL_DOWN_SECONDS = 1.0
+"""Cool-down of an engine that could not be reached or dropped a connection."""
 
 
 class Stream:
-    """One streamed request and how far it has come.
-
-    :param cache: of its prompt, where an engine has read that for another.
-    :param last_event: number of the last event that the caller has.
-    :param weights: version of the weights that began the answer.
-    :param unread_at: engines that were asked to read its prompt and did not.
+    """State of one streamed request, shared by placement, prefill and decode.
+
+    :param attempts: attempts to decode the stream.
+    :param prefills: tracker of its prefills.
+    :param cache: KV cache exported by a prefill engine.
+    :param last_event: number of the last event that the caller received.
+    :param weights: version of the weights that the response started with.
+    :param failed_prefill_engines: names of engines at which the prefill failed.
     """
 
     def __init__(self, context: Context, call: Call, reply: CallerReply) -> None:
         self.context = context
         self.call = call
         self.reply = reply
-        self.sends = Sends(context, call)
-        self.reads = PromptReads(context, call)
+        self.attempts = AttemptTracker(context, call)
+        self.prefills = PrefillTracker(context, call)
         self.cache = ExportedCache(context)
         self.timeline = Timeline()
         self.last_event = call.traits.last_event
         self.weights = ""
-        self.unread_at: set[str] = set()
+        self.failed_prefill_engines: set[str] = set()
 
     @property
     def excluded(self) -> set[str]:
-        """Engines that need not be tried again."""
-        return self.sends.excluded | self.unread_at
-
-    def on_prompt_read(self) -> None:
-        """Note that the prompt has been read: any engine may go on with the answer."""
-        self.unread_at.clear()
-
-    def on_heard(self, engine: Upstream) -> None:
-        """Note that an engine has said something."""
-        book = self.context.placing.engine_book(engine)
-        book.heard_at = asyncio.get_running_loop().time()
-
-    def leave_alone(self, engine: Upstream, seconds: float = FAILED_SECONDS) -> None:
-        """Have an engine left alone for a while, if there is another."""
-        book = self.context.placing.engine_book(engine)
-        book.failed_until = asyncio.get_running_loop().time() + seconds
+        """Engines that are not to be tried again."""
+        return self.attempts.excluded | self.failed_prefill_engines
+
+    def on_prefilled(self) -> None:
+        """Record a completed prefill, after which any engine may decode the stream."""
+        self.failed_prefill_engines.clear()
+
+    def on_reply_received(self, engine: Upstream) -> None:
+        """Record that data has arrived from an engine."""
+        tracker = self.context.placer.engine_load(engine)
+        tracker.last_reply_at = asyncio.get_running_loop().time()
+
+    def start_cool_down(
+        self, engine: Upstream, seconds: float = COOL_DOWN_SECONDS
+    ) -> None:
+        """Exclude an engine from placements for a while, if there is another one."""
+        tracker = self.context.placer.engine_load(engine)
+        tracker.cooldown_until = asyncio.get_running_loop().time() + seconds
--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -20,7 +20,7 @@
 from ..model import TokenChunk
 from ..policy import Candidate
 from ..policy import EntryPolicy
-from ..policy.size_bands import ClassSizes
+from ..policy.size_classes import RequestClassSizes
 from ..ports import Dialer
 from ..ports import InstanceList
 from ..selection import bare_name
@@ -56,6 +56,11 @@
     :param claims: claims on idempotency keys, for calls that run at most once.
     :param rng: seeded source of jitter.
     :param telemetry: receives metrics; none are recorded without it.
+    :param membership: the connections to sides.
+    :param closing: whether the shutdown has begun, so that the entry is not ready.
+    :param refusing: whether new requests are refused.
+    :param in_flight: number of requests in flight.
+    :param placements: the placements of these requests.
     """
 
     def __init__(
@@ -85,7 +90,7 @@
         self.closing = False
         self.refusing = False
         self.in_flight = 0
-        self.sizes = ClassSizes()
+        self.sizes = RequestClassSizes()
         self.placements: set[Placement] = set()
         self._attempt_counter = itertools.count(1)
         self._hello_counter = itertools.count(1)
@@ -242,8 +247,8 @@
             seconds = asyncio.get_running_loop().time() - call.arrived_at
             self.telemetry.on_ended(call.tenant, call.request_class, code, seconds)
             if _is_model(call):
-                band = self.sizes.observe(call.request_class, call.prompt_tokens)
-                self.telemetry.on_sized_end(call.request_class, band, code)
+                size_class = self.sizes.observe(call.request_class, call.prompt_tokens)
+                self.telemetry.on_sized_end(call.request_class, size_class, code)
             self.in_flight -= 1
             self.placements.discard(placement)
             if self.in_flight == 0:
--- a/src/bergamotmast/policy/baselines.py
+++ b/src/bergamotmast/policy/baselines.py
@@ -1,9 +1,9 @@
-"""Simple policies to compare with: what a fleet gets without the rest of this package.
+"""Baseline policies to compare the default ones with.
 
-Each answers some load pattern well and fails at another: round robin ignores length
-and state, random ignores state, least outstanding counts requests and not work, a
-static split has the wrong roles once the mix moves, and a greedy threshold follows
-every swing. They use no thresholds but their own, given here.
+Each handles some load patterns well and fails at others: round robin ignores length and
+state, random ignores state, least outstanding counts requests and not work, a static
+split has the wrong roles once the mix changes, and a greedy threshold follows every
+swing. Their only thresholds are the constants below.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .interfaces import Candidate
 from .interfaces import Choice
 from .interfaces import EngineView
-from .interfaces import FleetPicture
+from .interfaces import GroupSnapshot
 from .interfaces import QueueItem
 from .interfaces import RoleChange
 from .interfaces import UpstreamSpeed
@@ -28,19 +28,19 @@
 from .shifting import role_counts
 
 GREEDY_RATIO = 2.0
-"""Ratio of prefill to decode backlog, in seconds, at which greedy shifting acts."""
+"""Ratio of prefill to decode backlog, in seconds, above which greedy shifting acts."""
 
-GREEDY_BACKLOG = 0.5
-"""Seconds of backlog an engine below which greedy shifting sees no need."""
+GREEDY_MIN_BACKLOG_SECONDS = 0.5
+"""Backlog for each engine below which greedy shifting does nothing."""
 
-BASELINE_RETRY_AFTER = 1.0
-"""Seconds after which a refused caller may come back."""
+BASELINE_RETRY_AFTER_SECONDS = 1.0
+"""Delay after which a refused caller may retry."""
 
 
-class PlainEntryPolicy:
+class BaselineEntryPolicy:
     """Common base: no prediction, no affinity, every retry allowed.
 
-    :param rng: seeded source of every draw.
+    :param rng: seeded random source.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -48,7 +48,7 @@
         self.turn = rng.randrange(1 << 16)
 
     def predict(self, call: ModelCall) -> Cost:
-        """Take the caller's limit at its word."""
+        """Return the caller's ``max_tokens`` as the predicted output length."""
         return Cost(call.prompt_tokens, max(1, call.max_tokens))
 
     def choose(
@@ -59,14 +59,14 @@
         resumed_tokens: int = 0,
         excluded: frozenset[str] = frozenset(),
     ) -> Choice:
-        """Choose among the ready upstreams of the roles that fit."""
+        """Choose among the ready upstreams whose role fits the next stage."""
         ready = [c for c in candidates if c.name not in excluded and _ready(c)]
         prefill = [c for c in ready if _role(c) is Role.PREFILL]
         others = [c for c in ready if _role(c) is not Role.PREFILL]
         staged = bool(prefill and others) and not resumed_tokens
         pool = prefill if staged else others or ready
         if not pool:
-            return Choice(None, ResultCode.NO_UPSTREAM, BASELINE_RETRY_AFTER)
+            return Choice(None, ResultCode.NO_UPSTREAM, BASELINE_RETRY_AFTER_SECONDS)
         return Choice(self.pick(pool).name, prefill_only=staged)
 
     def pick(self, pool: list[Candidate]) -> Candidate:
@@ -78,12 +78,12 @@
         return True
 
     def on_admitted(self, call: ModelCall | ServiceCall, now: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def on_first_token(
         self, upstream: str, call: ModelCall, cached_tokens: int, now: float
     ) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def on_ended(
         self,
@@ -93,31 +93,31 @@
         output_tokens: int,
         now: float,
     ) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
 
-class RoundRobinEntryPolicy(PlainEntryPolicy):
-    """Each upstream in turn."""
+class RoundRobinEntryPolicy(BaselineEntryPolicy):
+    """Chooses the upstreams in turn."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
-        """Return the next in turn."""
+        """Return the next upstream in the order of names."""
         self.turn += 1
         return sorted(pool, key=lambda c: c.name)[self.turn % len(pool)]
 
 
-class RandomEntryPolicy(PlainEntryPolicy):
-    """Any upstream."""
+class RandomEntryPolicy(BaselineEntryPolicy):
+    """Chooses any upstream at random."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
-        """Return any."""
+        """Return a random upstream."""
         return self.rng.choice(pool)
 
 
-class LeastOutstandingEntryPolicy(PlainEntryPolicy):
-    """The upstream with the fewest requests known to be there."""
+class LeastOutstandingEntryPolicy(BaselineEntryPolicy):
+    """Chooses the upstream with the fewest known outstanding requests."""
 
     def pick(self, pool: list[Candidate]) -> Candidate:
-        """Return the one with the fewest, any of them where several have."""
+        """Return an upstream with the fewest requests; ties are broken at random."""
         counts = [_outstanding(c) for c in pool]
         least = min(counts)
         return self.rng.choice(
@@ -141,7 +141,7 @@
 
 
 class FifoSidePolicy:
-    """First come, first served up to the batch, until the deadline."""
+    """First in, first out, as many at once as the batch holds."""
 
     def __init__(self) -> None:
         self.queue: dict[str, QueueItem] = {}
@@ -157,7 +157,7 @@
         decode_rate: float,
         role: Role | None,
     ) -> None:
-        """Learn the size of the batch."""
+        """Set the batch size and the prefill rate."""
         self.max_streams = max(1, max_streams)
         self.prefill_rate = prefill_rate
 
@@ -167,7 +167,7 @@
         return ResultCode.OK
 
     def next(self, now: float) -> QueueItem | None:
-        """Take the oldest while the batch has a place."""
+        """Return the oldest item if the batch has a free slot."""
         if not self.queue or len(self.started) >= self.max_streams:
             return None
         attempt = next(iter(self.queue))
@@ -176,27 +176,27 @@
         return item
 
     def on_progress(self, attempt: str, tokens: int, now: float) -> None:
-        """Count the tokens still to come."""
+        """Update the output tokens still to come."""
         if attempt in self.started:
             self.started[attempt] = max(0, self.started[attempt] - tokens)
 
     def on_ended(self, attempt: str, now: float) -> None:
-        """Free the place."""
+        """Free the item's slot."""
         self.started.pop(attempt, None)
 
     def withdraw(self, attempt: str) -> bool:
-        """Take a waiting item out."""
+        """Remove a waiting item."""
         return self.queue.pop(attempt, None) is not None
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
-        """Take out what is past its deadline."""
+        """Remove the items that are past their deadline."""
         gone = [i for i in self.queue.values() if now >= i.deadline]
         for item in gone:
             del self.queue[item.attempt]
         return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in gone]
 
     def waiting(self) -> int:
-        """Return how many items wait."""
+        """Return the number of waiting items."""
         return len(self.queue)
 
     def waiting_cost(self) -> Cost:
@@ -211,18 +211,18 @@
         return sum(self.started.values())
 
     def kv_free(self) -> float:
-        """Return the free share of the batch, in place of memory."""
+        """Return the free share of the batch; memory is not tracked."""
         return max(0.0, 1.0 - len(self.started) / self.max_streams)
 
     def speed(self) -> UpstreamSpeed:
-        """Return the stated rate."""
+        """Return the configured rate."""
         return UpstreamSpeed(self.prefill_rate)
 
 
 class FixedShiftPolicy:
     """Never changes a role."""
 
-    def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
+    def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
         """Return ``None``."""
         return None
 
@@ -230,26 +230,26 @@
 class GreedyShiftPolicy:
     """Changes a role whenever one kind of backlog outweighs the other."""
 
-    def decide(self, picture: FleetPicture, now: float) -> RoleChange | None:
-        """Move one engine towards the longer backlog."""
-        if any(e.changing for e in picture.engines):
+    def decide(self, snapshot: GroupSnapshot, now: float) -> RoleChange | None:
+        """Move one engine to the role with the longer backlog."""
+        if any(e.changing for e in snapshot.engines):
             return None
-        prefill = sum(_prefill_backlog(e) for e in picture.engines)
-        decode = sum(_decode_backlog(e) for e in picture.engines)
-        needed = GREEDY_BACKLOG * len(picture.engines)
+        prefill = sum(_prefill_backlog(e) for e in snapshot.engines)
+        decode = sum(_decode_backlog(e) for e in snapshot.engines)
+        needed = GREEDY_MIN_BACKLOG_SECONDS * len(snapshot.engines)
         if prefill > needed and prefill > GREEDY_RATIO * decode:
-            return self._move(picture, Role.DECODE, Role.PREFILL)
+            return self._move(snapshot, Role.DECODE, Role.PREFILL)
         if decode > needed and decode > GREEDY_RATIO * prefill:
-            return self._move(picture, Role.PREFILL, Role.DECODE)
+            return self._move(snapshot, Role.PREFILL, Role.DECODE)
         return None
 
     def _move(
-        self, picture: FleetPicture, source: Role, target: Role
+        self, snapshot: GroupSnapshot, source: Role, target: Role
     ) -> RoleChange | None:
-        allowed = possible_changes(picture, role_counts(picture))
+        allowed = possible_changes(snapshot, role_counts(snapshot))
         for role in (source, Role.MIXED):
             if (role, target) in allowed:
-                engine = min(e.name for e in picture.engines if e.role is role)
+                engine = min(e.name for e in snapshot.engines if e.role is role)
                 return RoleChange(engine, target, "backlog")
         return None
 
--- a/src/bergamotmast/policy/capacity.py
+++ b/src/bergamotmast/policy/capacity.py
@@ -1,7 +1,7 @@
-"""Which share of a demand a group of engines can serve with given roles.
+"""Capacity of a group of engines: the share of a demand it can serve with given roles.
 
-Prefill engines take prompt tokens, decode engines output tokens, and mixed engines
-divide their time between both; the share is the largest multiple of the demand that
+Prefill engines process prompt tokens, decode engines output tokens, and mixed engines
+divide their time between both. The share is the largest multiple of the demand that
 fits, at most 1.
 """
 
@@ -15,58 +15,60 @@
 from .interfaces import EngineView
 
 TARGET_UTILISATION = 0.85
-"""Share of the nominal rates that can be used without queues growing past deadlines."""
+"""Share of the nominal rates that can be used before queues grow past deadlines."""
 
-LEARN_WEIGHT = 0.2
-"""Weight of one report in a role's learned rates."""
+RATE_EWMA_WEIGHT = 0.2
+"""Weight of one report in the moving average of a role's rates."""
 
-_STEPS = 24
+_BISECTION_STEPS = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pair:
-    """Rates of one engine in one role, in tokens a second."""
+class TokenRates:
+    """Prefill and decode rate of one engine in one role, in tokens a second."""
 
     prefill: float
     decode: float
 
 
-PRIOR_RATIOS: dict[Role, Pair] = {
-    Role.MIXED: Pair(1.0, 1.0),
-    Role.PREFILL: Pair(1.25, 0.1),
-    Role.DECODE: Pair(0.1, 1.25),
+PRIOR_RATIOS: dict[Role, TokenRates] = {
+    Role.MIXED: TokenRates(1.0, 1.0),
+    Role.PREFILL: TokenRates(1.25, 0.1),
+    Role.DECODE: TokenRates(0.1, 1.25),
 }
-"""Rates of each role against those of a mixed engine, until a report gives them."""
+"""Rates of each role relative to a mixed engine's, used until a report gives them."""
 
 
 class RoleRates:
-    """Rates of each role, as the engines of the group report them."""
+    """Moving average of the rates that a group's engines report, by role."""
 
     def __init__(self) -> None:
-        self.known: dict[Role, Pair] = {}
+        self.known: dict[Role, TokenRates] = {}
 
     def observe(self, engines: cabc.Sequence[EngineView]) -> None:
-        """Take in the rates of engines that are settled in their role."""
+        """Update the rates from engines whose reported role matches the planned one."""
         for engine in engines:
             report = engine.report
             if report is None or report.role is not engine.role or engine.changing:
                 continue
-            self._learn(engine.role, Pair(report.prefill_rate, report.decode_rate))
+            self._learn(
+                engine.role, TokenRates(report.prefill_rate, report.decode_rate)
+            )
 
-    def _learn(self, role: Role, pair: Pair) -> None:
+    def _learn(self, role: Role, pair: TokenRates) -> None:
         old = self.known.get(role, pair)
-        self.known[role] = Pair(
-            old.prefill + LEARN_WEIGHT * (pair.prefill - old.prefill),
-            old.decode + LEARN_WEIGHT * (pair.decode - old.decode),
+        self.known[role] = TokenRates(
+            old.prefill + RATE_EWMA_WEIGHT * (pair.prefill - old.prefill),
+            old.decode + RATE_EWMA_WEIGHT * (pair.decode - old.decode),
         )
 
-    def of(self, role: Role) -> Pair:
-        """Return a role's rates, from another role's where it was never seen."""
+    def of(self, role: Role) -> TokenRates:
+        """Return a role's rates; for an unseen role, scaled from another role's."""
         if role in self.known:
             return self.known[role]
         for other, pair in self.known.items():
             theirs, ours = PRIOR_RATIOS[other], PRIOR_RATIOS[role]
-            return Pair(
+            return TokenRates(
                 pair.prefill * ours.prefill / theirs.prefill,
                 pair.decode * ours.decode / theirs.decode,
             )
@@ -78,7 +80,7 @@
     low, high = 0.0, 1.0
     if _fits(1.0, counts, rates, demand):
         return 1.0
-    for _ in range(_STEPS):
+    for _ in range(_BISECTION_STEPS):
         middle = (low + high) / 2.0
         if _fits(middle, counts, rates, demand):
             low = middle
--- a/src/bergamotmast/telemetry.py
+++ b/src/bergamotmast/telemetry.py
@@ -6,7 +6,7 @@
 
 from .errors import ResultCode
 from .model import SideReport
-from .policy.size_bands import SizeBand
+from .policy.size_classes import SizeClass
 
 
 class Telemetry(t.Protocol):
@@ -29,7 +29,7 @@
         ...
 
     def on_sized_end(
-        self, request_class: str, band: SizeBand, code: ResultCode
+        self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Record a request's result code by the size class of its prompt."""
         ...
@@ -75,7 +75,7 @@
         """Discard the measurement."""
 
     def on_sized_end(
-        self, request_class: str, band: SizeBand, code: ResultCode
+        self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Discard the measurement."""
 
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -1,4 +1,4 @@
-"""Plain calls through a direct entry: what reaches a replica, what comes back."""
+"""Tests of requests to plain upstreams through a direct entry."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from direct_support import serving
 from direct_support import until
 from platform_standin import SIGNATURE
-from platform_standin import HeadReader
+from platform_standin import HeaderOnlyReplica
 from platform_standin import Received
 from platform_standin import Replica
 from platform_standin import answer
@@ -26,7 +26,7 @@
 
 
 async def test_request_and_answer_pass_unchanged():
-    """Bytes that mean something to HTTP libraries pass as they are."""
+    """Guards against normalization of paths, headers and bodies by HTTP libraries."""
     replica = Replica("i-1", answer(201, b"\x00\xffbody", "X-Own: a, b"))
     async with serving(replica) as entry:
         target = "/order/a%2Fb//c/%7e;x?q=%20+&r=%zz"
@@ -42,8 +42,11 @@
     assert got.headers["x-own"] == "a, b"
 
 
-async def test_nothing_is_added_that_changes_the_answer():
-    """A replica that is asked for an encoding might use it, and sign other bytes."""
+async def test_no_header_is_added_to_a_request():
+    """Guards against added headers such as Accept-Encoding.
+
+    A replica might encode its response and sign other bytes.
+    """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         await entry.ask("/order/x")
@@ -64,10 +67,10 @@
 }
 
 
-async def test_headers_that_are_the_systems_to_set_are_not_passed_on():
-    """A caller sends another's handle or a place in front of the queue.
+async def test_reserved_headers_of_callers_are_not_forwarded():
+    """Guards against forwarding a forged KV handle or priority.
 
-    Passed on, its request would run on memory that belongs to someone else.
+    The request would use the KV cache of another caller or jump the queue.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -88,11 +91,11 @@
         "Content-Length: +5\r\n",
     ],
 )
-async def test_request_of_unsure_length_reaches_nobody(extra):
-    """Two lengths: what one end takes for a body the other takes for a request.
+async def test_request_of_ambiguous_length_is_refused(extra):
+    """Guards against request smuggling by an ambiguous body length.
 
-    The caller gets 400 and the connection is closed, since nobody can say where its
-    next request begins.
+    The caller gets a 400 and the connection is closed, as the start of its next request
+    is unknown.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -110,10 +113,10 @@
     assert replica.received == []
 
 
-async def test_answer_to_another_request_is_not_delivered():
-    """A kept connection holds a late answer where the next one is expected.
+async def test_reply_to_another_request_is_not_forwarded():
+    """Guards against a late reply on a reused connection.
 
-    The caller of the second request must not get the first one's answer.
+    The caller of the second request must not get the reply to the first one.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -127,11 +130,11 @@
     assert "x-response-signature" not in got.headers
 
 
-async def test_second_answer_on_a_kept_connection_is_discarded():
-    """A replica answers twice; the extra bytes come before the next request.
+async def test_duplicate_reply_on_a_reused_connection_is_discarded():
+    """Guards against taking a duplicate reply for the reply to the next request.
 
-    Both callers get their own answers, the second after another try elsewhere or on
-    another connection.
+    A replica replies twice before the next request. Each caller gets its own response,
+    if need be after a retry elsewhere or on another connection.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -153,11 +156,12 @@
     assert bodies == [(200, f"for id-{n}".encode()) for n in range(4)]
 
 
-async def test_connection_with_bytes_nobody_asked_for_is_closed():
-    """A replica answers twice; the extra answer lies there when the next call comes.
+async def test_connection_with_unexpected_data_is_not_reused():
+    """Guards against reusing a connection with unexpected data.
 
-    That call must not go over the connection: it would run, its answer would be taken
-    for another's, and the caller would wait for it to run a second time elsewhere.
+    A replica replies twice, and the duplicate has arrived before the next request. Sent
+    on that connection, the request would run, its reply would be rejected as another
+    request's, and it would run a second time elsewhere.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -181,12 +185,12 @@
 
 
 async def test_refusal_before_the_body_is_read_reaches_the_caller_at_once():
-    """A replica refuses a long body from its head alone and reads no further.
+    """Guards against waiting until a long body is written before reading the reply.
 
-    Its caller must not wait until the rest is written, which may be never; and no
-    other call may follow on a connection on which the rest of a body is due.
+    A replica refuses the request after its headers and reads no further, so that the
+    rest may never be written. No other request may be sent on that connection.
     """
-    replica = HeadReader("i-1", b"too much")
+    replica = HeaderOnlyReplica("i-1", b"too much")
     document = config(**{"max-body-bytes": 10_000_000})
     async with serving(replica, document=document) as entry:
         async with asyncio.timeout(1.0):
@@ -199,8 +203,8 @@
     assert replica.connections == 2
 
 
-async def test_success_without_signature_is_none():
-    """Something that is no replica answers 200; the order may or may not have run."""
+async def test_success_without_signature_is_not_forwarded():
+    """Guards against forwarding a 200 that no replica has signed."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -212,8 +216,8 @@
 
 
 @pytest.mark.parametrize("broken", [True, False])
-async def test_body_without_length_is_whole_only_after_a_clean_end(broken):
-    """A body that ends with its connection: a reset is no end of it."""
+async def test_body_without_length_is_complete_only_after_a_normal_close(broken):
+    """Guards against taking a reset for the end of a body without a length."""
 
     async def script(replica: Replica, received: Received, writer) -> None:
         writer.write(head(200, received.request_id) + b"half of it")
@@ -232,8 +236,11 @@
 
 
 @pytest.mark.parametrize("cut", ["in the head", "in the body"])
-async def test_order_whose_answer_is_cut_off_is_not_sent_again(cut):
-    """The replica ran the order and died: only "unknown" is true, and one run."""
+async def test_order_with_truncated_reply_is_not_retried(cut):
+    """Guards against running an order twice.
+
+    The replica ran it and died, so that its outcome is unknown.
+    """
 
     async def script(replica: Replica, received: Received, writer) -> None:
         if cut == "in the body":
@@ -249,8 +256,8 @@
     assert sum(len(replica.received) for replica in replicas) == 1
 
 
-async def test_refusal_that_did_not_run_is_passed_on_as_such():
-    """The one replica that an order may be sent to is full: come back, it never ran."""
+async def test_refusal_as_not_run_is_forwarded():
+    """The only replica that an order may be sent to is full: the caller may retry."""
     replicas = [Replica(f"i-{n}", not_run()) for n in range(2)]
     async with serving(*replicas) as entry:
         got = await entry.ask("/order/x")
@@ -260,10 +267,11 @@
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-async def test_status_that_promises_too_much_is_not_passed_on(status):
-    """A replica says 503 without the mark that nothing ran: it may have run.
+async def test_unconfirmed_not_run_status_is_not_forwarded(status):
+    """Guards against forwarding a status that says that a request was not run.
 
-    A 421 is such a mark by itself.
+    A replica's 503 without the header that confirms it may come after the request ran.
+    A 421 needs no such header.
     """
     replica = Replica("i-1", answer(status, b"busy"))
     async with serving(replica) as entry:
@@ -271,8 +279,8 @@
     assert got.status == (503 if status == 421 else 502)
 
 
-async def test_replica_that_is_not_there_costs_nothing():
-    """Nobody listens at one address: nothing was sent, so an order may go elsewhere."""
+async def test_refused_connection_does_not_count_as_an_attempt():
+    """If a connection is refused, nothing was sent: an order may be sent elsewhere."""
     gone, sound = Replica("i-1", answer()), Replica("i-2", answer())
     async with serving(gone, sound) as entry:
         gone.server.close()
@@ -282,8 +290,8 @@
     assert len(sound.received) == 6
 
 
-async def test_failure_of_an_idempotent_call_is_tried_elsewhere():
-    """One replica fails; the caller sees the other's answer, and one second send."""
+async def test_failed_idempotent_request_is_retried_elsewhere():
+    """One replica fails, and the caller gets the other's response after one retry."""
     replicas = [Replica("i-1", answer(500, b"no")), Replica("i-2", answer())]
     async with serving(*replicas) as entry:
         statuses = [
@@ -292,7 +300,7 @@
     assert statuses == [200] * 4
 
 
-async def test_failure_everywhere_is_the_replicas_own_answer():
+async def test_last_failure_is_forwarded_if_all_attempts_fail():
     replicas = [Replica(f"i-{n}", answer(500, b"no")) for n in range(3)]
     async with serving(*replicas) as entry:
         got = await entry.ask("/read/x")
@@ -301,10 +309,11 @@
     assert sum(len(replica.received) for replica in replicas) == 2
 
 
-async def test_hanging_replica_holds_no_idempotent_call():
-    """A replica takes a call and says nothing; another answers well before the end.
+async def test_hanging_replica_does_not_delay_idempotent_requests():
+    """Guards against waiting for a hanging replica until the deadline.
 
-    The first one is told by the close that nobody waits any more.
+    Another replica responds in time, and the connection to the first one is closed to
+    cancel the request.
     """
     stuck, sound = Replica("i-1", hang()), Replica("i-2", answer())
     async with serving(stuck, sound) as entry:
@@ -317,8 +326,8 @@
     assert time.monotonic() - began < 1.0
 
 
-async def test_caller_that_leaves_takes_its_call_along():
-    """A caller closes its connection; within half a second the replica's is closed."""
+async def test_disconnect_of_a_caller_cancels_its_request():
+    """A caller disconnects: the connection to the replica is closed within 0.5 s."""
     replica = Replica("i-1", hang())
     async with serving(replica) as entry:
         _, writer = await entry.connect()
@@ -328,10 +337,10 @@
         await until(lambda: replica.closed == ["id-1"], 0.5)
 
 
-async def test_time_left_goes_on_and_the_route_ends_a_call():
-    """The replica hears what is left, and a hanging one ends at the route's time.
+async def test_remaining_time_is_forwarded_and_bounded_by_the_route():
+    """The remaining time is forwarded, and a request ends at its route's timeout.
 
-    The order was sent, so that the answer can't be a promise that it never ran.
+    The order was sent, so that the response must not say that it was not run.
     """
     replica = Replica("i-1", hang())
     document = config(routes=[route("/order/", "unsafe", **{"timeout-ms": 300})])
@@ -344,7 +353,7 @@
     assert 0 < int(replica.received[0].headers["x-deadline-ms"]) <= 300
 
 
-async def test_callers_own_time_goes_before_the_routes():
+async def test_shorter_deadline_of_a_caller_overrides_the_routes_timeout():
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         await entry.ask("/order/x", X_Deadline_Ms="700")
@@ -361,7 +370,7 @@
         ({"Host": "elsewhere.example"}, 404),
     ],
 )
-async def test_request_that_makes_no_sense_is_refused(headers, status):
+async def test_invalid_request_is_refused(headers, status):
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
         got = await entry.ask("/order/x", **headers)
@@ -369,8 +378,8 @@
     assert replica.received == []
 
 
-async def test_no_configuration_yet_is_not_the_callers_fault():
-    """An entry that has just started must not say 404: nobody comes back after it."""
+async def test_missing_configuration_is_refused_as_temporary():
+    """Guards against a 404 from an entry that has just started: callers don't retry."""
     async with serving(document={}) as entry:
         got = await entry.ask("/order/x")
         assert got.status == 503
@@ -380,15 +389,16 @@
         assert (await entry.ask("/nowhere/x")).status == 404
 
 
-async def test_entry_that_has_just_started_keeps_its_first_callers():
-    """All entries were down; callers come back the moment one listens again.
+async def test_first_requests_wait_for_the_initial_load():
+    """Guards against refusing requests before the initial load from the store.
 
-    The first reading of the store takes some 40 ms more. They wait for it: refused,
-    each would come back half a second later, and late.
+    After an outage of all entries, callers connect as soon as one listens again. The
+    initial load takes about 40 ms more; a refusal would delay each caller by half a
+    second.
     """
     replica = Replica("i-1", answer())
     async with serving(replica, document={}) as entry:
-        entry.fleet.settled = False
+        entry.fleet.upstreams_loaded = False
         asking = asyncio.create_task(entry.ask("/read/x"))
         await asyncio.sleep(0.1)
         assert not asking.done()
@@ -399,7 +409,7 @@
     assert got.status == 200
 
 
-async def test_body_beyond_the_operators_limit():
+async def test_body_over_the_configured_limit_is_refused():
     replica = Replica("i-1", answer())
     document = config(**{"max-body-bytes": 100})
     async with serving(replica, document=document) as entry:
@@ -408,10 +418,11 @@
     assert replica.received == []
 
 
-async def test_answer_before_the_body_is_read_keeps_the_connection_in_step():
-    """A replica refuses a long body before it has come and reads on later.
+async def test_reply_before_the_body_is_read_does_not_corrupt_the_connection():
+    """Guards against a reused connection on which the rest of a body is still due.
 
-    The next call on that connection, or on a new one, is read from its beginning.
+    A replica responds before it has read a long body. The next request, on that
+    connection or on a new one, is read from its start.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -434,11 +445,12 @@
         writer.close()
 
 
-async def test_order_never_goes_over_a_kept_connection():
-    """A replica drops idle connections without a word; a request on one is reset.
+async def test_order_is_sent_on_a_new_connection():
+    """Guards against orders of unknown outcome because of an idle connection.
 
-    For an order that reset would mean "may have run" though nobody read it. It goes
-    over a connection of its own, so that the caller gets its answer.
+    A replica closes idle connections without notice, and a request sent on one is
+    reset. An order could then have run, although it was never read. It is sent on a new
+    connection.
     """
     replica = Replica("i-1", answer())
     async with serving(replica) as entry:
@@ -450,11 +462,11 @@
     assert replica.connections == before + 3
 
 
-async def test_leaving_replica_gets_no_second_send_either():
-    """A call fails at one replica while the other starts to leave.
+async def test_leaving_replica_gets_no_retry():
+    """Guards against a retry at a replica that is leaving.
 
-    The second send must look at the members anew: what waited is held to the bound
-    for leaving replicas, too.
+    A request fails at one replica while the other starts to leave: the retry must use
+    the current members.
     """
     leaving = Replica("i-2", answer())
 
@@ -464,7 +476,7 @@
 
     failing = Replica("i-1", script)
     async with serving(failing, leaving) as entry:
-        # In another zone, so that the first send goes to the failing one.
+        # In another zone, so that the first attempt is made at the failing replica.
         entry.register(leaving, zone="zone-b")
         got = await entry.ask("/read/x")
     assert got.status == 500
@@ -473,11 +485,11 @@
 
 
 @pytest.mark.parametrize("second", ["refuses", "is not there"])
-async def test_refusal_after_a_lost_answer_does_not_say_that_nothing_ran(second):
-    """One replica runs a call and its answer is lost; the next one runs nothing.
+async def test_refusal_after_a_lost_reply_is_of_unknown_outcome(second):
+    """Guards against a 503 for a request that may have run.
 
-    The call may have run, whatever the second replica says of itself: 503 would
-    promise the caller that it did not.
+    One replica runs the request and its reply is lost; the second one refuses it. The
+    refusal says nothing about the first attempt.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -485,7 +497,7 @@
 
     lost, refusing = Replica("i-1", script), Replica("i-2", not_run())
     async with serving(lost, refusing) as entry:
-        # In another zone, so that the first send goes to the one that loses it.
+        # In another zone, so that the first attempt is made where the reply is lost.
         entry.register(refusing, zone="zone-b")
         if second == "is not there":
             refusing.server.close()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -5,12 +5,12 @@
 from bergamotmast.adapters.metrics import MAX_TENANTS
 from bergamotmast.adapters.metrics import OpenTelemetryMetrics
 from bergamotmast.errors import ResultCode
-from bergamotmast.policy.size_bands import SizeBand
+from bergamotmast.policy.size_classes import SizeClass
 
 
 def test_series_stay_bounded_whatever_callers_send():
-    # A thousand tenants call one process. Their series must not grow with them: the
-    # first ones keep their own, the others share one.
+    # A thousand tenants call one process. The number of series must not grow with them:
+    # the first tenants have their own series, and the others share one.
     metrics = OpenTelemetryMetrics("entry-1")
     for number in range(1000):
         metrics.on_first_token(f"tenant-{number}", "check", 0.2)
@@ -38,7 +38,7 @@
 )
 def test_ends_are_counted_by_size_of_the_prompt(code, result):
     metrics = OpenTelemetryMetrics("entry-1")
-    metrics.on_sized_end("report", SizeBand.LARGEST, code)
+    metrics.on_sized_end("report", SizeClass.LARGEST, code)
     (line,) = [
         line
         for line in metrics.exposition().decode().splitlines()
