--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -169,7 +169,7 @@
         """Record the time from a request's arrival to its first token."""
         self._observe(self.first_token, tenant, request_class, seconds)
 
-    def on_between_tokens(
+    def on_inter_token_latency(
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
         """Record the time per token for the tokens of one chunk."""
@@ -183,7 +183,7 @@
         labels = {"class": self.classes(request_class), "code": code.name.lower()}
         self.ended.add(1, labels)
 
-    def on_sized_end(
+    def on_ended_by_size(
         self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Record the end of a request by the size class of its prompt."""
@@ -212,7 +212,7 @@
         """Count a message of a type that only a later protocol version knows."""
         self.unknown.add(1)
 
-    def on_second_send(self, group: str, *, allowed: bool) -> None:
+    def on_retry(self, group: str, *, allowed: bool) -> None:
         """Count a retry to a group, or one that the retry budget refused."""
         labels = {"group": self.classes(group), "allowed": str(allowed).lower()}
         self.second_sends.add(1, labels)
--- a/src/bergamotmast/app.py
+++ b/src/bergamotmast/app.py
@@ -25,7 +25,7 @@
 from .entry.http import CallerLimits
 from .entry.http import EntryHttp
 from .history import HistorySink
-from .model import NO_TOKEN
+from .model import NO_FENCING_TOKEN
 from .model import EngineState
 from .model import Readiness
 from .planner.election import LEASE_SECONDS
@@ -55,7 +55,7 @@
 
 ADMIN_PATH = "/admin/v1"
 
-SERVICE_RATE = 1e6
+SERVICE_TOKENS_PER_SECOND = 1e6
 """Nominal token rate of a plain service, whose calls count as one token each."""
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ProcessParts:
+class ProcessDependencies:
     """Dependencies that every process needs.
 
     :param name: unique name; a side has the name of its upstream.
@@ -94,7 +94,7 @@
         return f"{self.name}-{self.rng.getrandbits(48):012x}"
 
 
-class UnpacedWeights:
+class UnlimitedWeightStore:
     """Weight store without known limits, so that model loads are not paced."""
 
     async def sizes(self) -> dict[str, float]:
@@ -125,7 +125,7 @@
 
     def __init__(
         self,
-        parts: ProcessParts,
+        parts: ProcessDependencies,
         dialer: Dialer,
         instance_list: InstanceList,
         weights: WeightStore | None = None,
@@ -154,7 +154,10 @@
             self.planner = self._new_planner(parts, weights, lease_seconds)
 
     def _new_planner(
-        self, parts: ProcessParts, weights: WeightStore | None, lease_seconds: int
+        self,
+        parts: ProcessDependencies,
+        weights: WeightStore | None,
+        lease_seconds: int,
     ) -> Planner:
         planner = Planner(
             election=PlannerElection(parts.kv, parts.name, parts.rng, lease_seconds),
@@ -164,7 +167,7 @@
             holder=self.holder,
             fleet=EntryFleetView(self.core.membership),
             policy=parts.policies.shift_policy(),
-            weights=weights or UnpacedWeights(),
+            weights=weights or UnlimitedWeightStore(),
             rng=parts.rng,
         )
         self.core.membership.observes_all = lambda: planner.planning
@@ -206,7 +209,7 @@
 
     def __init__(
         self,
-        parts: ProcessParts,
+        parts: ProcessDependencies,
         listener: Listener,
         runner: Runner,
     ) -> None:
@@ -242,7 +245,9 @@
         self.listener.close()
 
 
-def engine_side(parts: ProcessParts, listener: Listener, engine: Engine) -> SideProcess:
+def engine_side(
+    parts: ProcessDependencies, listener: Listener, engine: Engine
+) -> SideProcess:
     """Create the side of a model engine."""
     side = SideProcess(parts, listener, EngineRunner(engine))
     reconciler = OrderReconciler(
@@ -260,7 +265,10 @@
 
 
 def service_side(
-    parts: ProcessParts, listener: Listener, service: PlainService, concurrency: int
+    parts: ProcessDependencies,
+    listener: Listener,
+    service: PlainService,
+    concurrency: int,
 ) -> SideProcess:
     """Create the side of a plain service.
 
@@ -271,11 +279,11 @@
         boot_id="",
         assignment=None,
         changing=False,
-        token=NO_TOKEN,
+        token=NO_FENCING_TOKEN,
         max_streams=concurrency,
         kv_capacity=concurrency * 2,
-        prefill_rate=SERVICE_RATE,
-        decode_rate=SERVICE_RATE,
+        prefill_rate=SERVICE_TOKENS_PER_SECOND,
+        decode_rate=SERVICE_TOKENS_PER_SECOND,
     )
     side.core.on_engine_state(state, Readiness.READY)
     return side
--- a/src/bergamotmast/backoff.py
+++ b/src/bergamotmast/backoff.py
@@ -4,8 +4,8 @@
 
 import random
 
-FIRST_DELAY_SECONDS = 0.2
-LONGEST_DELAY_SECONDS = 5.0
+INITIAL_DELAY_SECONDS = 0.2
+MAX_DELAY_SECONDS = 5.0
 
 
 class Backoff:
@@ -16,27 +16,27 @@
     Drawing each delay uniformly between zero and the current bound spreads them.
 
     :param rng: source of the jitter.
-    :param first: bound of the first delay, seconds.
-    :param longest: maximum that the bound grows to, seconds.
+    :param initial: bound of the first delay, seconds.
+    :param maximum: maximum that the bound grows to, seconds.
     """
 
     def __init__(
         self,
         rng: random.Random,
-        first: float = FIRST_DELAY_SECONDS,
-        longest: float = LONGEST_DELAY_SECONDS,
+        initial: float = INITIAL_DELAY_SECONDS,
+        maximum: float = MAX_DELAY_SECONDS,
     ) -> None:
         self.rng = rng
-        self.first = first
-        self.longest = longest
-        self.bound = first
+        self.initial = initial
+        self.maximum = maximum
+        self.bound = initial
 
     def next_delay(self) -> float:
         """Return the next delay, in seconds, and double the bound."""
         delay = self.rng.uniform(0.0, self.bound)
-        self.bound = min(self.bound * 2, self.longest)
+        self.bound = min(self.bound * 2, self.maximum)
         return delay
 
     def reset(self) -> None:
         """Reset the bound to its first value after a success."""
-        self.bound = self.first
+        self.bound = self.initial
--- a/src/bergamotmast/bench/capacity_fleet.py
+++ b/src/bergamotmast/bench/capacity_fleet.py
@@ -12,7 +12,7 @@
 from ..adapters.memory import MemoryLink
 from ..adapters.memory import MemoryNetwork
 from ..app import EntryProcess
-from ..app import ProcessParts
+from ..app import ProcessDependencies
 from ..app import SideProcess
 from ..app import engine_side
 from ..config.document import Configuration
@@ -141,10 +141,10 @@
         zone = f"zone-{int(name[-4:]) % ZONES}"
         return InstanceInfo(name, UpstreamKind.ENGINE, zone, name, f"http://{name}")
 
-    def _parts(self, name: str, zone: str) -> ProcessParts:
+    def _parts(self, name: str, zone: str) -> ProcessDependencies:
         client = CountingClient(self.kv, name)
         self.clients[name] = client
-        return ProcessParts(
+        return ProcessDependencies(
             name=name,
             zone=zone,
             kv=client,
--- a/src/bergamotmast/bench/run.py
+++ b/src/bergamotmast/bench/run.py
@@ -123,7 +123,7 @@
             prompt_tokens=request.prompt_tokens,
             max_tokens=MAX_TOKENS,
             prefix_key=request.prefix or "",
-            first_token_by=min(first, due),
+            first_token_deadline=min(first, due),
             deadline=due,
         )
 
--- a/src/bergamotmast/bounded_log.py
+++ b/src/bergamotmast/bounded_log.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-MOST_WAITING_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Buffer size for a slow reader; lines that don't fit are dropped and counted."""
 
-LINES_A_SECOND = 400
+MAX_LINES_PER_SECOND = 400
 """Rate limit of lines below the warning level, about four times the usual rate of an
 entry. Warnings and errors are not limited."""
 
@@ -32,7 +32,7 @@
 
     If the reader of a pipe stops, a blocking write would stall all requests of the
     process. The descriptor is therefore set to non-blocking mode. Lines that it doesn't
-    accept are buffered up to :data:`MOST_WAITING_BYTES` and then dropped, and the next
+    accept are buffered up to :data:`MAX_BUFFERED_BYTES` and then dropped, and the next
     written line gives the number of dropped lines.
 
     :param descriptor: file descriptor to write to, usually standard output.
@@ -43,8 +43,8 @@
         super().__init__()
         self.descriptor = descriptor
         self.process_name = process_name
-        self.waiting: collections.deque[bytes] = collections.deque()
-        self.waiting_bytes = 0
+        self.buffered_lines: collections.deque[bytes] = collections.deque()
+        self.buffered_bytes = 0
         self.dropped = 0
         self.second = 0
         self.lines = 0
@@ -62,33 +62,33 @@
             # its caller would get a closed connection instead of a response.
             self.dropped += 1
             return
-        if self.waiting_bytes + len(line) > MOST_WAITING_BYTES:
+        if self.buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
         else:
-            self.waiting.append(line)
-            self.waiting_bytes += len(line)
+            self.buffered_lines.append(line)
+            self.buffered_bytes += len(line)
             # Reset only now, as the line that reports the count could be dropped too.
             self.dropped = 0
         self.flush()
 
     def flush(self) -> None:
         """Write as much of the buffer as the descriptor accepts."""
-        while self.waiting:
-            line = self.waiting[0]
+        while self.buffered_lines:
+            line = self.buffered_lines[0]
             try:
                 written = os.write(self.descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
                 # The reader has closed the pipe; the process must continue to serve.
-                self.waiting.clear()
-                self.waiting_bytes = 0
+                self.buffered_lines.clear()
+                self.buffered_bytes = 0
                 return
-            self.waiting_bytes -= written
+            self.buffered_bytes -= written
             if written < len(line):
-                self.waiting[0] = line[written:]
+                self.buffered_lines[0] = line[written:]
                 return
-            self.waiting.popleft()
+            self.buffered_lines.popleft()
 
     def _is_within_rate_limit(self, record: logging.LogRecord) -> bool:
         second = int(record.created)
@@ -96,7 +96,7 @@
             self.second = second
             self.lines = 0
         self.lines += 1
-        return self.lines <= LINES_A_SECOND or record.levelno >= logging.WARNING
+        return self.lines <= MAX_LINES_PER_SECOND or record.levelno >= logging.WARNING
 
     def _encode(self, record: logging.LogRecord) -> bytes:
         fields: dict[str, t.Any] = {
--- a/src/bergamotmast/checker/fleet.py
+++ b/src/bergamotmast/checker/fleet.py
@@ -21,7 +21,7 @@
 from ..history import ProcessStopped
 from ..history import ProcessUnreachable
 from ..history import StayingAnnounced
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import FencingToken
 from .rules import Check
 from .rules import Limits
@@ -72,7 +72,7 @@
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
     """Find accepted plans whose fencing token is not above the one before."""
-    last = NO_TOKEN
+    last = NO_FENCING_TOKEN
     for record in records:
         if not isinstance(record, PlanWritten):
             continue
--- a/src/bergamotmast/claims/store.py
+++ b/src/bergamotmast/claims/store.py
@@ -88,7 +88,7 @@
         self._deferred: collections.OrderedDict[str, Step] = collections.OrderedDict()
         self._deferred_due = 0.0
         self._own_claims: collections.OrderedDict[str, Step] = collections.OrderedDict()
-        self._backoff = Backoff(rng, first=1.0, longest=MAX_RETRY_DELAY_SECONDS)
+        self._backoff = Backoff(rng, initial=1.0, maximum=MAX_RETRY_DELAY_SECONDS)
         self._wake = asyncio.Event()
 
     async def claim(self, key: str, digest: bytes) -> ServiceAnswer | None:
--- a/src/bergamotmast/commands/config.py
+++ b/src/bergamotmast/commands/config.py
@@ -33,7 +33,7 @@
 from ..settings import load_settings
 from .connect import open_key_value
 
-LABEL_ATTEMPTS = 5
+MAX_LABEL_ATTEMPTS = 5
 """Maximum number of attempts to change labels when other edits conflict."""
 
 
@@ -210,7 +210,7 @@
     """Change the labels of an upstream in the current configuration."""
     changes = parse_label_changes(arguments.labels)
     async with _open_store(arguments) as store:
-        for attempt in range(1, LABEL_ATTEMPTS + 1):
+        for attempt in range(1, MAX_LABEL_ATTEMPTS + 1):
             current = (await store.read()).configuration
             proposed = with_labels(current, arguments.upstream, changes)
             try:
@@ -219,7 +219,7 @@
                 )
                 break
             except EditConflictError:
-                if attempt == LABEL_ATTEMPTS:
+                if attempt == MAX_LABEL_ATTEMPTS:
                     raise
     _print_diff(current, accepted, False)
     _print_accepted(accepted)
--- a/src/bergamotmast/commands/status.py
+++ b/src/bergamotmast/commands/status.py
@@ -14,7 +14,7 @@
 from ..errors import BergamotmastError
 from ..errors import SettingError
 
-TIMEOUT = aiohttp.ClientTimeout(total=10.0)
+REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=10.0)
 
 CLEAR_SCREEN = "\x1b[2J\x1b[H"
 
@@ -83,7 +83,7 @@
     address = url.rstrip("/") + "/admin/v1/fleet"
     try:
         async with (
-            aiohttp.ClientSession(timeout=TIMEOUT) as session,
+            aiohttp.ClientSession(timeout=REQUEST_TIMEOUT) as session,
             session.get(address, headers=headers) as response,
         ):
             body = await response.read()
--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..errors import BergamotmastError
-from ..key_watch import follow
+from ..key_watch import watch_keys
 from ..ports import KeyValueService
 from ..ports import WatchEvent
 from .delta import apply_delta
@@ -84,7 +84,7 @@
 
     async def _watch_digest_keys(self) -> None:
         async with contextlib.aclosing(
-            follow(self.kv, DIGEST_KEY_PREFIX, self.rng)
+            watch_keys(self.kv, DIGEST_KEY_PREFIX, self.rng)
         ) as digest_keys:
             async for found in digest_keys:
                 is_gone = isinstance(found, WatchEvent) and found.value is None
--- a/src/bergamotmast/connections.py
+++ b/src/bergamotmast/connections.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-HEAD_SECONDS = 0.5
+HEADER_TIMEOUT_SECONDS = 0.5
 """Time for the rest of partly received headers during a shutdown. A caller that sends
 byte by byte must not delay the end of the process for longer."""
 
@@ -22,16 +22,16 @@
     """Connection of one caller.
 
     :param receive_count: number of times that data was received.
-    :param head_until: deadline for the rest of partly received headers, seconds on the
-        event loop's clock; ``None`` if no headers are being received.
+    :param header_deadline: deadline for the rest of partly received headers, seconds on
+        the event loop's clock; ``None`` if no headers are being received.
     """
 
-    __slots__ = ("head_until", "receive_count")
+    __slots__ = ("header_deadline", "receive_count")
 
     def __init__(self, manager: web.Server, **options: t.Any) -> None:
         super().__init__(manager, **options)
         self.receive_count = 0
-        self.head_until: float | None = None
+        self.header_deadline: float | None = None
 
     def data_received(self, data: bytes) -> None:
         """Process received data; start the deadline of headers that are incomplete."""
@@ -39,13 +39,15 @@
         self.receive_count += 1
         waits_for_head = self._waiter is not None and not self._waiter.done()
         if not waits_for_head:
-            self.head_until = None
-        elif self.head_until is None:
-            self.head_until = asyncio.get_running_loop().time() + HEAD_SECONDS
+            self.header_deadline = None
+        elif self.header_deadline is None:
+            self.header_deadline = (
+                asyncio.get_running_loop().time() + HEADER_TIMEOUT_SECONDS
+            )
 
-    def is_within_head(self, now: float) -> bool:
+    def is_receiving_headers(self, now: float) -> bool:
         """Return whether partly received headers may still be completed in time."""
-        return self.head_until is not None and now < self.head_until
+        return self.header_deadline is not None and now < self.header_deadline
 
 
 class ConnectionServer(web.Server):
--- a/src/bergamotmast/daemons.py
+++ b/src/bergamotmast/daemons.py
@@ -26,7 +26,7 @@
 from .adapters.zeromq import ZmqDialer
 from .adapters.zeromq import ZmqListener
 from .app import EntryProcess
-from .app import ProcessParts
+from .app import ProcessDependencies
 from .app import SideProcess
 from .app import engine_side
 from .app import service_side
@@ -35,13 +35,13 @@
 from .errors import SettingError
 from .history import NullHistory
 from .lifecycle import METRICS_PATH
-from .lifecycle import Ending
-from .lifecycle import address_errors
+from .lifecycle import Shutdown
+from .lifecycle import bind_errors
+from .lifecycle import install_signal_handlers
 from .lifecycle import metrics_handler
 from .lifecycle import run_background_tasks
-from .lifecycle import told_to_end
 from .policy.presets import PRESETS
-from .serving import Listening
+from .serving import HttpListener
 from .settings import EntrySettings
 from .settings import SharedSettings
 from .settings import SideSettings
@@ -51,10 +51,10 @@
 
 logger = logging.getLogger(__name__)
 
-CLAIMS_SECONDS = 1.0
+CLAIM_FLUSH_TIMEOUT_SECONDS = 1.0
 """Timeout of the last writes of claims; the key-value service may be unresponsive."""
 
-FINAL_ANSWER_SECONDS = 2.0
+FINAL_RESPONSE_SECONDS = 2.0
 """Time after ``--shutdown-seconds`` for the responses to aborted requests: a side's
 reply takes up to 0.5 s, the write that ends a call's claim up to 1 s."""
 
@@ -65,7 +65,7 @@
     A failed background task starts the same shutdown: most running requests don't
     depend on the task and would otherwise be cut off.
     """
-    shutdown = Ending(told_to_end())
+    shutdown = Shutdown(install_signal_handlers())
     async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
         parts = _parts(settings, _key_value_client(settings, session), metrics)
@@ -81,7 +81,7 @@
         limits = CallerLimits(settings.max_body_bytes, settings.max_context_tokens)
         application = entry.application(limits)
         application.router.add_get(METRICS_PATH, metrics_handler(metrics))
-        callers = Listening(
+        callers = HttpListener(
             application, settings.listen_address, entry.busy, _tls(settings)
         )
         async with (
@@ -98,19 +98,19 @@
 
     A failed background task starts the same shutdown.
     """
-    shutdown = Ending(told_to_end())
+    shutdown = Shutdown(install_signal_handlers())
     async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
         parts = _parts(settings, _key_value_client(settings, session), metrics)
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
-        with address_errors(settings.listen_address):
+        with bind_errors(settings.listen_address):
             listener = ZmqListener(context, settings.listen_address, keys)
         side = _side(settings, parts, listener, session)
         application = web.Application()
         application.router.add_get(METRICS_PATH, metrics_handler(metrics))
         async with contextlib.AsyncExitStack() as stack:
             if settings.metrics_address:
-                metrics_listening = Listening(application, settings.metrics_address)
+                metrics_listening = HttpListener(application, settings.metrics_address)
                 await stack.enter_async_context(_serving(metrics_listening))
             await stack.enter_async_context(
                 run_background_tasks(side.background_tasks(), shutdown)
@@ -126,7 +126,7 @@
 
 def _side(
     settings: SideSettings,
-    parts: ProcessParts,
+    parts: ProcessDependencies,
     listener: ZmqListener,
     session: aiohttp.ClientSession,
 ) -> SideProcess:
@@ -166,12 +166,12 @@
 
 def _parts(
     settings: SharedSettings, kv: KeyValueService, metrics: OpenTelemetryMetrics
-) -> ProcessParts:
+) -> ProcessDependencies:
     policies = PRESETS.get(settings.policy)
     if policies is None:
         allowed = f"one of {', '.join(PRESETS)}"
         raise SettingError("--policy", settings.policy, allowed)
-    return ProcessParts(
+    return ProcessDependencies(
         name=settings.name,
         zone=settings.zone,
         kv=kv,
@@ -198,8 +198,8 @@
 
 
 @contextlib.asynccontextmanager
-async def _serving(listening: Listening) -> cabc.AsyncIterator[None]:
-    with address_errors(listening.address):
+async def _serving(listening: HttpListener) -> cabc.AsyncIterator[None]:
+    with bind_errors(listening.address):
         await listening.start()
     try:
         yield
@@ -208,7 +208,7 @@
 
 
 async def _shut_down_entry(
-    entry: EntryProcess, callers: Listening, seconds: float
+    entry: EntryProcess, callers: HttpListener, seconds: float
 ) -> None:
     """Serve until callers are routed elsewhere and all requests have a response."""
     requested_at = asyncio.get_running_loop().time()
@@ -217,9 +217,9 @@
     if not await callers.drain(requested_at + READINESS_DRAIN_SECONDS, end_by):
         logger.warning("work in flight did not end within %g s", seconds)
         entry.core.abort_requests()
-        await callers.wait_until_closed(end_by + FINAL_ANSWER_SECONDS)
+        await callers.wait_until_closed(end_by + FINAL_RESPONSE_SECONDS)
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(CLAIMS_SECONDS):
+        async with asyncio.timeout(CLAIM_FLUSH_TIMEOUT_SECONDS):
             await entry.claims.flush()
 
 
--- a/src/bergamotmast/demo.py
+++ b/src/bergamotmast/demo.py
@@ -36,15 +36,15 @@
 from .model import Role
 from .standins.engine_text import expected_text
 
-SECONDS = 10.0
+TRAFFIC_SECONDS = 10.0
 """Duration of the generated traffic."""
 
-CHANGE_SELECTOR_AT = 2.0
-DRAIN_AT = 4.0
+SELECTOR_CHANGE_AT_SECONDS = 2.0
+DRAIN_AT_SECONDS = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClassFigures:
+class ClassLatencies:
     """Latency percentiles of a request class, in seconds.
 
     :param sent: number of calls sent.
@@ -65,20 +65,21 @@
     :param role_changes: number of orders that changed an engine's role; the others
         changed its models or adapters.
     :param violations: violations of the system's promises, found in the history.
-    :param drained_without_a_cut: whether the drained engine completed its work in time.
+    :param drained_without_interruption: whether the drained engine completed its work
+        in time.
     """
 
     summary: Summary
     orders: int
     role_changes: int
-    classes: dict[str, ClassFigures]
+    classes: dict[str, ClassLatencies]
     violations: tuple[Violation, ...]
-    drained_without_a_cut: bool
+    drained_without_interruption: bool
 
     @property
     def passed(self) -> bool:
         """Whether no promise was violated."""
-        return not self.violations and self.drained_without_a_cut
+        return not self.violations and self.drained_without_interruption
 
 
 def role_changes(orders: cabc.Iterable[OrderTaken], initial_role: Role) -> int:
@@ -119,7 +120,7 @@
 ) -> cabc.Iterator[PlannedCall]:
     for _ in range(count):
         request = TraceRequest(
-            at=rng.uniform(0, SECONDS),
+            at=rng.uniform(0, TRAFFIC_SECONDS),
             tenant=rng.choice(("notaries", "hospitals")),
             klass=request_class,
             model=MODEL,
@@ -137,7 +138,7 @@
     for _ in range(count):
         request_id = f"demo-{next(numbers)}"
         request = TraceRequest(
-            at=rng.uniform(0, SECONDS),
+            at=rng.uniform(0, TRAFFIC_SECONDS),
             tenant="notaries",
             klass="counter",
             repeatable=route != "orders",
@@ -172,7 +173,7 @@
         role_changes=role_changes(orders, fleet.plan.assignment.role),
         classes=_latencies(results),
         violations=tuple(check(records)),
-        drained_without_a_cut=drained,
+        drained_without_interruption=drained,
     )
 
 
@@ -190,10 +191,10 @@
 async def _run_operators(fleet: LocalFleet) -> bool:
     """Change a selector, then drain an engine; return whether it drained in time."""
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(CHANGE_SELECTOR_AT)
+    await asyncio.sleep(SELECTOR_CHANGE_AT_SECONDS)
     changed = with_selector_changed(fleet.plan.configuration)
     await fleet.edit(changed, 1)
-    await asyncio.sleep(DRAIN_AT - CHANGE_SELECTOR_AT)
+    await asyncio.sleep(DRAIN_AT_SECONDS - SELECTOR_CHANGE_AT_SECONDS)
     fleet.history.record(
         PlannedChange(at=loop.time(), upstream=DRAINED_ENGINE, change="drain")
     )
@@ -206,16 +207,16 @@
     return False
 
 
-def _latencies(results: cabc.Sequence[CallResult]) -> dict[str, ClassFigures]:
+def _latencies(results: cabc.Sequence[CallResult]) -> dict[str, ClassLatencies]:
     classes = sorted({result.request_class for result in results})
     return {name: _class_latencies(name, results) for name in classes}
 
 
-def _class_latencies(name: str, results: cabc.Sequence[CallResult]) -> ClassFigures:
+def _class_latencies(name: str, results: cabc.Sequence[CallResult]) -> ClassLatencies:
     own = [r for r in results if r.request_class == name]
     first = [r.first_token for r in own if r.first_token is not None]
     between = [r.between for r in own if r.between is not None]
-    return ClassFigures(
+    return ClassLatencies(
         sent=len(own),
         first_token_p50=percentile(first, 0.5),
         first_token_p95=percentile(first, 0.95),
--- a/src/bergamotmast/demo_fleet.py
+++ b/src/bergamotmast/demo_fleet.py
@@ -27,7 +27,7 @@
 """Engine that the operators drain during the demonstration."""
 
 
-def first_configuration() -> Configuration:
+def initial_configuration() -> Configuration:
     """Return the initial configuration of the deployment."""
     labels = {f"engine-{i}": {"pool": "models"} for i in range(1, ENGINES + 1)}
     labels |= {f"counter-{i}": {"pool": "counter"} for i in range(1, SERVICES + 1)}
@@ -89,7 +89,7 @@
 def demo_plan() -> FleetPlan:
     """Return the plan of the demonstration's deployment."""
     return FleetPlan(
-        configuration=first_configuration(),
+        configuration=initial_configuration(),
         engines={f"engine-{i + 1}": ZONES[i % 4] for i in range(ENGINES)},
         services={f"counter-{i + 1}": ZONES[i % 4] for i in range(SERVICES)},
         entries={f"entry-{i + 1}": ZONES[i % 4] for i in range(ENTRIES)},
--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -218,7 +218,7 @@
         seconds = asyncio.get_running_loop().time() - arrived_at
         self.telemetry.on_ended("", route, code, seconds)
         if (size_class := log_fields.get("size")) is not None:
-            self.telemetry.on_sized_end(route, SizeClass(str(size_class)), code)
+            self.telemetry.on_ended_by_size(route, SizeClass(str(size_class)), code)
         logger.info(
             "request ended",
             extra={
--- a/src/bergamotmast/direct/presence.py
+++ b/src/bergamotmast/direct/presence.py
@@ -43,7 +43,7 @@
         self.kv = kv
         self.key = presence_key(name)
         self.value = address.encode()
-        self.backoff = Backoff(rng, first=0.3, longest=MAX_RETRY_DELAY_SECONDS)
+        self.backoff = Backoff(rng, initial=0.3, maximum=MAX_RETRY_DELAY_SECONDS)
 
     async def run(self) -> None:
         """Register and stay registered until cancelled."""
--- a/src/bergamotmast/direct/retry_budget.py
+++ b/src/bergamotmast/direct/retry_budget.py
@@ -47,7 +47,7 @@
         window = self._window(group)
         account = window.account(part, now)
         allowed = window.spend(part, now)
-        self.telemetry.on_second_send(group, allowed=allowed)
+        self.telemetry.on_retry(group, allowed=allowed)
         logger.info(
             "second send" if allowed else "second send is refused",
             extra={
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -16,7 +16,7 @@
 import random
 import typing as t
 
-from ..errors import AuthorityLostError
+from ..errors import LeadershipLostError
 from ..errors import OrderRefusedError
 from ..errors import PortError
 from ..model import Assignment
@@ -162,7 +162,7 @@
             logger.info("planner's lease is held", extra={"lease": self.election.lease})
             try:
                 await self.election.run_while_held(self._plan())
-            except (AuthorityLostError, OrderRefusedError, PortError) as error:
+            except (LeadershipLostError, OrderRefusedError, PortError) as error:
                 logger.warning("planner gives up", extra={"error": error.message})
             except Exception:
                 # An unexpected error would otherwise terminate one entry after another,
@@ -280,7 +280,7 @@
         # If this process was suspended after the write, another planner may have taken
         # over. The engine can only refuse tokens lower than those that it has received.
         if not self.election.lease_is_valid:
-            raise AuthorityLostError("The lease may have lapsed before the order.")
+            raise LeadershipLostError("The lease may have lapsed before the order.")
         if loop.time() - read_at > MAX_SEQUENCE_AGE_SECONDS:
             logger.info("order postponed", extra={"upstream": upstream.name})
             return
--- a/src/bergamotmast/direct/store_watcher.py
+++ b/src/bergamotmast/direct/store_watcher.py
@@ -40,7 +40,7 @@
     def __init__(self, kv: KeyValueService, fleet: Fleet, rng: random.Random) -> None:
         self.kv = kv
         self.fleet = fleet
-        self.backoff = Backoff(rng, first=0.1, longest=MAX_RETRY_DELAY_SECONDS)
+        self.backoff = Backoff(rng, initial=0.1, maximum=MAX_RETRY_DELAY_SECONDS)
         self.last_reply_at: float | None = None
         self.disconnected = True
         self.restored = False
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -26,11 +26,11 @@
 from .direct.store_watcher import StoreWatcher
 from .history import NullHistory
 from .lifecycle import METRICS_PATH
-from .lifecycle import Ending
-from .lifecycle import address_errors
+from .lifecycle import Shutdown
+from .lifecycle import bind_errors
+from .lifecycle import install_signal_handlers
 from .lifecycle import metrics_handler
 from .lifecycle import run_background_tasks
-from .lifecycle import told_to_end
 from .planner.election import PlannerElection
 from .planner.plan_store import PlanStore
 from .platform.directory import PlatformDirectory
@@ -43,8 +43,8 @@
 from .policy.shutdown_admission import ShutdownWindow
 from .policy.watch_pause import watch_pause
 from .protocol.plan import HOLDER_KEY
-from .serving import FIRST_REQUEST_SECONDS
-from .serving import Listening
+from .serving import FIRST_REQUEST_GRACE_SECONDS
+from .serving import HttpListener
 from .settings import DirectEntrySettings
 
 logger = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
 SHUTDOWN_MARGIN_SECONDS = 1.0
 """Time left between the last response and the platform's SIGKILL."""
 
-FINAL_REPLY_SECONDS = 0.3
+FINAL_RESPONSE_SECONDS = 0.3
 """Part of that margin for the responses to requests that the shutdown ended."""
 
 IDLE_POLL_SECONDS = 0.05
@@ -85,7 +85,7 @@
     affected by it and are completed.
     """
     logger.info("starts", extra={"zone": settings.zone})
-    ending = Ending(told_to_end())
+    shutdown = Shutdown(install_signal_handlers())
     rng = random.Random()
     metrics = OpenTelemetryMetrics(settings.name)
     clock = asyncio.get_running_loop().time
@@ -96,7 +96,7 @@
     async with contextlib.AsyncExitStack() as stack:
         client = await stack.enter_async_context(HttpUpstreamClient())
         session = await stack.enter_async_context(store_session())
-        with address_errors(settings.peer_address, "--peer-address"):
+        with bind_errors(settings.peer_address, "--peer-address"):
             peers = await stack.enter_async_context(datagram_port(host, int(port)))
         store = PlatformStore(
             session,
@@ -133,15 +133,15 @@
         follower = StoreWatcher(store, fleet, rng)
         store.on_restored.append(follower.on_restored)
         works = (follower.run(), presence.run(), planner.run())
-        tasks = await stack.enter_async_context(run_background_tasks(works, ending))
-        await ending.requested.wait()
+        tasks = await stack.enter_async_context(run_background_tasks(works, shutdown))
+        await shutdown.requested.wait()
         core.stopping = True
         # The planner releases its lease while requests are drained, so that a slow
         # store does not delay the shutdown.
         tasks[-1].cancel()
         await _drain(frontend, callers, settings.shutdown_seconds)
     logger.info("stops")
-    ending.raise_failure()
+    shutdown.raise_failure()
 
 
 def _planner(
@@ -189,10 +189,10 @@
     server: web.Server,
     address: str,
     busy: cabc.Container[asyncio.BaseProtocol] = (),
-) -> Listening:
-    listening = Listening(server, address, busy)
+) -> HttpListener:
+    listening = HttpListener(server, address, busy)
     stack.push_async_callback(listening.close)
-    with address_errors(address):
+    with bind_errors(address):
         await listening.start()
     return listening
 
@@ -209,7 +209,7 @@
 
 
 async def _drain(
-    frontend: DirectHttpFrontend, callers: Listening, seconds: float
+    frontend: DirectHttpFrontend, callers: HttpListener, seconds: float
 ) -> None:
     """Serve until the load balancer has removed this entry and all requests are done.
 
@@ -228,7 +228,7 @@
     await asyncio.sleep(end.routed_until - now)
     late_ms = round((loop.time() - end.routed_until) * 1e3, 1)
     frontend.shutting_down = True
-    await callers.close_long_idle()
+    await callers.close_idle_connections()
     running = len(frontend.busy)
     logger.info("finishes its requests", extra={"running": running, "late_ms": late_ms})
     # Only requests that arrived earlier are waited for: later ones are short and must
@@ -236,8 +236,8 @@
     earlier = frozenset(frontend.busy)
     while earlier & frontend.busy and loop.time() < end_by:
         await asyncio.sleep(IDLE_POLL_SECONDS)
-    await callers.stop_accepting()
-    await asyncio.sleep(FIRST_REQUEST_SECONDS)
-    await callers.stop_taking()
+    await callers.stop_accepting_connections()
+    await asyncio.sleep(FIRST_REQUEST_GRACE_SECONDS)
+    await callers.stop_accepting_requests()
     logger.info("takes no more requests", extra={"running": len(frontend.busy)})
-    await callers.wait_until_closed(end_by + FINAL_REPLY_SECONDS)
+    await callers.wait_until_closed(end_by + FINAL_RESPONSE_SECONDS)
--- a/src/bergamotmast/entry/core.py
+++ b/src/bergamotmast/entry/core.py
@@ -23,8 +23,8 @@
 from ..policy.size_classes import RequestClassSizes
 from ..ports import Dialer
 from ..ports import InstanceList
-from ..selection import bare_name
-from ..selection import wanted_names
+from ..selection import required_names
+from ..selection import unversioned_name
 from ..telemetry import NullTelemetry
 from ..telemetry import Telemetry
 from .interfaces import Claims
@@ -165,7 +165,7 @@
     def candidates(self, call: ModelCall | ServiceCall) -> list[Candidate]:
         """Return the upstreams that a call may be offered to now."""
         allowed = self.holder.selection.upstreams(call)
-        wanted = frozenset(wanted_names(call.model)) if _is_model(call) else None
+        wanted = frozenset(required_names(call.model)) if _is_model(call) else None
         return [
             peer.candidate()
             for name, peer in self.membership.peers.items()
@@ -225,7 +225,9 @@
             )
         elif chunk.tokens:
             between = (now - last) / chunk.tokens
-            self.telemetry.on_between_tokens(call.request_class, between, chunk.tokens)
+            self.telemetry.on_inter_token_latency(
+                call.request_class, between, chunk.tokens
+            )
         return now
 
     @contextlib.contextmanager
@@ -248,7 +250,7 @@
             self.telemetry.on_ended(call.tenant, call.request_class, code, seconds)
             if _is_model(call):
                 size_class = self.sizes.observe(call.request_class, call.prompt_tokens)
-                self.telemetry.on_sized_end(call.request_class, size_class, code)
+                self.telemetry.on_ended_by_size(call.request_class, size_class, code)
             self.in_flight -= 1
             self.placements.discard(placement)
             if self.in_flight == 0:
@@ -263,4 +265,4 @@
     report = peer.report
     if report is None:
         return False
-    return wanted <= frozenset(map(bare_name, report.models))
+    return wanted <= frozenset(map(unversioned_name, report.models))
--- a/src/bergamotmast/entry/http.py
+++ b/src/bergamotmast/entry/http.py
@@ -200,7 +200,7 @@
             prompt_tokens=tokens,
             max_tokens=body.max_tokens,
             prefix_key=prefix_key(body.prompt),
-            first_token_by=now + limits.first_token,
+            first_token_deadline=now + limits.first_token,
             deadline=now + limits.total,
             arrived_at=now,
         )
--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -65,7 +65,7 @@
 
     def _wait_until(self) -> float:
         """Return the local monotonic time until which the run waits for an upstream."""
-        return self.call.deadline if self.tokens else self.call.first_token_by
+        return self.call.deadline if self.tokens else self.call.first_token_deadline
 
     async def _offer(self, choice: Choice) -> EntryAttempt | None:
         assert choice.upstream is not None
--- a/src/bergamotmast/entry/peer.py
+++ b/src/bergamotmast/entry/peer.py
@@ -13,7 +13,7 @@
 
 from ..config.holder import ConfigHolder
 from ..errors import NotReachedError
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Cost
 from ..model import FencingToken
 from ..model import InstanceInfo
@@ -96,7 +96,7 @@
         self.reconnect_by = 0.0
         self.generation = 0
         self.frame_dropped = False
-        self.plan_seen = NO_TOKEN
+        self.plan_seen = NO_FENCING_TOKEN
         self.attempts: dict[str, EntryAttempt] = {}
         self.offered_since_report = Cost(0, 0)
 
--- a/src/bergamotmast/errors.py
+++ b/src/bergamotmast/errors.py
@@ -74,13 +74,13 @@
     :param status: HTTP status of the response.
     :param retryable: whether a retry at another upstream, or later by the caller, may
         succeed.
-    :param sentence: description of the result, one sentence.
+    :param description: description of the result, one sentence.
     """
 
     outcome: Outcome
     status: int
     retryable: bool
-    sentence: str
+    description: str
 
 
 _NOT_RUN = Outcome.NOT_RUN
@@ -198,7 +198,7 @@
 }
 
 
-DEFAULT_RETRY_AFTER = 1.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 """Default of the Retry-After header of retryable errors."""
 
 
@@ -290,7 +290,7 @@
         return "\n".join((super().show(), *self.differences))
 
 
-class AuthorityLostError(BergamotmastError):
+class LeadershipLostError(BergamotmastError):
     """The planner may have lost its lease, or another planner has written the plan."""
 
     exit_code = 4
@@ -347,10 +347,10 @@
     def __init__(
         self, code: ResultCode, detail: str = "", retry_after: float | None = None
     ) -> None:
-        super().__init__(detail or CODE_INFO[code].sentence)
+        super().__init__(detail or CODE_INFO[code].description)
         self.code = code
         if retry_after is None and CODE_INFO[code].retryable:
-            retry_after = DEFAULT_RETRY_AFTER
+            retry_after = DEFAULT_RETRY_AFTER_SECONDS
         self.retry_after = retry_after
 
     @property
--- a/src/bergamotmast/explain.py
+++ b/src/bergamotmast/explain.py
@@ -15,7 +15,7 @@
 from .errors import CODE_INFO
 from .errors import ResultCode
 
-BEFORE_SECONDS = 3.0
+LOOKBACK_SECONDS = 3.0
 """Time before a request's arrival from which events of its process are shown too, as
 they may have affected its handling."""
 
@@ -109,7 +109,7 @@
     for line in sorted(own, key=lambda line: line.steady):
         if line.request_id not in ("", request_id):
             continue
-        if arrived - BEFORE_SECONDS <= line.steady <= last and _is_relevant(
+        if arrived - LOOKBACK_SECONDS <= line.steady <= last and _is_relevant(
             line, upstreams
         ):
             shown.append(_format_line(line, arrived))
@@ -155,7 +155,7 @@
     result = ResultCode(code)
     info = CODE_INFO[result]
     ran = info.outcome.value.replace("_", " ")
-    return f"  {code} {result.name}: {info.sentence} What is known of it: {ran}."
+    return f"  {code} {result.name}: {info.description} What is known of it: {ran}."
 
 
 def _text(value: t.Any) -> str:
--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -95,7 +95,7 @@
             prompt_tokens=self.rng.randint(1, 2000),
             max_tokens=MOST_TOKENS,
             prefix_key=self.rng.choice(("", "p", "q")),
-            first_token_by=now + MODEL_SECONDS / 2,
+            first_token_deadline=now + MODEL_SECONDS / 2,
             deadline=now + MODEL_SECONDS,
         )
         text = expected_text(call.model, call.prompt, call.max_tokens)
--- a/src/bergamotmast/faults/world.py
+++ b/src/bergamotmast/faults/world.py
@@ -9,7 +9,7 @@
 
 from ..adapters.memory import MemoryNetwork
 from ..app import EntryProcess
-from ..app import ProcessParts
+from ..app import ProcessDependencies
 from ..app import SideProcess
 from ..app import engine_side
 from ..app import service_side
@@ -221,8 +221,8 @@
 
     # Parts
 
-    def _parts(self, name: str) -> ProcessParts:
-        return ProcessParts(
+    def _parts(self, name: str) -> ProcessDependencies:
+        return ProcessDependencies(
             name=name,
             zone=ZONES[0],
             kv=self.kv.client(name),
--- a/src/bergamotmast/key_watch.py
+++ b/src/bergamotmast/key_watch.py
@@ -14,16 +14,16 @@
 from .ports import KeyValueService
 from .ports import WatchEvent
 
-SILENCE_SECONDS = 6.0
+WATCH_TIMEOUT_SECONDS = 6.0
 """A watch without an event or a keep-alive for so long is considered lost."""
 
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 """Timeout of the range read that precedes a watch."""
 
 logger = logging.getLogger(__name__)
 
 
-async def follow(
+async def watch_keys(
     kv: KeyValueService, prefix: str, rng: random.Random
 ) -> cabc.AsyncGenerator[KeyValue | WatchEvent, None]:
     """Yield every key with a prefix, then its changes, indefinitely.
@@ -42,7 +42,7 @@
     backoff = Backoff(rng)
     while True:
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 found = await kv.range(prefix)
             for item in found.items:
                 yield item
@@ -50,7 +50,7 @@
                 kv.watch(prefix, found.revision + 1)
             ) as stream:
                 while True:
-                    async with asyncio.timeout(SILENCE_SECONDS):
+                    async with asyncio.timeout(WATCH_TIMEOUT_SECONDS):
                         event = await anext(stream)
                     backoff.reset()
                     if event is not None:
--- a/src/bergamotmast/lifecycle.py
+++ b/src/bergamotmast/lifecycle.py
@@ -20,11 +20,11 @@
 
 METRICS_PATH = "/metrics"
 
-CANCEL_SECONDS = 0.5
+CANCEL_TIMEOUT_SECONDS = 0.5
 """Maximum wait for the cleanup of cancelled tasks."""
 
 
-def told_to_end() -> asyncio.Event:
+def install_signal_handlers() -> asyncio.Event:
     """Install signal handlers; return the event that SIGTERM and SIGINT set.
 
     Repeated signals have no further effect. Must be called before anything listens:
@@ -55,7 +55,7 @@
 
 
 @contextlib.contextmanager
-def address_errors(address: str, flag: str = "--listen-address") -> cabc.Iterator[None]:
+def bind_errors(address: str, flag: str = "--listen-address") -> cabc.Iterator[None]:
     """Convert an ``OSError`` of a bind into an error of the address setting.
 
     :param flag: flag that sets the address.
@@ -67,7 +67,7 @@
         raise SettingError(flag, address, allowed) from error
 
 
-class Ending:
+class Shutdown:
     """Request to shut down a process, made by a signal or by the failure of a task.
 
     :param requested: event that is set when the process must shut down.
@@ -92,15 +92,16 @@
 
 @contextlib.asynccontextmanager
 async def run_background_tasks(
-    coroutines: cabc.Iterable[cabc.Coroutine[t.Any, t.Any, None]], shutdown: Ending
+    coroutines: cabc.Iterable[cabc.Coroutine[t.Any, t.Any, None]], shutdown: Shutdown
 ) -> cabc.AsyncIterator[list[asyncio.Task[None]]]:
     """Run background tasks during an ``async with`` block.
 
     The failure of a task requests the shutdown and leaves the other tasks running. The
     block receives the tasks in order and may cancel single ones. At its end all tasks
-    are cancelled and awaited together, for :data:`CANCEL_SECONDS` at most. If they were
-    awaited one after the other, each cleanup that calls an unresponsive service would
-    add its timeout, and the process would be killed before its last responses are sent.
+    are cancelled and awaited together, for :data:`CANCEL_TIMEOUT_SECONDS` at most. If
+    they were awaited one after the other, each cleanup that calls an unresponsive
+    service would add its timeout, and the process would be killed before its last
+    responses are sent.
     """
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
 
@@ -115,4 +116,4 @@
     finally:
         for task in tasks:
             task.cancel()
-        await asyncio.wait(tasks, timeout=CANCEL_SECONDS)
+        await asyncio.wait(tasks, timeout=CANCEL_TIMEOUT_SECONDS)
--- a/src/bergamotmast/load.py
+++ b/src/bergamotmast/load.py
@@ -71,7 +71,7 @@
     expected_text: str = ""
 
 
-def prompt_of(request: TraceRequest, request_id: str) -> str:
+def build_prompt(request: TraceRequest, request_id: str) -> str:
     """Return a prompt of the length that the trace specifies.
 
     ``[out=N]`` sets the output length of stand-ins; real engines ignore it.
@@ -89,7 +89,7 @@
 
     :param expected: returns the response to expect; unknown if ``None``.
     """
-    prompt = prompt_of(request, request_id)
+    prompt = build_prompt(request, request_id)
     max_tokens = max(request.output_tokens, 1)
     body = {
         "model": request.model,
--- a/src/bergamotmast/local_fleet.py
+++ b/src/bergamotmast/local_fleet.py
@@ -14,7 +14,7 @@
 from .adapters.zeromq import ZmqDialer
 from .adapters.zeromq import ZmqListener
 from .app import EntryProcess
-from .app import ProcessParts
+from .app import ProcessDependencies
 from .app import SideProcess
 from .app import engine_side
 from .app import service_side
@@ -39,7 +39,7 @@
 SERVICE_CONCURRENCY = 8
 """Maximum number of concurrent calls to a plain service."""
 
-READY_TIMEOUT = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 """Maximum time until every entry has a ready session with every side."""
 
 
@@ -99,7 +99,7 @@
             self._start_service(name, zone)
         for name, zone in self.plan.entries.items():
             await self._start_entry(name, zone)
-        async with asyncio.timeout(READY_TIMEOUT):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             await self._wait_until_ready()
 
     async def edit(self, configuration: Configuration, against: int) -> None:
@@ -122,8 +122,8 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.context.destroy(linger=0)
 
-    def _parts(self, name: str, zone: str) -> ProcessParts:
-        return ProcessParts(
+    def _parts(self, name: str, zone: str) -> ProcessDependencies:
+        return ProcessDependencies(
             name=name,
             zone=zone,
             kv=self.kv.client(name),
--- a/src/bergamotmast/model.py
+++ b/src/bergamotmast/model.py
@@ -74,8 +74,8 @@
     :param prompt_tokens: estimated length of the prompt in tokens.
     :param max_tokens: maximum number of output tokens that the caller accepts.
     :param prefix_key: hash of the prompt's shareable prefix; empty for none.
-    :param first_token_by: deadline of the first token, seconds on the local monotonic
-        clock.
+    :param first_token_deadline: deadline of the first token, seconds on the local
+        monotonic clock.
     :param deadline: deadline of the whole response, seconds on the local monotonic
         clock.
     :param arrived_at: arrival time, seconds on the local monotonic clock.
@@ -90,7 +90,7 @@
     prompt_tokens: int
     max_tokens: int
     prefix_key: str
-    first_token_by: float
+    first_token_deadline: float
     deadline: float
     arrived_at: float = 0.0
 
@@ -197,7 +197,7 @@
     revision: int
 
 
-NO_TOKEN = FencingToken(0, 0)
+NO_FENCING_TOKEN = FencingToken(0, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -229,8 +229,8 @@
     :param boot_id: id that changes when the engine restarts.
     :param assignment: current role, models and adapters; ``None`` while they change.
     :param changing: whether the engine is applying an order.
-    :param token: fencing token of the last accepted order; ``NO_TOKEN`` after a restart
-        or if the engine doesn't store it.
+    :param token: fencing token of the last accepted order; ``NO_FENCING_TOKEN`` after a
+        restart or if the engine doesn't store it.
     :param max_streams: maximum batch size in this role, streams.
     :param kv_capacity: capacity of the KV cache, tokens.
     :param prefill_rate: prompt tokens per second in this role, with an empty batch.
--- a/src/bergamotmast/planner/election.py
+++ b/src/bergamotmast/planner/election.py
@@ -127,7 +127,7 @@
         """Renew the lease until it is lost or may have expired."""
         loop = asyncio.get_running_loop()
         renewal = self.lease_seconds / RENEWALS_PER_LEASE
-        backoff = Backoff(self.rng, longest=renewal)
+        backoff = Backoff(self.rng, maximum=renewal)
         while self.lease_is_valid:
             sent_at = loop.time()
             try:
--- a/src/bergamotmast/planner/plan_store.py
+++ b/src/bergamotmast/planner/plan_store.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-from ..errors import AuthorityLostError
 from ..errors import KeyValueOutcomeUnknownError
 from ..errors import KeyValueUnavailableError
+from ..errors import LeadershipLostError
 from ..history import HistorySink
 from ..history import PlanWritten
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Assignment
 from ..model import FencingToken
 from ..ports import Compare
@@ -98,7 +98,7 @@
         self.carry_over = carry_over
         self.plans: dict[str, EnginePlan] = {}
         self.tokens_at_open: dict[str, FencingToken] = {}
-        self.highest_token = NO_TOKEN
+        self.highest_token = NO_FENCING_TOKEN
         self.restored = False
         self.head: PlanHead | None = None
         self.head_revision = 0
@@ -112,7 +112,7 @@
         token than the last. Rewriting takes a few transactions per takeover and puts
         every engine plan above all earlier ones.
 
-        :raises AuthorityLostError: if another planner wrote at the same time.
+        :raises LeadershipLostError: if another planner wrote at the same time.
         :raises KeyValueUnavailableError: if the service is down, or the head record
             can't be decoded; nothing changed.
         """
@@ -144,12 +144,12 @@
         """Write the plans of some engines and return the token of the last write.
 
         :param removed: engines whose plans are deleted.
-        :raises AuthorityLostError: if another planner has taken the plan over, or if
+        :raises LeadershipLostError: if another planner has taken the plan over, or if
             it is unknown whether the write took effect; :meth:`open` again.
         :raises KeyValueUnavailableError: if the service is down; nothing changed.
         """
         if self.head is None:
-            raise AuthorityLostError("The plan has to be opened first.")
+            raise LeadershipLostError("The plan has to be opened first.")
         names = sorted({*assignments, *removed})
         for start in range(0, len(names), self.max_engines_per_txn):
             batch = names[start : start + self.max_engines_per_txn]
@@ -182,7 +182,7 @@
         Sides refuse these, so the plan and the fleet would differ until the next
         change.
         """
-        head = self.head.token if self.head else NO_TOKEN
+        head = self.head.token if self.head else NO_FENCING_TOKEN
         rolled_back = head < self.highest_token
         lost: dict[str, EnginePlan] = {}
         for name, plan in self.plans.items():
@@ -242,19 +242,19 @@
             return await self._confirm_write(nonce)
         if not result.succeeded:
             self.head = None
-            raise AuthorityLostError("Another planner has written the plan.")
+            raise LeadershipLostError("Another planner has written the plan.")
         return result.revision
 
     async def _confirm_write(self, nonce: str) -> int:
         """Return the head's revision if it was written with this nonce.
 
-        :raises AuthorityLostError: if it was not, or can't be read.
+        :raises LeadershipLostError: if it was not, or can't be read.
         """
         item = None
         with contextlib.suppress(KeyValueUnavailableError):
             item = await self.kv.get(HEAD_KEY)
         if item is None or _decode_head_item(item).nonce != nonce:
-            raise AuthorityLostError("The outcome of a write of the plan is unknown.")
+            raise LeadershipLostError("The outcome of a write of the plan is unknown.")
         return item.mod_revision
 
 
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -13,7 +13,7 @@
 import random
 
 from ..config.holder import ConfigHolder
-from ..errors import AuthorityLostError
+from ..errors import LeadershipLostError
 from ..errors import PortError
 from ..model import Assignment
 from ..model import Readiness
@@ -114,7 +114,7 @@
                 await self.election.run_while_held(
                     self._plan(), self._poll_weight_store()
                 )
-            except (AuthorityLostError, PortError) as error:
+            except (LeadershipLostError, PortError) as error:
                 logger.warning("planner %s: %s", self.store.planner, error.message)
             finally:
                 self.planning = False
--- a/src/bergamotmast/policy/entry_policy.py
+++ b/src/bergamotmast/policy/entry_policy.py
@@ -122,9 +122,9 @@
             call.prefix_key, [c.name for c in ready], call.prompt_tokens, now
         )
         best, staged = self._best(work, call.priority, ready, cached, now, resumed)
-        late = best.first - (call.first_token_by - now)
+        late = best.first - (call.first_token_deadline - now)
         if not resumed and exceeds_entry_deadline(
-            best.first, call.first_token_by - now
+            best.first, call.first_token_deadline - now
         ):
             return self._refuse(late)
         # No later check can refuse the request before the prefill is spent.
--- a/src/bergamotmast/reference.py
+++ b/src/bergamotmast/reference.py
@@ -128,7 +128,7 @@
         info.outcome.value.replace("_", " "),
         str(info.status),
         "yes" if info.retryable else "no",
-        info.sentence,
+        info.description,
     )
     return f"| {' | '.join(cells)} |\n"
 
--- a/src/bergamotmast/selection.py
+++ b/src/bergamotmast/selection.py
@@ -25,17 +25,17 @@
     return call.route in match.routes
 
 
-def bare_name(versioned: str) -> str:
+def unversioned_name(versioned: str) -> str:
     """Return the name in ``name@version``."""
     return versioned.partition("@")[0]
 
 
 def carried_names(selector: Selector) -> frozenset[str]:
     """Return the names of the models and adapters that a selector's group carries."""
-    return frozenset(map(bare_name, selector.models + selector.adapters))
+    return frozenset(map(unversioned_name, selector.models + selector.adapters))
 
 
-def wanted_names(model: str) -> tuple[str, ...]:
+def required_names(model: str) -> tuple[str, ...]:
     """Return the names that an engine must carry for ``model`` or ``model:adapter``."""
     return tuple(model.split(":", 1))
 
@@ -58,7 +58,7 @@
 
     def knows_model(self, model: str) -> bool:
         """Return whether serving selectors carry a model and its adapter."""
-        return all(name in self.known for name in wanted_names(model))
+        return all(name in self.known for name in required_names(model))
 
     def upstreams(self, call: ModelCall | ServiceCall) -> frozenset[str]:
         """Return the names of the upstreams that may serve a call."""
@@ -72,7 +72,7 @@
 def _carries(selector: Selector, call: ModelCall | ServiceCall) -> bool:
     if isinstance(call, ServiceCall):
         return True
-    return carried_names(selector).issuperset(wanted_names(call.model))
+    return carried_names(selector).issuperset(required_names(call.model))
 
 
 def _leaving(configuration: Configuration, groups: GroupIndex) -> frozenset[str]:
--- a/src/bergamotmast/served_shares.py
+++ b/src/bergamotmast/served_shares.py
@@ -5,10 +5,10 @@
 import collections.abc as cabc
 import dataclasses
 
-LEAST_RATIO = 0.5
+MIN_SERVED_RATIO = 0.5
 """Lower bound of the served share of large prompts, relative to all prompts."""
 
-FEWEST_PROMPTS = 10
+MIN_PROMPTS = 10
 """Minimum number of prompts of a class, as fewer have no largest tenth."""
 
 
@@ -26,7 +26,7 @@
     large: float
 
     @property
-    def least_ratio(self) -> float:
+    def min_served_ratio(self) -> float:
         """The lower of ``largest`` and ``large`` over ``all``; 1 if none was served."""
         return min(self.largest, self.large) / self.all if self.all else 1.0
 
@@ -39,7 +39,7 @@
     :param prompts: pairs of size in tokens and whether the prompt was served.
     """
     ordered = [served for _, served in sorted(prompts, key=lambda prompt: prompt[0])]
-    tenth = len(ordered) // FEWEST_PROMPTS
+    tenth = len(ordered) // MIN_PROMPTS
     if not tenth:
         return None
     largest, large = ordered[-tenth:], ordered[-3 * tenth : -tenth]
--- a/src/bergamotmast/serving.py
+++ b/src/bergamotmast/serving.py
@@ -5,11 +5,12 @@
 1. The readiness probe fails, and each response has ``Connection: close``, so that no
    further request is sent on its connection. New callers connect until the load
    balancer has noticed.
-2. :meth:`Listening.stop_accepting`: the address is closed, and existing connections are
-   served. An entry may close connections that have been idle for long before that.
-3. :meth:`Listening.stop_taking`: idle connections are closed. Requests that were sent
-   on them before are read and answered first.
-4. :meth:`Listening.wait_until_closed`: the last responses are sent.
+2. :meth:`HttpListener.stop_accepting_connections`: the address is closed, and existing
+   connections are served. An entry may close connections that have been idle for long
+   before that.
+3. :meth:`HttpListener.stop_accepting_requests`: idle connections are closed. Requests
+   that were sent on them before are read and answered first.
+4. :meth:`HttpListener.wait_until_closed`: the last responses are sent.
 """
 
 from __future__ import annotations
@@ -32,32 +33,32 @@
 """Length of the queue of unaccepted connections. If it overflows, a caller retries its
 connect after seconds."""
 
-ITERATIONS_TO_HANDLER = 5
+LOOP_ITERATIONS_TO_HANDLER = 5
 """Iterations of the event loop after which a request that was read has reached its
 handler; the HTTP library needs three on Python 3.11."""
 
-MOST_PASSES = 20
+MAX_CLOSE_PASSES = 20
 """Maximum number of passes that close idle connections. A connection that still
 receives data after so many passes receives complete requests, which are answered."""
 
-FIRST_REQUEST_SECONDS = 0.2
+FIRST_REQUEST_GRACE_SECONDS = 0.2
 """Time in which a caller sends its first request after connecting, including network
 latency over long distances."""
 
-HANDSHAKE_SECONDS = 1.0
+TLS_HANDSHAKE_TIMEOUT_SECONDS = 1.0
 """Timeout of a TLS handshake that begins while the address is being closed."""
 
-CONSENT_SECONDS = 0.3
+CLOSE_NOTIFY_TIMEOUT_SECONDS = 0.3
 """Time for the caller of an idle TLS connection to answer ``close_notify``."""
 
-CLOSE_SECONDS = 0.3
+HANDLER_SHUTDOWN_SECONDS = 0.3
 """Time for handlers that still run when everything is closed."""
 
-EMPTY_CHECK_SECONDS = 0.05
+CONNECTION_POLL_SECONDS = 0.05
 """Interval between checks whether the last connection is closed."""
 
 
-class Listening:
+class HttpListener:
     """HTTP server or application that listens at one address.
 
     :param busy: connections whose request is being handled.
@@ -99,40 +100,40 @@
             )
             await site.start()
 
-    async def stop_taking(self) -> None:
+    async def stop_accepting_requests(self) -> None:
         """Stop accepting connections and requests; running requests continue.
 
         On an idle connection that stays open, a request could arrive just before the
         process ends, and be cut off after it was read. If the connection is closed
         while it is idle, its caller knows that a request in transit was never read.
         """
-        await self.stop_accepting()
+        await self.stop_accepting_connections()
         await self._close_idle_repeatedly()
         loop = asyncio.get_running_loop()
         for connection, transport in self._without_handler().items():
-            until = connection.head_until
+            until = connection.header_deadline
             if until is not None:
                 loop.call_at(until, self._close_within_head, connection, transport)
 
-    async def close_long_idle(self) -> None:
+    async def close_idle_connections(self) -> None:
         """Close all idle connections except those that were opened a moment ago.
 
         A caller that has just connected is about to send a request, which is answered
         as long as the server listens.
         """
         known = frozenset(self.server.connections)
-        await asyncio.sleep(FIRST_REQUEST_SECONDS)
+        await asyncio.sleep(FIRST_REQUEST_GRACE_SECONDS)
         await self._close_idle_repeatedly(known)
 
     async def _close_idle_repeatedly(
         self, among: cabc.Container[asyncio.BaseProtocol] | None = None
     ) -> None:
         """Close idle connections until the remaining ones receive no data."""
-        for _ in range(MOST_PASSES):
+        for _ in range(MAX_CLOSE_PASSES):
             if not await self._close_idle_once(among):
                 return
 
-    async def stop_accepting(self) -> None:
+    async def stop_accepting_connections(self) -> None:
         """Close the address; existing connections are served.
 
         Closing a listening socket resets the connections in its backlog, on which a
@@ -146,7 +147,7 @@
             loop.remove_reader(listening)
         self.sockets = []
         # A connection that asyncio has just accepted would be lost with its server.
-        await _run_iterations(ITERATIONS_TO_HANDLER)
+        await _run_iterations(LOOP_ITERATIONS_TO_HANDLER)
         for site in self.runner.sites:
             await site.stop()
         accepted = [c for listening in duplicates for c in _accept_and_close(listening)]
@@ -155,7 +156,7 @@
     async def _serve(self, connection: socket.socket) -> None:
         """Serve a connection that was accepted from the backlog."""
         loop = asyncio.get_running_loop()
-        limit = HANDSHAKE_SECONDS if self.tls else None
+        limit = TLS_HANDSHAKE_TIMEOUT_SECONDS if self.tls else None
         with contextlib.suppress(OSError):
             await loop.connect_accepted_socket(
                 self.server, connection, ssl=self.tls, ssl_handshake_timeout=limit
@@ -175,10 +176,10 @@
 
         :param among: connections that may be closed; all if ``None``.
         """
-        await _run_iterations(ITERATIONS_TO_HANDLER)
+        await _run_iterations(LOOP_ITERATIONS_TO_HANDLER)
         candidates = self._without_handler(among)
         counts = [connection.receive_count for connection in candidates]
-        await _run_iterations(ITERATIONS_TO_HANDLER)
+        await _run_iterations(LOOP_ITERATIONS_TO_HANDLER)
         now = asyncio.get_running_loop().time()
         receives_data = False
         for connection, before in zip(candidates, counts, strict=True):
@@ -196,13 +197,13 @@
 
     def is_idle(self, connection: Connection, now: float) -> bool:
         """Return whether no request is running and no headers are partly received."""
-        return connection not in self.busy and not connection.is_within_head(now)
+        return connection not in self.busy and not connection.is_receiving_headers(now)
 
     def _close_within_head(
         self, connection: Connection, transport: asyncio.Transport
     ) -> None:
         """Close a connection unless its headers have been completed."""
-        if connection.head_until is not None and not transport.is_closing():
+        if connection.header_deadline is not None and not transport.is_closing():
             self._close(transport)
 
     def _close(self, transport: asyncio.Transport) -> None:
@@ -215,7 +216,7 @@
         transport.close()
         if self.tls is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(CONSENT_SECONDS, transport.abort)
+            loop.call_later(CLOSE_NOTIFY_TIMEOUT_SECONDS, transport.abort)
 
     def _without_handler(
         self, among: cabc.Container[asyncio.BaseProtocol] | None = None
@@ -243,11 +244,11 @@
         """
         loop = asyncio.get_running_loop()
         await asyncio.sleep(min(routed_until, end_by) - loop.time())
-        await self.stop_accepting()
+        await self.stop_accepting_connections()
         # A caller that has just connected is about to send a request. If its
         # connection were closed now, it wouldn't know whether the request was read.
-        await asyncio.sleep(FIRST_REQUEST_SECONDS)
-        await self.stop_taking()
+        await asyncio.sleep(FIRST_REQUEST_GRACE_SECONDS)
+        await self.stop_accepting_requests()
         return await self.wait_until_closed(end_by)
 
     async def wait_until_closed(self, end_by: float) -> bool:
@@ -261,7 +262,7 @@
         loop = asyncio.get_running_loop()
         while self.server.connections and loop.time() < end_by:
             await self._close_idle_once()
-            await asyncio.sleep(EMPTY_CHECK_SECONDS)
+            await asyncio.sleep(CONNECTION_POLL_SECONDS)
         return not self.server.connections
 
     async def close(self) -> None:
@@ -274,9 +275,9 @@
 def _runner(server: web.Server | web.Application) -> web.BaseRunner:
     if isinstance(server, web.Application):
         return ConnectionAppRunner(
-            server, shutdown_timeout=CLOSE_SECONDS, access_log=None
+            server, shutdown_timeout=HANDLER_SHUTDOWN_SECONDS, access_log=None
         )
-    return ConnectionServerRunner(server, shutdown_timeout=CLOSE_SECONDS)
+    return ConnectionServerRunner(server, shutdown_timeout=HANDLER_SHUTDOWN_SECONDS)
 
 
 async def _run_iterations(count: int) -> None:
--- a/src/bergamotmast/setting_kinds.py
+++ b/src/bergamotmast/setting_kinds.py
@@ -60,7 +60,7 @@
     return Kind(parse, f"one of {', '.join(values)}")
 
 
-def several(*values: str) -> Kind:
+def subset_of(*values: str) -> Kind:
     """Return the kind that allows any of the given words, separated by commas."""
 
     def parse(text: str) -> str:
--- a/src/bergamotmast/settings.py
+++ b/src/bergamotmast/settings.py
@@ -24,7 +24,7 @@
 from .setting_kinds import integer
 from .setting_kinds import number
 from .setting_kinds import optional
-from .setting_kinds import several
+from .setting_kinds import subset_of
 
 DEFAULT_BODY_BYTES = 8 << 20
 DEFAULT_CONTEXT_TOKENS = 131_072
@@ -199,7 +199,7 @@
         20.0,
     )
     switched_off: str = _setting(
-        optional(several(*sorted(DECISION_NAMES))),
+        optional(subset_of(*sorted(DECISION_NAMES))),
         _WORK,
         "decisions that are switched off, to measure their effect",
         "",
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -18,7 +18,7 @@
 from ..history import AttemptRecord
 from ..history import HistorySink
 from ..logs import request_context
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Cost
 from ..model import EngineState
 from ..model import FencingToken
@@ -111,7 +111,7 @@
         self.admission_paused = False
         self.engine: EngineState | None = None
         self.engine_readiness = Readiness.UNKNOWN
-        self.plan_seen = NO_TOKEN
+        self.plan_seen = NO_FENCING_TOKEN
         self.plan_token: cabc.Callable[[], FencingToken] = _no_plan
         self.offered = Cost(0, 0)
         self.done = Cost(0, 0)
@@ -460,4 +460,4 @@
 
 
 def _no_plan() -> FencingToken:
-    return NO_TOKEN
+    return NO_FENCING_TOKEN
--- a/src/bergamotmast/side/orders.py
+++ b/src/bergamotmast/side/orders.py
@@ -22,8 +22,8 @@
 from ..errors import NotReachedError
 from ..errors import OrderRefusedError
 from ..errors import PortError
-from ..key_watch import follow
-from ..model import NO_TOKEN
+from ..key_watch import watch_keys
+from ..model import NO_FENCING_TOKEN
 from ..model import Assignment
 from ..model import EngineState
 from ..model import FencingToken
@@ -98,8 +98,8 @@
 
 
 def no_plan_seen() -> FencingToken:
-    """Return ``NO_TOKEN``: no earlier plan is known."""
-    return NO_TOKEN
+    """Return ``NO_FENCING_TOKEN``: no earlier plan is known."""
+    return NO_FENCING_TOKEN
 
 
 class OrderReconciler:
@@ -156,8 +156,8 @@
 
     @property
     def token(self) -> FencingToken:
-        """Fencing token of the plan in force; ``NO_TOKEN`` before the first plan."""
-        return self.plan.token if self.plan is not None else NO_TOKEN
+        """Fencing token of the plan; ``NO_FENCING_TOKEN`` before the first plan."""
+        return self.plan.token if self.plan is not None else NO_FENCING_TOKEN
 
     @property
     def readiness(self) -> Readiness:
@@ -195,7 +195,7 @@
     async def _watch_plan(self) -> None:
         key = engine_key(self.name)
         async with contextlib.aclosing(
-            follow(self.kv, engine_prefix(self.name), self.rng)
+            watch_keys(self.kv, engine_prefix(self.name), self.rng)
         ) as changes:
             async for change in changes:
                 if change.key == key and change.value is not None:
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -10,7 +10,7 @@
 from ..history import HistorySink
 from ..history import OrderEnded
 from ..history import OrderTaken
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Assignment
 from ..model import FencingToken
 from ..model import Order
@@ -49,7 +49,7 @@
         self.loader = loader
         self.history = history
         self.on_settled = on_settled
-        self.last = NO_TOKEN
+        self.last = NO_FENCING_TOKEN
         self._order: Order | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -63,7 +63,7 @@
     @property
     def token(self) -> FencingToken:
         """Authority of the last order, where the engine keeps it."""
-        return self.last if self.honours_fencing else NO_TOKEN
+        return self.last if self.honours_fencing else NO_FENCING_TOKEN
 
     def carries(self, model: str) -> bool:
         """Return whether a request for this model can be served now."""
@@ -110,7 +110,7 @@
             self._settle(self.target if change_done else self.assignment, change_done)
         if incomplete:
             self.assignment = None
-        self.last = NO_TOKEN
+        self.last = NO_FENCING_TOKEN
 
     async def _carry_out(self, order: Order) -> None:
         wanted = order.assignment
--- a/src/bergamotmast/telemetry.py
+++ b/src/bergamotmast/telemetry.py
@@ -16,7 +16,7 @@
         """Record the time to first token, from the request's arrival."""
         ...
 
-    def on_between_tokens(
+    def on_inter_token_latency(
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
         """Record the inter-token latency of each of the ``tokens`` of one chunk."""
@@ -28,7 +28,7 @@
         """Record a request's result code and total latency."""
         ...
 
-    def on_sized_end(
+    def on_ended_by_size(
         self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Record a request's result code by the size class of its prompt."""
@@ -50,7 +50,7 @@
         """Count a message of a type that this protocol version doesn't know."""
         ...
 
-    def on_second_send(self, group: str, *, allowed: bool) -> None:
+    def on_retry(self, group: str, *, allowed: bool) -> None:
         """Count a retry in a group, or one that the retry budget refused.
 
         :param allowed: whether the retry budget allowed it.
@@ -64,7 +64,7 @@
     def on_first_token(self, tenant: str, request_class: str, seconds: float) -> None:
         """Discard the measurement."""
 
-    def on_between_tokens(
+    def on_inter_token_latency(
         self, request_class: str, seconds: float, tokens: int
     ) -> None:
         """Discard the measurement."""
@@ -74,7 +74,7 @@
     ) -> None:
         """Discard the measurement."""
 
-    def on_sized_end(
+    def on_ended_by_size(
         self, request_class: str, size_class: SizeClass, code: ResultCode
     ) -> None:
         """Discard the measurement."""
@@ -91,5 +91,5 @@
     def on_unknown_message(self) -> None:
         """Discard the measurement."""
 
-    def on_second_send(self, group: str, *, allowed: bool) -> None:
+    def on_retry(self, group: str, *, allowed: bool) -> None:
         """Discard the measurement."""
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -22,7 +22,7 @@
 from bergamotmast.platform.headers import PlatformDialect
 from bergamotmast.policy.retry_window import RetryLimits
 from bergamotmast.ports import KeyValue
-from bergamotmast.serving import Listening
+from bergamotmast.serving import HttpListener
 from bergamotmast.telemetry import NullTelemetry
 from platform_standin import Replica
 
@@ -96,7 +96,7 @@
     """A running direct entry and its parts."""
 
     def __init__(
-        self, frontend: DirectHttpFrontend, listening: Listening, port: int
+        self, frontend: DirectHttpFrontend, listening: HttpListener, port: int
     ) -> None:
         self.frontend = frontend
         self.core = frontend.core
@@ -198,7 +198,7 @@
         )
         core = DirectCore(context, telemetry)
         frontend = DirectHttpFrontend(core)
-        listening = Listening(frontend.callers(), "127.0.0.1:0", frontend.busy)
+        listening = HttpListener(frontend.callers(), "127.0.0.1:0", frontend.busy)
         await listening.start()
         port = listening.runner.addresses[0][1]
         entry = Entry(frontend, listening, port)
--- a/tests/size_series.py
+++ b/tests/size_series.py
@@ -21,7 +21,7 @@
 import tempfile
 import time
 
-from bergamotmast.served_shares import LEAST_RATIO
+from bergamotmast.served_shares import MIN_SERVED_RATIO
 from bergamotmast.served_shares import ServedShares
 from direct_support import Answer
 from direct_support import read_answer
@@ -178,7 +178,7 @@
         reports = [p for p in prompts if p.target == "/report/x" and p.name not in cut]
         shares = shares_of(reports, served)
         faults = [fault for each in self.tries if (fault := each.fault())]
-        if shares.least_ratio < LEAST_RATIO:
+        if shares.min_served_ratio < MIN_SERVED_RATIO:
             faults.append(f"large prompts are served too seldom: {shares}")
         return SizeReport(shares, faults)
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -23,7 +23,7 @@
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.errors import ResultCode
 from bergamotmast.history import MemoryHistory
-from bergamotmast.model import NO_TOKEN
+from bergamotmast.model import NO_FENCING_TOKEN
 from bergamotmast.model import Assignment
 from bergamotmast.model import Cost
 from bergamotmast.model import EngineState
@@ -54,7 +54,7 @@
     boot_id="boot-1",
     assignment=Assignment(Role.MIXED, (f"{MODEL}@1",)),
     changing=False,
-    token=NO_TOKEN,
+    token=NO_FENCING_TOKEN,
     max_streams=4,
     kv_capacity=10_000,
     prefill_rate=1000.0,
@@ -369,7 +369,7 @@
             prompt_tokens=2,
             max_tokens=tokens,
             prefix_key="",
-            first_token_by=now + first_token,
+            first_token_deadline=now + first_token,
             deadline=now + total,
         )
 
--- a/tests/test_bounded_log.py
+++ b/tests/test_bounded_log.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from bergamotmast.bounded_log import LINES_A_SECOND
-from bergamotmast.bounded_log import MOST_WAITING_BYTES
+from bergamotmast.bounded_log import MAX_BUFFERED_BYTES
+from bergamotmast.bounded_log import MAX_LINES_PER_SECOND
 from bergamotmast.bounded_log import BoundedJsonHandler
 
 
@@ -68,7 +68,7 @@
     for number in range(3_000):
         logger.warning("filler", extra={"text": "x" * 400, "number": number})
     assert time.monotonic() - began < 2.0
-    assert handler.waiting_bytes <= MOST_WAITING_BYTES
+    assert handler.buffered_bytes <= MAX_BUFFERED_BYTES
     assert handler.dropped > 0
     lines_before = []
     while found := lines(readable):
@@ -76,9 +76,9 @@
         handler.flush()
     logger.warning("after")
     (line,) = lines(readable)
-    dropped = [found.get("dropped_before", 0) for found in (*lines_before, line)]
+    dropped_counts = [found.get("dropped_before", 0) for found in (*lines_before, line)]
     assert line["dropped_before"] > 0
-    assert len(lines_before) + sum(dropped) == 3_000
+    assert len(lines_before) + sum(dropped_counts) == 3_000
 
 
 def test_lines_below_warning_are_rate_limited(pipe):
@@ -86,16 +86,16 @@
     logger, _, readable = pipe
     record = logger.makeRecord("test", logging.INFO, "", 0, "decision", (), None)
     written = []
-    for _ in range(LINES_A_SECOND * 4):
+    for _ in range(MAX_LINES_PER_SECOND * 4):
         logger.handle(record)
         written += lines(readable)
     warning = logger.makeRecord("test", logging.WARNING, "", 0, "warning", (), None)
     warning.created = record.created
     logger.handle(warning)
-    assert len(written) == LINES_A_SECOND
+    assert len(written) == MAX_LINES_PER_SECOND
     (last,) = lines(readable)
     assert last["event"] == "warning"
-    assert last["dropped_before"] == LINES_A_SECOND * 3
+    assert last["dropped_before"] == MAX_LINES_PER_SECOND * 3
 
 
 def test_closed_output_raises_no_error():
@@ -106,7 +106,7 @@
     logger = logging.Logger("test")
     logger.addHandler(handler)
     logger.info("anything")
-    assert handler.waiting_bytes == 0
+    assert handler.buffered_bytes == 0
     os.close(writable)
 
 
--- a/tests/test_direct_last_callers.py
+++ b/tests/test_direct_last_callers.py
@@ -28,7 +28,7 @@
     for _ in range(turns):
         await asyncio.sleep(0)
     entry.frontend.shutting_down = True
-    await entry.listening.stop_taking()
+    await entry.listening.stop_accepting_requests()
     return raw
 
 
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -15,7 +15,7 @@
 from bergamotmast.direct.fleet import Fleet
 from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.role_planner import RolePlanner
-from bergamotmast.errors import AuthorityLostError
+from bergamotmast.errors import LeadershipLostError
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Role
 from bergamotmast.planner import election
@@ -337,7 +337,7 @@
         await planner.election.acquire()
         await planner.store.open()
         planner.store.write = suspended
-        with pytest.raises(AuthorityLostError):
+        with pytest.raises(LeadershipLostError):
             await planner._tick()
     assert not any(script.orders for script in scripts)
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -145,7 +145,7 @@
 def test_metrics_in_operators_pages_are_exposed():
     metrics = OpenTelemetryMetrics("p")
     metrics.on_first_token("t", "c", 0.1)
-    metrics.on_between_tokens("c", 0.1, 1)
+    metrics.on_inter_token_latency("c", 0.1, 1)
     metrics.on_ended("t", "c", ResultCode.OK, 0.1)
     metrics.on_queue_wait("t", "c", 0.1)
     metrics.on_generation(1)
--- a/tests/test_key_watch.py
+++ b/tests/test_key_watch.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from bergamotmast.backoff import LONGEST_DELAY_SECONDS
+from bergamotmast.backoff import MAX_DELAY_SECONDS
 from bergamotmast.errors import KeyValueUnavailableError
-from bergamotmast.key_watch import follow
+from bergamotmast.key_watch import watch_keys
 from bergamotmast.ports import RangeResult
 
 
@@ -35,7 +35,7 @@
     seconds = 60.0
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(seconds):
-            async for _ in follow(kv, "p", random.Random(1)):
+            async for _ in watch_keys(kv, "p", random.Random(1)):
                 pass
     # Delays are drawn from zero to a bound, which is lower for the first five.
-    assert kv.reads <= 2 * (5 + 2 * seconds / LONGEST_DELAY_SECONDS)
+    assert kv.reads <= 2 * (5 + 2 * seconds / MAX_DELAY_SECONDS)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -38,7 +38,7 @@
 )
 def test_ends_are_counted_by_size_of_the_prompt(code, result):
     metrics = OpenTelemetryMetrics("entry-1")
-    metrics.on_sized_end("report", SizeClass.LARGEST, code)
+    metrics.on_ended_by_size("report", SizeClass.LARGEST, code)
     (line,) = [
         line
         for line in metrics.exposition().decode().splitlines()
@@ -58,9 +58,9 @@
 
 def test_times_between_tokens_are_counted_up_to_each_bound():
     metrics = OpenTelemetryMetrics("entry-1")
-    metrics.on_between_tokens("check", 0.039, 1)
-    metrics.on_between_tokens("check", 0.05, 3)
-    metrics.on_between_tokens("check", 500.0, 1)
+    metrics.on_inter_token_latency("check", 0.039, 1)
+    metrics.on_inter_token_latency("check", 0.05, 3)
+    metrics.on_inter_token_latency("check", 500.0, 1)
     lines = metrics.exposition().decode().splitlines()
     name = 'between_tokens_seconds_bucket_total{class="check",le="'
     counts = [x.removeprefix(name) for x in lines if x.startswith(name)]
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -22,7 +22,7 @@
 from bergamotmast.direct.role_planner import OrderReply
 from bergamotmast.direct.role_planner import RoleOrderCommand
 from bergamotmast.direct.role_planner import RolePlanner
-from bergamotmast.errors import AuthorityLostError
+from bergamotmast.errors import LeadershipLostError
 from bergamotmast.errors import PortError
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.history import NullHistory
@@ -149,7 +149,7 @@
         if held:
             self.service.end_lease(held)
         planner = self.planners[number]
-        with contextlib.suppress(PortError, AuthorityLostError):
+        with contextlib.suppress(PortError, LeadershipLostError):
             if await planner.election._try_acquire():
                 await planner.store.open()
 
@@ -159,7 +159,7 @@
             await self.take_over(number)
         try:
             await planner._send_order(ENGINE, ORDER, self.loop.time())
-        except AuthorityLostError:
+        except LeadershipLostError:
             await planner.election.release()
         except PortError:
             pass
--- a/tests/test_plan_store.py
+++ b/tests/test_plan_store.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from bergamotmast.errors import AuthorityLostError
 from bergamotmast.errors import KeyValueOutcomeUnknownError
 from bergamotmast.errors import KeyValueUnavailableError
+from bergamotmast.errors import LeadershipLostError
 from bergamotmast.history import MemoryHistory
 from bergamotmast.model import Assignment
 from bergamotmast.model import FencingToken
@@ -69,10 +69,10 @@
     new = store(service, "planner-2")
     # One write raises the epoch, and the next rewrites every engine plan.
     assert await new.open() == FencingToken(2, 4)
-    with pytest.raises(AuthorityLostError):
+    with pytest.raises(LeadershipLostError):
         await old.write({"e1": DECODE})
     assert stored(service, "e1").assignment == PREFILL
-    with pytest.raises(AuthorityLostError):
+    with pytest.raises(LeadershipLostError):
         await old.write({"e1": DECODE})
     assert await old.open() > new.highest_token
 
@@ -87,7 +87,7 @@
         *(p.open() for p in planners), return_exceptions=True
     )
     assert sorted(type(r) for r in results if isinstance(r, Exception)) == [
-        AuthorityLostError
+        LeadershipLostError
     ]
 
 
@@ -114,7 +114,7 @@
         raise KeyValueOutcomeUnknownError("the connection broke")
 
     planner.kv.txn = lose
-    with pytest.raises(AuthorityLostError):
+    with pytest.raises(LeadershipLostError):
         await planner.write({"e1": PREFILL})
     assert planner.plans == {}
 
@@ -130,7 +130,7 @@
     write = asyncio.create_task(planner.write({"e1": PREFILL}))
     await asyncio.sleep(0.2)
     service.down = True
-    with pytest.raises(AuthorityLostError):
+    with pytest.raises(LeadershipLostError):
         await write
     with pytest.raises(KeyValueUnavailableError):
         await planner.open()
@@ -152,7 +152,7 @@
     service.restore(backup)
     await store(service, "planner-2").open()
     assert service.store.items[HEAD_KEY].mod_revision == planner.head_revision
-    with pytest.raises(AuthorityLostError):
+    with pytest.raises(LeadershipLostError):
         await planner.write({"e1": DECODE})
     assert (await planner.open()).epoch > last.epoch
 
@@ -169,7 +169,7 @@
     backup = service.snapshot()
     last = await planner.write({"e1": DECODE, "e2": DECODE})
     service.restore(backup)
-    with pytest.raises(AuthorityLostError):
+    with pytest.raises(LeadershipLostError):
         await planner.write({"e1": PREFILL})
     await planner.open()
     for engine in ("e1", "e2"):
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -17,7 +17,7 @@
 from aiohttp import web
 
 from bergamotmast.load import LoadDriver
-from bergamotmast.serving import Listening
+from bergamotmast.serving import HttpListener
 from process_fleet import process_fleet
 from test_daemon_stopping import ended
 from test_daemon_stopping import stream
@@ -49,7 +49,7 @@
         with contextlib.suppress(OSError):
             while True:
                 stack.enter_context(socket.socket())
-        await listening.stop_taking()
+        await listening.stop_accepting_requests()
         assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
     loop = asyncio.get_running_loop()
     got = await asyncio.wait_for(loop.sock_recv(raw, 1000), 1)
@@ -71,7 +71,7 @@
     raw.send(REQUEST)
     loop = asyncio.get_running_loop()
     assert b"200 OK" in await asyncio.wait_for(loop.sock_recv(raw, 1000), 2)
-    stopping = asyncio.create_task(listening.stop_taking())
+    stopping = asyncio.create_task(listening.stop_accepting_requests())
     for _ in range(turns):
         await asyncio.sleep(0)
     too_late = stopping.done()
@@ -99,7 +99,7 @@
 @contextlib.asynccontextmanager
 async def tls_listening(front, context):
     server = web.Server(front.handle, access_log=None)
-    listening = Listening(server, "127.0.0.1:0", front.busy, context)
+    listening = HttpListener(server, "127.0.0.1:0", front.busy, context)
     await listening.start()
     try:
         yield listening
@@ -127,7 +127,7 @@
 
         loop = asyncio.get_running_loop()
         kept = await loop.run_in_executor(None, ask)
-        await listening.stop_taking()
+        await listening.stop_accepting_requests()
         wait_until_closed = await listening.wait_until_closed(
             loop.time() + MAX_IDLE_CLOSE_SECONDS
         )
@@ -152,7 +152,7 @@
         writer.write(REQUEST)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(2)
-        stopping = asyncio.create_task(listening.stop_taking())
+        stopping = asyncio.create_task(listening.stop_accepting_requests())
         for _ in range(turns):
             await asyncio.sleep(0)
         too_late = stopping.done()
@@ -185,7 +185,7 @@
             writer.write(REQUEST)
         for reader, _ in kept:
             await reader.readuntil(b"\r\n\r\n")
-        stopping = asyncio.create_task(listening.stop_taking())
+        stopping = asyncio.create_task(listening.stop_accepting_requests())
         for number, (_, writer) in enumerate(kept):
             if number % 2:
                 writer.transport.abort()
@@ -210,7 +210,7 @@
     raw = connect(listening)
     raw.send(REQUEST[:part])
     await asyncio.sleep(0.03)
-    stopping = asyncio.create_task(listening.stop_taking())
+    stopping = asyncio.create_task(listening.stop_accepting_requests())
     await asyncio.sleep(0.02)
     got = b""
     with contextlib.suppress(ConnectionError):
--- a/tests/test_served_shares.py
+++ b/tests/test_served_shares.py
@@ -27,7 +27,7 @@
     ],
 )
 def test_ratio_is_that_of_the_size_served_least(shares, ratio):
-    assert shares.least_ratio == pytest.approx(ratio)
+    assert shares.min_served_ratio == pytest.approx(ratio)
 
 
 def test_load_reports_each_class_by_size():
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -8,7 +8,7 @@
 import pytest
 from aiohttp import web
 
-from bergamotmast.serving import Listening
+from bergamotmast.serving import HttpListener
 
 REQUEST = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -31,9 +31,9 @@
         finally:
             self.busy.discard(request.protocol)
 
-    async def listen(self) -> Listening:
+    async def listen(self) -> HttpListener:
         server = web.Server(self.handle, access_log=None)
-        listening = Listening(server, "127.0.0.1:0", self.busy)
+        listening = HttpListener(server, "127.0.0.1:0", self.busy)
         await listening.start()
         return listening
 
@@ -66,7 +66,7 @@
     raw.send(REQUEST)
     for _ in range(turns):
         await asyncio.sleep(0)
-    await listening.stop_taking()
+    await listening.stop_accepting_requests()
     assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
     assert (await read(raw)).count(b"200 OK") == frontend.answered == 2
     await listening.close()
@@ -84,7 +84,7 @@
         raws[-1].send(REQUEST)
         if number < turns:
             await asyncio.sleep(0)
-    await listening.stop_taking()
+    await listening.stop_accepting_requests()
     answers = await asyncio.gather(*map(read, raws))
     assert [answer.count(b"200 OK") for answer in answers] == [1] * 20
     with pytest.raises(OSError):
@@ -117,7 +117,7 @@
     raw = connect(listening)
     raw.send(REQUEST)
     await asyncio.sleep(0.05)
-    await listening.stop_taking()
+    await listening.stop_accepting_requests()
     assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
     assert (await read(raw)).count(b"200 OK") == 1
     await listening.close()
@@ -133,7 +133,7 @@
     raw.send(REQUEST)
     while not frontend.answered:
         await asyncio.sleep(0.01)
-    await listening.stop_taking()
+    await listening.stop_accepting_requests()
     loop = asyncio.get_running_loop()
     assert not await listening.wait_until_closed(loop.time() + 0.2)
     wait_until_closed = asyncio.create_task(
@@ -161,7 +161,7 @@
     dripping = asyncio.create_task(drip())
     await asyncio.sleep(0.05)
     async with asyncio.timeout(2):
-        await listening.stop_taking()
+        await listening.stop_accepting_requests()
     await asyncio.wait({dripping}, timeout=2)
     assert isinstance(dripping.exception(), OSError)
     raw.close()
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -9,7 +9,7 @@
 from bergamotmast.errors import Outcome
 from bergamotmast.errors import RequestError
 from bergamotmast.errors import ResultCode
-from bergamotmast.model import NO_TOKEN
+from bergamotmast.model import NO_FENCING_TOKEN
 from bergamotmast.model import FencingToken
 from bergamotmast.protocol import messages
 from bergamotmast.protocol import timing
@@ -184,7 +184,7 @@
         await asyncio.sleep(2.0)
         await f.kill("engine-1")
         side = f.start_side("engine-1")
-        assert side.plan_seen == NO_TOKEN
+        assert side.plan_seen == NO_FENCING_TOKEN
         await asyncio.sleep(5.0)
         assert side.plan_seen == FencingToken(4, 2)
 
--- a/tests/test_side_size_shares.py
+++ b/tests/test_side_size_shares.py
@@ -14,7 +14,7 @@
 from bergamotmast.model import Role
 from bergamotmast.policy.interfaces import QueueItem
 from bergamotmast.policy.side_policy import FairSidePolicy
-from bergamotmast.served_shares import LEAST_RATIO
+from bergamotmast.served_shares import MIN_SERVED_RATIO
 from prompt_load import Prompt
 from prompt_load import shares_of
 
@@ -88,4 +88,4 @@
         side.offer(prompts[-1])
     shares = shares_of(prompts, side.served)
     assert shares.all < 0.95
-    assert shares.least_ratio >= LEAST_RATIO, shares
+    assert shares.min_served_ratio >= MIN_SERVED_RATIO, shares
--- a/tests/test_size_shares.py
+++ b/tests/test_size_shares.py
@@ -13,7 +13,7 @@
 from bergamotmast.policy.size_shares import MIN_SERVED_SHARE
 from bergamotmast.policy.size_shares import SizedPrompt
 from bergamotmast.policy.size_shares import SizeShares
-from bergamotmast.served_shares import LEAST_RATIO
+from bergamotmast.served_shares import MIN_SERVED_RATIO
 from bergamotmast.served_shares import ServedShares
 from prompt_load import Load
 from prompt_load import LoadedFleet
@@ -38,7 +38,7 @@
     load = Load(reports=4.0 * readers, checks=5.0 * readers, factor=factor)
     shares = await play(entries, readers, load, seed)
     assert shares.all < 0.9
-    assert shares.least_ratio >= LEAST_RATIO, shares
+    assert shares.min_served_ratio >= MIN_SERVED_RATIO, shares
 
 
 def sized(classes: SizeShares, size: int) -> SizedPrompt:
@@ -74,7 +74,9 @@
         prompt.end(served=served)
         ends.append(served)
     served_of_all = sum(ends) / len(ends)
-    allowed = [part * served_of_all for part in (LEAST_RATIO, MIN_SERVED_SHARE + 0.1)]
+    allowed = [
+        part * served_of_all for part in (MIN_SERVED_RATIO, MIN_SERVED_SHARE + 0.1)
+    ]
     assert allowed[0] <= sum(claims) / len(claims) <= allowed[1]
 
 
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -11,7 +11,7 @@
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.history import MemoryHistory
 from bergamotmast.history import OrderEnded
-from bergamotmast.model import NO_TOKEN
+from bergamotmast.model import NO_FENCING_TOKEN
 from bergamotmast.model import Assignment
 from bergamotmast.model import FencingToken
 from bergamotmast.model import GenerateRequest
@@ -228,7 +228,7 @@
             await stale
     else:
         await stale
-    expected = FencingToken(1, 2) if honours_fencing else NO_TOKEN
+    expected = FencingToken(1, 2) if honours_fencing else NO_FENCING_TOKEN
     assert (await engine.state()).token == expected
 
 
@@ -251,7 +251,7 @@
     engine.restart()
     after = await engine.state()
     assert after.boot_id != before.boot_id
-    assert (after.token, after.changing) == (NO_TOKEN, False)
+    assert (after.token, after.changing) == (NO_FENCING_TOKEN, False)
     assert (after.assignment.role if after.assignment else None) == role
     ended = [r.completed for r in history.records if isinstance(r, OrderEnded)]
     assert ended == [done]
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -18,9 +18,9 @@
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.direct.presence import Presence
 from bergamotmast.direct.store_watcher import StoreWatcher
-from bergamotmast.errors import AuthorityLostError
 from bergamotmast.errors import KeyValueOutcomeUnknownError
 from bergamotmast.errors import KeyValueUnavailableError
+from bergamotmast.errors import LeadershipLostError
 from bergamotmast.errors import LeaseLapsedError
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Assignment
@@ -293,7 +293,7 @@
         await successor.acquire()
         after = await plans[1].open()
         assert after > before
-        with pytest.raises((AuthorityLostError, KeyValueUnavailableError)):
+        with pytest.raises((LeadershipLostError, KeyValueUnavailableError)):
             await plans[0].write({"i-1": Assignment(Role.PREFILL)})
         await asyncio.wait_for(holding, 2.0)
         assert not former.lease_is_valid
