--- a/src/bergamotmast/app.py
+++ b/src/bergamotmast/app.py
@@ -125,50 +125,58 @@
 
     def __init__(
         self,
-        parts: ProcessDependencies,
+        dependencies: ProcessDependencies,
         dialer: Dialer,
         instance_list: InstanceList,
         weights: WeightStore | None = None,
         may_plan: bool = True,
         lease_seconds: int = LEASE_SECONDS,
     ) -> None:
-        self.holder = ConfigHolder(parts.name, parts.history)
-        self.watcher = ConfigWatcher(parts.kv, self.holder, parts.rng)
-        self.store = ConfigStore(parts.kv, parts.history)
-        self.claims = ClaimStore(parts.kv, parts.name, parts.rng)
+        self.holder = ConfigHolder(dependencies.name, dependencies.history)
+        self.watcher = ConfigWatcher(dependencies.kv, self.holder, dependencies.rng)
+        self.store = ConfigStore(dependencies.kv, dependencies.history)
+        self.claims = ClaimStore(dependencies.kv, dependencies.name, dependencies.rng)
         self.core = EntryCore(
-            name=parts.name,
-            zone=parts.zone,
-            incarnation=parts.incarnation(),
+            name=dependencies.name,
+            zone=dependencies.zone,
+            incarnation=dependencies.incarnation(),
             dialer=dialer,
             instance_list=instance_list,
-            policy=parts.policies.entry_policy(parts.rng, parts.zone),
+            policy=dependencies.policies.entry_policy(
+                dependencies.rng, dependencies.zone
+            ),
             holder=self.holder,
             claims=self.claims,
-            rng=parts.rng,
-            telemetry=parts.telemetry,
+            rng=dependencies.rng,
+            telemetry=dependencies.telemetry,
         )
         self.busy: set[asyncio.BaseProtocol] = set()
         self.planner: Planner | None = None
         if may_plan:
-            self.planner = self._new_planner(parts, weights, lease_seconds)
+            self.planner = self._new_planner(dependencies, weights, lease_seconds)
 
     def _new_planner(
         self,
-        parts: ProcessDependencies,
+        dependencies: ProcessDependencies,
         weights: WeightStore | None,
         lease_seconds: int,
     ) -> Planner:
         planner = Planner(
-            election=PlannerElection(parts.kv, parts.name, parts.rng, lease_seconds),
+            election=PlannerElection(
+                dependencies.kv, dependencies.name, dependencies.rng, lease_seconds
+            ),
             store=PlanStore(
-                parts.kv, parts.name, parts.rng, parts.history, parts.epoch_hint
+                dependencies.kv,
+                dependencies.name,
+                dependencies.rng,
+                dependencies.history,
+                dependencies.epoch_hint,
             ),
             holder=self.holder,
             fleet=EntryFleetView(self.core.membership),
-            policy=parts.policies.shift_policy(),
+            policy=dependencies.policies.shift_policy(),
             weights=weights or UnlimitedWeightStore(),
-            rng=parts.rng,
+            rng=dependencies.rng,
         )
         self.core.membership.observes_all = lambda: planner.planning
         return planner
@@ -209,22 +217,22 @@
 
     def __init__(
         self,
-        parts: ProcessDependencies,
+        dependencies: ProcessDependencies,
         listener: Listener,
         runner: Runner,
     ) -> None:
-        self.holder = ConfigHolder(parts.name, parts.history)
-        self.watcher = ConfigWatcher(parts.kv, self.holder, parts.rng)
+        self.holder = ConfigHolder(dependencies.name, dependencies.history)
+        self.watcher = ConfigWatcher(dependencies.kv, self.holder, dependencies.rng)
         self.listener = listener
         self.core = SideCore(
-            name=parts.name,
+            name=dependencies.name,
             listener=listener,
             runner=runner,
-            policy=parts.policies.side_policy(),
+            policy=dependencies.policies.side_policy(),
             holder=self.holder,
-            history=parts.history,
-            incarnation=parts.incarnation(),
-            telemetry=parts.telemetry,
+            history=dependencies.history,
+            incarnation=dependencies.incarnation(),
+            telemetry=dependencies.telemetry,
         )
         self.reconciler: OrderReconciler | None = None
 
@@ -246,17 +254,17 @@
 
 
 def engine_side(
-    parts: ProcessDependencies, listener: Listener, engine: Engine
+    dependencies: ProcessDependencies, listener: Listener, engine: Engine
 ) -> SideProcess:
     """Create the side of a model engine."""
-    side = SideProcess(parts, listener, EngineRunner(engine))
+    side = SideProcess(dependencies, listener, EngineRunner(engine))
     reconciler = OrderReconciler(
-        name=parts.name,
+        name=dependencies.name,
         engine=engine,
-        kv=parts.kv,
+        kv=dependencies.kv,
         workload=side.core,
         on_engine_state=side.core.on_engine_state,
-        rng=parts.rng,
+        rng=dependencies.rng,
         plan_seen=lambda: side.core.plan_seen,
     )
     side.reconciler = reconciler
@@ -265,7 +273,7 @@
 
 
 def service_side(
-    parts: ProcessDependencies,
+    dependencies: ProcessDependencies,
     listener: Listener,
     service: PlainService,
     concurrency: int,
@@ -274,7 +282,7 @@
 
     :param concurrency: maximum number of concurrent calls to the service.
     """
-    side = SideProcess(parts, listener, ServiceRunner(service))
+    side = SideProcess(dependencies, listener, ServiceRunner(service))
     state = EngineState(
         boot_id="",
         assignment=None,
--- a/src/bergamotmast/bounded_log.py
+++ b/src/bergamotmast/bounded_log.py
@@ -18,7 +18,7 @@
 """Rate limit of lines below the warning level, about four times the usual rate of an
 entry. Warnings and errors are not limited."""
 
-_OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {
+_STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {
     "message",
     "asctime",
     "process_name",
@@ -46,8 +46,8 @@
         self.buffered_lines: collections.deque[bytes] = collections.deque()
         self.buffered_bytes = 0
         self.dropped = 0
-        self.second = 0
-        self.lines = 0
+        self.current_second = 0
+        self.lines_in_second = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -92,11 +92,14 @@
 
     def _is_within_rate_limit(self, record: logging.LogRecord) -> bool:
         second = int(record.created)
-        if second != self.second:
-            self.second = second
-            self.lines = 0
-        self.lines += 1
-        return self.lines <= MAX_LINES_PER_SECOND or record.levelno >= logging.WARNING
+        if second != self.current_second:
+            self.current_second = second
+            self.lines_in_second = 0
+        self.lines_in_second += 1
+        return (
+            self.lines_in_second <= MAX_LINES_PER_SECOND
+            or record.levelno >= logging.WARNING
+        )
 
     def _encode(self, record: logging.LogRecord) -> bytes:
         fields: dict[str, t.Any] = {
@@ -110,7 +113,7 @@
         if request_id:
             fields["request_id"] = request_id
         for name, value in vars(record).items():
-            if name not in _OWN_FIELDS and name not in fields:
+            if name not in _STANDARD_FIELDS and name not in fields:
                 fields[name] = value
         if record.exc_info:
             fields["exception"] = logging.Formatter().formatException(record.exc_info)
--- a/src/bergamotmast/commands/config.py
+++ b/src/bergamotmast/commands/config.py
@@ -271,7 +271,7 @@
     raise SettingError(
         "--against",
         "",
-        "the generation that was edited (or a file that names it, or --latest)",
+        "the generation that the edit is based on, a file that names it, or --latest",
     )
 
 
--- a/src/bergamotmast/commands/load.py
+++ b/src/bergamotmast/commands/load.py
@@ -74,7 +74,7 @@
 def _summary(results: list[CallResult]) -> dict[str, object]:
     codes = collections.Counter(result.code for result in results)
     first = [r.first_token for r in results if r.first_token is not None]
-    between = [r.between for r in results if r.between is not None]
+    between = [r.inter_token for r in results if r.inter_token is not None]
     return {
         "sent": len(results),
         "codes": {str(code): count for code, count in sorted(codes.items())},
--- a/src/bergamotmast/daemons.py
+++ b/src/bergamotmast/daemons.py
@@ -68,10 +68,12 @@
     shutdown = Shutdown(install_signal_handlers())
     async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
-        parts = _parts(settings, _key_value_client(settings, session), metrics)
+        dependencies = _dependencies(
+            settings, _key_value_client(settings, session), metrics
+        )
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
         entry = EntryProcess(
-            parts,
+            dependencies,
             ZmqDialer(context, keys),
             HttpInstanceList(session, settings.instance_list_url),
             _weight_store_client(settings, session),
@@ -101,17 +103,19 @@
     shutdown = Shutdown(install_signal_handlers())
     async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
-        parts = _parts(settings, _key_value_client(settings, session), metrics)
+        dependencies = _dependencies(
+            settings, _key_value_client(settings, session), metrics
+        )
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
         with bind_errors(settings.listen_address):
             listener = ZmqListener(context, settings.listen_address, keys)
-        side = _side(settings, parts, listener, session)
+        side = _side(settings, dependencies, listener, session)
         application = web.Application()
         application.router.add_get(METRICS_PATH, metrics_handler(metrics))
         async with contextlib.AsyncExitStack() as stack:
             if settings.metrics_address:
-                metrics_listening = HttpListener(application, settings.metrics_address)
-                await stack.enter_async_context(_serving(metrics_listening))
+                metrics_listener = HttpListener(application, settings.metrics_address)
+                await stack.enter_async_context(_serving(metrics_listener))
             await stack.enter_async_context(
                 run_background_tasks(side.background_tasks(), shutdown)
             )
@@ -126,15 +130,15 @@
 
 def _side(
     settings: SideSettings,
-    parts: ProcessDependencies,
+    dependencies: ProcessDependencies,
     listener: ZmqListener,
     session: aiohttp.ClientSession,
 ) -> SideProcess:
     if settings.upstream_kind == "engine":
         engine = HttpEngine(session, settings.upstream_url)
-        return engine_side(parts, listener, engine)
+        return engine_side(dependencies, listener, engine)
     service = HttpService(session, settings.upstream_url)
-    return service_side(parts, listener, service, settings.service_concurrency)
+    return service_side(dependencies, listener, service, settings.service_concurrency)
 
 
 @contextlib.asynccontextmanager
@@ -164,7 +168,7 @@
     return HttpWeightStore(session, settings.weight_store_url)
 
 
-def _parts(
+def _dependencies(
     settings: SharedSettings, kv: KeyValueService, metrics: OpenTelemetryMetrics
 ) -> ProcessDependencies:
     policies = PRESETS.get(settings.policy)
@@ -198,13 +202,13 @@
 
 
 @contextlib.asynccontextmanager
-async def _serving(listening: HttpListener) -> cabc.AsyncIterator[None]:
-    with bind_errors(listening.address):
-        await listening.start()
+async def _serving(listener: HttpListener) -> cabc.AsyncIterator[None]:
+    with bind_errors(listener.address):
+        await listener.start()
     try:
         yield
     finally:
-        await listening.close()
+        await listener.close()
 
 
 async def _shut_down_entry(
@@ -224,7 +228,7 @@
 
 
 async def _wait_for_shutdown(requested: asyncio.Event) -> None:
-    """Report readiness on standard output, and wait until the shutdown is requested."""
+    """Report readiness on standard output; wait until the shutdown is requested."""
     print("ready", file=sys.stdout, flush=True)
     await requested.wait()
     logger.info("shutdown requested")
--- a/src/bergamotmast/demo.py
+++ b/src/bergamotmast/demo.py
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassLatencies:
-    """Latency percentiles of a request class, in seconds.
+    """Latency percentiles of a request class, in seconds; ``None`` without samples.
 
     :param sent: number of calls sent.
     """
@@ -78,7 +78,7 @@
 
     @property
     def passed(self) -> bool:
-        """Whether no promise was violated."""
+        """Whether no promise was violated and the engine was drained in time."""
         return not self.violations and self.drained_without_interruption
 
 
@@ -98,7 +98,7 @@
 
 
 def planned_calls(rng: random.Random) -> list[PlannedCall]:
-    """Return calls of all request classes, sorted by the time they are sent at."""
+    """Return calls of all request classes, sorted by the time of sending."""
     numbers = itertools.count(1)
     calls = [
         *_model_calls(rng, numbers, "appraisal", 12, 1500, 400),
@@ -215,7 +215,7 @@
 def _class_latencies(name: str, results: cabc.Sequence[CallResult]) -> ClassLatencies:
     own = [r for r in results if r.request_class == name]
     first = [r.first_token for r in own if r.first_token is not None]
-    between = [r.between for r in own if r.between is not None]
+    between = [r.inter_token for r in own if r.inter_token is not None]
     return ClassLatencies(
         sent=len(own),
         first_token_p50=percentile(first, 0.5),
--- a/src/bergamotmast/errors.py
+++ b/src/bergamotmast/errors.py
@@ -7,7 +7,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller may conclude about whether its request was executed."""
+    """Whether a request was executed, as far as its caller can know."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
--- a/src/bergamotmast/explain.py
+++ b/src/bergamotmast/explain.py
@@ -146,9 +146,7 @@
     """Return a sentence on the request's result code, or on its missing end."""
     ended = [line for line in of_request if line.event == "request ended"]
     if not ended:
-        return (
-            "  No end is logged here: it is still under way, or its line was dropped."
-        )
+        return "  No end is logged here: it is still running, or its line was dropped."
     code = ended[-1].fields.get("code")
     if code not in {int(known) for known in ResultCode}:
         return f"  It ended with {code}, a result code that is not known here."
--- a/src/bergamotmast/load.py
+++ b/src/bergamotmast/load.py
@@ -36,7 +36,7 @@
     :param cut_off: whether the response broke off without a result code.
     :param total: total latency, seconds.
     :param first_token: time to first token, seconds; ``None`` if there was none.
-    :param between: mean inter-token latency, seconds; ``None`` if not measured.
+    :param inter_token: mean inter-token latency, seconds; ``None`` if not measured.
     :param whole_by_deadline: whether the response was complete by its deadline.
     """
 
@@ -48,7 +48,7 @@
     cut_off: bool
     total: float
     first_token: float | None = None
-    between: float | None = None
+    inter_token: float | None = None
     whole_by_deadline: bool = False
 
 
@@ -259,11 +259,11 @@
         """Return the result of the call."""
         first = None if self.first_at is None else self.first_at - self.sent_at
         tokens = self.request.output_tokens
-        between = None
+        inter_token = None
         if self.first_at is not None and tokens > 1 and not self.code:
-            between = (self.last_at - self.first_at) / (tokens - 1)
+            inter_token = (self.last_at - self.first_at) / (tokens - 1)
         total = now - self.sent_at
-        whole = not self.code and not self.cut_off
+        complete = not self.code and not self.cut_off
         return CallResult(
             request_class=self.request.klass,
             prompt_tokens=self.request.prompt_tokens,
@@ -273,8 +273,8 @@
             cut_off=self.cut_off,
             total=total,
             first_token=first,
-            between=between,
-            whole_by_deadline=whole and total <= self.request.deadline,
+            inter_token=inter_token,
+            whole_by_deadline=complete and total <= self.request.deadline,
         )
 
 
--- a/src/bergamotmast/local_fleet.py
+++ b/src/bergamotmast/local_fleet.py
@@ -122,7 +122,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.context.destroy(linger=0)
 
-    def _parts(self, name: str, zone: str) -> ProcessDependencies:
+    def _dependencies(self, name: str, zone: str) -> ProcessDependencies:
         return ProcessDependencies(
             name=name,
             zone=zone,
@@ -144,7 +144,7 @@
         )
         self.engines[name] = engine
         listener = ZmqListener(self.context, f"{LOOPBACK}:0", None)
-        side = engine_side(self._parts(name, zone), listener, engine)
+        side = engine_side(self._dependencies(name, zone), listener, engine)
         self._start_side(name, zone, UpstreamKind.ENGINE, listener, side)
 
     def _start_service(self, name: str, zone: str) -> None:
@@ -152,7 +152,7 @@
         self.services[name] = service
         listener = ZmqListener(self.context, f"{LOOPBACK}:0", None)
         side = service_side(
-            self._parts(name, zone), listener, service, SERVICE_CONCURRENCY
+            self._dependencies(name, zone), listener, service, SERVICE_CONCURRENCY
         )
         self._start_side(name, zone, UpstreamKind.SERVICE, listener, side)
 
@@ -170,7 +170,7 @@
 
     async def _start_entry(self, name: str, zone: str) -> None:
         entry = EntryProcess(
-            self._parts(name, zone),
+            self._dependencies(name, zone),
             ZmqDialer(self.context, None),
             self.instance_list,
             self.weights,
--- a/src/bergamotmast/reference.py
+++ b/src/bergamotmast/reference.py
@@ -35,9 +35,8 @@
 
 <!-- Written by python -m bergamotmast.reference; edit the code, not this page. -->
 
-A flag goes before its environment variable, and that before the default. Every value
-is checked at start; an error names the flag or variable, the value and what is
-allowed.
+A flag overrides its environment variable, which overrides the default. Every value is
+validated at start; an error names the flag or variable, the value and what is allowed.
 """
 
 _CODES_INTRO = """\
@@ -101,7 +100,7 @@
         if declaration.group != group:
             group = declaration.group
             lines.append(f"\n### {group}\n\n")
-            lines.append("| flag | variable | default | allowed | what it sets |\n")
+            lines.append("| flag | variable | default | allowed | description |\n")
             lines.append("|---|---|---|---|---|\n")
         lines.append(_setting_row(declaration))
     return lines
