--- a/src/bergamotmast/policy/prefix_cache.py
+++ b/src/bergamotmast/policy/prefix_cache.py
@@ -49,15 +49,15 @@
             parts, lambda key: key in self.cached_parts or key in self.pending_counts
         )
 
-    def expect(self, work: PrefillKey, parts: PromptParts) -> None:
+    def expect(self, prefill: PrefillKey, parts: PromptParts) -> None:
         """Record a prompt that was sent to the engine."""
-        self.settle(work, done=False)
-        self.pending[work] = parts
+        self.settle(prefill, done=False)
+        self.pending[prefill] = parts
         self.pending_counts.update(key for key, _ in parts)
 
-    def settle(self, work: PrefillKey, *, done: bool) -> None:
+    def settle(self, prefill: PrefillKey, *, done: bool) -> None:
         """Record that a prompt has been prefilled, or will not be."""
-        parts = self.pending.pop(work, ())
+        parts = self.pending.pop(prefill, ())
         for key, _ in parts:
             self.pending_counts[key] -= 1
             if not self.pending_counts[key]:
--- a/src/bergamotmast/policy/queueing.py
+++ b/src/bergamotmast/policy/queueing.py
@@ -174,8 +174,8 @@
 
     def _priorities(self, now: float) -> list[Priority]:
         waiting = [p for p in Priority if self.tenant_queues[p]]
-        deficits = [p for p in waiting[1:] if self._may_claim_share(p, now)]
-        return deficits + [p for p in waiting if p not in deficits]
+        entitled = [p for p in waiting[1:] if self._may_claim_share(p, now)]
+        return entitled + [p for p in waiting if p not in entitled]
 
     def _may_claim_share(self, priority: Priority, now: float) -> bool:
         """Return whether the most urgent item may claim its priority's share."""
@@ -204,7 +204,7 @@
         start = self._start(tenant)
         self.virtual_time = start
         self.virtual_finish[tenant] = start + seconds / max(item.weight, 1e-6)
-        self._settle(item.priority, seconds)
+        self._update_deficits(item.priority, seconds)
         if len(self.virtual_finish) > MAX_IDLE_TENANTS:
             self._drop_idle()
 
@@ -214,7 +214,7 @@
         seconds = decode / self.rates.decode / max(item.weight, 1e-6)
         self.virtual_finish[tenant] = self._start(tenant) + seconds
 
-    def _settle(self, started: Priority, seconds: float) -> None:
+    def _update_deficits(self, started: Priority, seconds: float) -> None:
         self.deficits[started] = max(0.0, self.deficits[started] - seconds)
         for priority in Priority:
             if priority <= started:
@@ -268,14 +268,14 @@
     ) -> float:
         if priority < item.priority:
             return 1.0
-        mine = self._tenant(item)
-        if tenant == mine:
+        own_name = self._tenant(item)
+        if tenant == own_name:
             urgency = _urgency(item)
             before = [i for i in queue.items if _urgency(i) <= urgency]
             return len(before) / len(queue.items)
-        own = self.tenant_queues[priority].get(mine)
+        own = self.tenant_queues[priority].get(own_name)
         backlog = (own.seconds if own else 0.0) + self.rates.seconds(item.cost)
-        finish = self._start(mine) + backlog / max(item.weight, 1e-6)
+        finish = self._start(own_name) + backlog / max(item.weight, 1e-6)
         weight = queue.items[0].weight
         allowed = max(0.0, finish - self._start(tenant)) * weight
         return min(1.0, allowed / max(queue.seconds, 1e-9))
--- a/src/bergamotmast/policy/size_shares.py
+++ b/src/bergamotmast/policy/size_shares.py
@@ -102,9 +102,9 @@
         )
 
     def _subtract_served(self, size_class: SizeClass) -> None:
-        deficits = self.deficits.get(size_class)
-        if deficits is not None and deficits > -MAX_SURPLUS_PROMPTS:
-            self.deficits[size_class] = max(-MAX_SURPLUS_PROMPTS, deficits - 1.0)
+        deficit = self.deficits.get(size_class)
+        if deficit is not None and deficit > -MAX_SURPLUS_PROMPTS:
+            self.deficits[size_class] = max(-MAX_SURPLUS_PROMPTS, deficit - 1.0)
 
 
 class SizeShares(RequestClassTable[RequestClassShares]):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests listed in ``KNOWN-RED.txt``, and prints them with each run."""
+"""Marks the tests listed in ``KNOWN-RED.txt`` as expected failures and prints them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let listed tests run without deciding over the outcome."""
+    """Let listed tests run without affecting the result."""
     said = read_known_red()
     for item in items:
         entry = entry_of(item.nodeid, said)
@@ -18,7 +18,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print each listed test and how it ended."""
+    """Print each listed test and its outcome."""
     said = read_known_red()
     if not said:
         return
--- a/tests/support.py
+++ b/tests/support.py
@@ -47,8 +47,8 @@
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 
 PORTS = itertools.count(12_000 + WORKER % 20 * 1000 + os.getppid() % 7 * 100)
-"""Ports of this process, below those that the system gives to outgoing connections.
-Workers never share them: two that look for a free one at once would both take it."""
+"""Ports of this process, below the system's ephemeral ports. Workers never share them:
+two that look for a free port at the same time would both take the same one."""
 
 STATE = EngineState(
     boot_id="boot-1",
@@ -84,7 +84,7 @@
 
 
 class FewestRunning:
-    """An entry policy that is easy to foresee: fewest own attempts, then by name."""
+    """A predictable entry policy: fewest own attempts, then by name."""
 
     def predict(self, call):
         return Cost(call.prompt_tokens, call.max_tokens)
@@ -108,7 +108,7 @@
 
 
 class FirstComeFirstServed:
-    """A side policy that is easy to foresee."""
+    """A predictable side policy: first come, first served."""
 
     def __init__(self, limit: int = 4, queue_limit: int = 100) -> None:
         self.limit = limit
@@ -164,7 +164,7 @@
 
 
 class ScriptedEngine:
-    """An engine that gives one token each ``pace`` seconds and breaks when told."""
+    """An engine that produces a token every ``pace`` seconds and fails on demand."""
 
     def __init__(self, pace: float = 0.1) -> None:
         self.pace = pace
@@ -197,7 +197,7 @@
 
 
 class ScriptedService:
-    """A service that answers after ``pace`` seconds and counts what it ran."""
+    """A service that answers after ``pace`` seconds and records its calls."""
 
     def __init__(self, pace: float = 0.1) -> None:
         self.pace = pace
@@ -216,7 +216,7 @@
 
 
 class NoClaims:
-    """Claims that are always free."""
+    """Claims that always succeed."""
 
     async def claim(self, key, digest):
         return None
@@ -230,7 +230,7 @@
 
 @dataclasses.dataclass
 class StaticList:
-    """An instance list that says what it is told to say."""
+    """An instance list with fixed contents."""
 
     infos: list[InstanceInfo]
 
@@ -261,7 +261,7 @@
 
 
 class Fleet:
-    """Entries and sides joined by a :class:`MemoryNetwork`."""
+    """Entries and sides connected by a :class:`MemoryNetwork`."""
 
     def __init__(self, claims=None) -> None:
         self.network = MemoryNetwork()
@@ -346,7 +346,7 @@
         await asyncio.sleep(3.0)
 
     async def ready(self):
-        """Wait until every entry has heard every side; quick on a real clock."""
+        """Wait until every entry has a report of every side; quick on a real clock."""
         for entry in self.entries.values():
             while len(entry.membership.peers) < len(self.list.infos):
                 await asyncio.sleep(0.01)
@@ -393,7 +393,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet(entries=1, engines=0, services=0, claims=None):
-    """Run a small fleet until the test's body ends."""
+    """Run a small fleet until the end of the test."""
     built = Fleet(claims)
     for number in range(1, engines + 1):
         built.add_upstream(f"engine-{number}", ScriptedEngine())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of a direct entry that can be switched off."""
+"""Switches of a direct entry's decisions."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 @pytest.mark.parametrize("name", sorted(DECISION_NAMES))
-def test_one_is_switched_off_and_the_rest_stay(name):
+def test_only_the_named_decision_is_switched_off(name):
     assert Decisions.without([name]) == dataclasses.replace(
         ALL_DECISIONS, **{name: False}
     )
 
 
-def test_an_unknown_one_is_named():
+def test_unknown_decision_is_named_in_the_error():
     with pytest.raises(ValueError, match="unknown decision: pakcing"):
         Decisions.without(["pakcing"])
 
@@ -37,6 +37,6 @@
     assert place_prompt(long, 0.8, TIGHT, off).prefill_engine == "b"
 
 
-def test_without_size_priority_all_of_a_rank_are_alike():
+def test_without_size_priority_prompts_of_a_rank_have_one_priority():
     off = Decisions.without(["size_priority"])
     assert prefill_priority(1, 100, off) == prefill_priority(1, 90_000, off)
--- a/tests/test_direct_load.py
+++ b/tests/test_direct_load.py
@@ -1,4 +1,4 @@
-"""Loads at which a direct entry's placement decides who is served; no network."""
+"""Placement by a direct entry under load, without a network."""
 
 from __future__ import annotations
 
@@ -19,50 +19,56 @@
 OBJECTIVE = 0.6
 
 
-def test_an_answering_engine_reads_nothing_long():
-    reading = [view(name, wait=0.5, prefill_seconds=0.15) for name in "abcd"]
+def test_decode_engine_prefills_no_long_prompt():
+    prefill_engines = [view(name, wait=0.5, prefill_seconds=0.15) for name in "abcd"]
     only = view(
         "e", Role.DECODE, prefill_seconds=DECODE_ENGINE_PREFILL_SHARE * OBJECTIVE + 0.01
     )
     assert (
-        place_prompt([*reading, only], OBJECTIVE, OBJECTIVE).prefill_engine is not None
+        place_prompt([*prefill_engines, only], OBJECTIVE, OBJECTIVE).prefill_engine
+        is not None
     )
 
 
-def test_a_second_copy_is_made_only_where_it_saves_more_than_it_displaces():
-    """The engine that keeps a prompt's beginning has a short queue, another has none.
+def test_replica_is_made_only_if_it_saves_more_than_it_evicts():
+    """The engine with the cached prefix has a short queue, another engine has none.
 
-    Fetched there, the beginning would be kept twice, and what it displaces is read
-    again by somebody: 0.3 s for a beginning of 13,000 tokens.
+    A transfer would store the prefix twice and evict another one, which has to be
+    prefilled again: 0.3 s for a prefix of 13,000 tokens.
     """
     kept = view("a", wait=0.05, prefill_seconds=0.05)
     other = view("b", prefill_seconds=0.05, transferred_seconds=0.3)
-    answering = view("d", Role.DECODE, prefill_seconds=9.0)
+    decode_candidate = view("d", Role.DECODE, prefill_seconds=9.0)
     assert (
-        place_prompt([kept, other, answering], OBJECTIVE, OBJECTIVE).prefill_engine
+        place_prompt(
+            [kept, other, decode_candidate], OBJECTIVE, OBJECTIVE
+        ).prefill_engine
         == "a"
     )
     queue = dataclasses.replace(kept, wait=REPLICA_COST_SHARE * 0.3 + 0.02)
     assert (
-        place_prompt([queue, other, answering], OBJECTIVE, OBJECTIVE).prefill_engine
+        place_prompt(
+            [queue, other, decode_candidate], OBJECTIVE, OBJECTIVE
+        ).prefill_engine
         == "b"
     )
 
 
 @dataclasses.dataclass
 class Engine:
-    """An engine's memory: what it has read, the oldest leaving first."""
+    """An engine's prefix cache (LRU) and the end of its queued work."""
 
     name: str
     memory: PrefixCacheModel
     busy_until: float = 0.0
 
 
-def tokens_read(copy_share: float, seed: int) -> tuple[float, float]:
-    """Return tokens read of shared beginnings, and the mean wait, over some minutes.
+def prefilled_tokens(replica_cost_share: float, seed: int) -> tuple[float, float]:
+    """Return the prefilled tokens of shared prefixes and the mean wait over some
+    minutes.
 
-    Four engines share a hundred beginnings of 13,000 tokens, which fill four fifths of
-    their memory when each is kept once. Prompts go where they cost least.
+    Four engines share a hundred prefixes of 13,000 tokens, which fill four fifths of
+    their caches if each is stored once. Prompts go where they cost least.
     """
     rng = random.Random(seed)
     engines = [Engine(str(n), PrefixCacheModel(400_000)) for n in range(4)]
@@ -82,7 +88,7 @@
             )
             missing = 13_000 - own - transferred
             seconds = (3_000 + missing) / 45_000 + transferred / 900_000
-            cost = wait + seconds + copy_share * transferred / 45_000
+            cost = wait + seconds + replica_cost_share * transferred / 45_000
             costs.append((cost, engine.name, engine, wait, seconds, missing))
         *_, engine, wait, seconds, missing = min(costs, key=lambda cost: cost[:2])
         engine.busy_until = now + wait + seconds
@@ -93,23 +99,24 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_homes_keep_more_beginnings_than_copies_everywhere(seed):
-    """Shared beginnings are read again and again though memory would hold them all.
+def test_replica_cost_keeps_more_prefixes_cached(seed):
+    """Without a cost for replicas, prefixes are evicted though the caches could hold
+    all.
 
-    A fetch takes a twentieth of a read, so each prompt goes to the shortest queue and
-    takes its beginning along: every engine ends with a copy of the same few.
+    A transfer takes a twentieth of a prefill, so each prompt goes to the shortest queue
+    with its prefix: every engine ends up with a replica of the same few.
     """
-    copied, wait_copied = tokens_read(0.0, seed)
-    homed, wait_homed = tokens_read(REPLICA_COST_SHARE, seed)
-    assert homed < copied
-    assert wait_homed < wait_copied
+    with_replicas, wait_with_replicas = prefilled_tokens(0.0, seed)
+    with_cost, wait_with_cost = prefilled_tokens(REPLICA_COST_SHARE, seed)
+    assert with_cost < with_replicas
+    assert wait_with_cost < wait_with_replicas
 
 
-def test_what_is_on_its_way_counts_at_its_engine_and_nowhere_else():
-    """A prompt waits in a queue; another one with its beginning is placed.
+def test_pending_prefix_counts_only_at_its_engine():
+    """A prompt is queued when another one with the same prefix is placed.
 
-    At the same engine it will be read by then. Another engine can't fetch it yet: asked
-    for it, it reads all by itself, three times as long as was predicted.
+    At the same engine the prefix will be cached by then. Another engine can't fetch it
+    yet: it would prefill everything itself, three times as long as predicted.
     """
     memory = PrefixCacheModel(10_000)
     memory.expect(("e", 1), ((1, 4_000), (2, 900)))
@@ -119,16 +126,16 @@
     assert memory.transferable_tokens(((1, 4_000), (3, 100))) == 4_000
 
 
-def test_what_was_given_up_in_the_queue_is_not_kept():
-    book = EngineLoadTracker(100_000)
-    book.prefix.expect(("e", 1), ((1, 4_000),))
-    book.begin(("e", 1), 0.1, 5, 0.0)
-    book.end(("e", 1), 0.05, done=False)
-    assert book.prefix.expected_cached_tokens(((1, 4_000),)) == 0
+def test_aborted_prefill_is_not_cached():
+    tracker = EngineLoadTracker(100_000)
+    tracker.prefix.expect(("e", 1), ((1, 4_000),))
+    tracker.begin(("e", 1), 0.1, 5, 0.0)
+    tracker.end(("e", 1), 0.05, done=False)
+    assert tracker.prefix.expected_cached_tokens(((1, 4_000),)) == 0
 
 
-def test_a_peers_own_part_displaces_others_too():
-    """What nobody asks for again takes as much memory as what many share."""
+def test_unshared_part_of_a_peer_evicts_others():
+    """A part that is never requested again takes as much cache as a shared one."""
     notice = PrefillNotice(1, 7, 5, tokens=3_000, cached=4_000, parts=((1, 4_000),))
     memory = PrefixCacheModel(8_000)
     memory.store(((9, 4_000),))
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -1,4 +1,6 @@
-"""Decisions of a direct entry under load, without a network."""
+"""Policies of a direct entry under load, without a network. Return the prefill time of
+an engine with the prior's coefficients.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +49,7 @@
 
 
 def predicted_seconds(tokens: int, cached: int = 0) -> float:
-    """Return how long an engine of the first guess reads a prompt."""
+    """Return the prefill time of an engine with the prior's coefficients."""
     return PREFILL_ENGINE_PRIOR.occupied_seconds(tokens, cached)
 
 
@@ -62,14 +64,14 @@
 
 
 TIGHT = 0.25
-"""Seconds: the tightest objective of a group."""
+"""Tightest objective of a group, in seconds."""
 
 LONG = LONG_PROMPT_SHARE * TIGHT
 TOO_LONG = DECODE_ENGINE_PREFILL_SHARE * TIGHT + 0.001
-"""Seconds that an answering engine would read for, just over what it may."""
+"""Prefill time just above the limit of a decode engine, in seconds."""
 
 
-def test_short_prompt_goes_where_it_is_read_first():
+def test_short_prompt_goes_to_the_earliest_engine():
     engines = [
         view("a", wait=0.18),
         view("b", wait=0.002),
@@ -80,15 +82,17 @@
     assert (chosen.prefill_engine, chosen.decode_engine) == ("b", "d")
 
 
-def test_long_prompt_leaves_the_free_engine_free():
-    """One engine has long prompts already, one is free, and the objective allows it."""
+def test_long_prompt_is_packed_if_its_objective_allows():
+    """One engine has long prompts already, one is free, and the objective allows
+    packing.
+    """
     engines = [view("a", wait=0.1), view("b"), view("d", Role.DECODE)]
     long = [dataclasses.replace(e, prefill_seconds=LONG) for e in engines]
     assert place_prompt(long, 0.8, TIGHT).prefill_engine == "a"
     assert place_prompt(long, 0.2, TIGHT).prefill_engine == "b"
 
 
-def test_answering_engine_reads_short_prompts_only_while_it_has_time():
+def test_decode_engine_prefills_short_prompts_only_while_not_busy():
     busy = view("a", wait=0.4)
     idle, full = view("d", Role.DECODE), view("d", Role.DECODE, running_decodes=40.0)
     assert place_prompt([busy, idle], TIGHT, TIGHT).prefill_engine is None
@@ -98,8 +102,8 @@
     assert place_prompt(long, TIGHT, TIGHT).prefill_engine == "a"
 
 
-def test_what_an_answering_engine_may_read_follows_the_tightest_objective():
-    """The same prompt holds up answers that must begin within 0.25 s, or within 2 s."""
+def test_prefill_limit_of_a_decode_engine_follows_the_tightest_objective():
+    """The same prefill delays answers with an objective of 0.25 s, or of 2 s."""
     busy, idle = (
         view("a", wait=0.4, prefill_seconds=0.1),
         view("d", Role.DECODE, prefill_seconds=0.2),
@@ -108,7 +112,7 @@
     assert place_prompt([busy, idle], 2.0, 2.0).prefill_engine is None
 
 
-def test_without_a_reading_engine_the_answering_ones_read_all():
+def test_decode_engines_prefill_all_without_a_prefill_engine():
     chosen = place_prompt(
         [view("d", Role.DECODE, prefill_seconds=0.4, running_decodes=60.0)],
         TIGHT,
@@ -141,87 +145,89 @@
         assert max(steps) <= 9
 
 
-def test_prompt_that_goes_first_passes_its_rank_and_no_more_urgent_one():
+def test_prompt_that_goes_first_precedes_only_its_rank():
     for rank in (1, 2, 7):
         first = prefill_priority(rank, 50_000, goes_first=True)
         assert first < min(prefill_priority(rank, tokens) for tokens in (100, 50_000))
         assert first > prefill_priority(rank - 1 if rank < 3 else 1, 100)
 
 
-def test_prompt_that_goes_first_does_not_pass_for_a_burst():
-    """One long prompt would have all others refused for the second that it takes."""
-    book = EngineLoadTracker(470_000)
-    book.begin(("e", 1), 1.0, 4, 0.0, goes_first=True)
-    assert book.expected_wait(9, 0.0) == pytest.approx(book.wait(9, 0.0))
+def test_prompt_that_goes_first_is_not_counted_as_urgent_load():
+    """Otherwise, one long prompt would cause refusals of all others for a second."""
+    tracker = EngineLoadTracker(470_000)
+    tracker.begin(("e", 1), 1.0, 4, 0.0, goes_first=True)
+    assert tracker.expected_wait(9, 0.0) == pytest.approx(tracker.wait(9, 0.0))
 
 
-def test_prompt_that_goes_first_is_refused_unless_it_is_foreseen_well_in_time():
+def test_prompt_that_goes_first_needs_a_margin():
     left = 2.0
     assert not is_unreachable(1.9, left)
     assert is_unreachable(1.9, left, goes_first=True)
     assert not is_unreachable(0.9 * GOES_FIRST_SHARE * left, left, goes_first=True)
 
 
-def test_book_waits_for_the_prompt_under_way_and_what_is_more_urgent():
-    book = EngineLoadTracker(100_000)
-    book.begin(("e", 1), 0.2, 7, 0.0)
-    book.begin(("e", 2), 0.08, 7, 0.01)
-    book.begin(("f", 1), 0.02, 2, 0.02)
-    assert book.wait(0, 0.1) == pytest.approx(0.1)
-    assert book.wait(2, 0.1) == pytest.approx(0.12)
-    assert book.wait(9, 0.1) == pytest.approx(0.2)
-    # Overdue: something was before it that nobody told of.
-    assert book.wait(0, 0.5) == pytest.approx(0.2 * MIN_REMAINING_SHARE)
-    book.end(("e", 1), 0.6)
-    # The more urgent one is next, whichever came first.
-    assert book.current == ("f", 1)
+def test_wait_covers_the_running_and_more_urgent_prefills():
+    tracker = EngineLoadTracker(100_000)
+    tracker.begin(("e", 1), 0.2, 7, 0.0)
+    tracker.begin(("e", 2), 0.08, 7, 0.01)
+    tracker.begin(("f", 1), 0.02, 2, 0.02)
+    assert tracker.wait(0, 0.1) == pytest.approx(0.1)
+    assert tracker.wait(2, 0.1) == pytest.approx(0.12)
+    assert tracker.wait(9, 0.1) == pytest.approx(0.2)
+    # Overdue: an unknown prompt was ahead of it.
+    assert tracker.wait(0, 0.5) == pytest.approx(0.2 * MIN_REMAINING_SHARE)
+    tracker.end(("e", 1), 0.6)
+    # The more urgent one is next, whichever arrived first.
+    assert tracker.current == ("f", 1)
 
 
-def test_long_prompts_take_more_than_their_share():
-    """50,000 tokens: taken for done too soon, their engine is sent short prompts."""
+def test_prefill_time_grows_faster_than_length():
+    """If 50,000 tokens were assumed done too soon, short prompts would follow them."""
     assert predicted_seconds(50_000) > 1.3 * 50 * predicted_seconds(1_000)
     assert predicted_seconds(1_000, cached=20_000) > predicted_seconds(1_000)
 
 
-def test_book_forgets_work_whose_end_was_never_heard_of():
-    """A peer died, or its datagram was lost: the engine must not look busy for ever."""
-    book = EngineLoadTracker(100_000)
-    book.begin(("peer", 1), 1.4, 0, 0.0)
-    assert book.wait(0, 0.1) > 0
-    assert book.wait(0, PENDING_TTL_SECONDS + 0.1) == 0
-    assert book.pending_prefills == {}
+def test_prefill_without_a_reported_end_expires():
+    """After a peer's failure or a lost notice, the engine must not look busy forever."""
+    tracker = EngineLoadTracker(100_000)
+    tracker.begin(("peer", 1), 1.4, 0, 0.0)
+    assert tracker.wait(0, 0.1) > 0
+    assert tracker.wait(0, PENDING_TTL_SECONDS + 0.1) == 0
+    assert tracker.pending_prefills == {}
 
 
-def test_slowness_shows_and_fades():
-    book = EngineLoadTracker(100_000)
+def test_slowdown_rises_and_decays():
+    tracker = EngineLoadTracker(100_000)
     for number in range(6):
-        book.observe_slowdown(0.05, 0.5, number * 0.1)
-    assert book.slowdown(0.5) > 4
-    assert book.slowdown(0.5 + 5 * SLOWDOWN_DECAY_SECONDS) < 1.2
-    book.observe_slowdown(0.05, 0.05, 1.0)
-    assert book.slowdown(1.0) == pytest.approx(1.0)
-
-
-def test_overtaken_work_is_marked():
-    """Its time would say more of the urgent work than of the engine."""
-    book = EngineLoadTracker(100_000)
-    book.begin(("e", 1), 0.1, 7, 0.0)
-    book.begin(("e", 2), 0.01, 0, 0.01)
-    assert not book.end(("e", 2), 0.2).overtaken
-    assert book.end(("e", 1), 0.2).overtaken
-    assert book.end(("e", 1), 0.3) is None
-
-
-def test_silence_allows_for_the_prompt_under_way():
-    book = EngineLoadTracker(100_000)
-    assert book.unresponsive_at(5.0, 5.0) == pytest.approx(5.0 + UNRESPONSIVE_SECONDS)
-    book.begin(("e", 1), 1.4, 7, 5.0)
-    assert book.unresponsive_at(5.0, 5.0) > 5.0 + UNRESPONSIVE_SECONDS + 1.0
-    book.last_reply_at = 6.0
-    assert book.unresponsive_at(5.0, 6.0) > 6.0 + UNRESPONSIVE_SECONDS
+        tracker.observe_slowdown(0.05, 0.5, number * 0.1)
+    assert tracker.slowdown(0.5) > 4
+    assert tracker.slowdown(0.5 + 5 * SLOWDOWN_DECAY_SECONDS) < 1.2
+    tracker.observe_slowdown(0.05, 0.05, 1.0)
+    assert tracker.slowdown(1.0) == pytest.approx(1.0)
+
+
+def test_overtaken_prefill_is_marked():
+    """Its time would say more about the urgent work than about the engine."""
+    tracker = EngineLoadTracker(100_000)
+    tracker.begin(("e", 1), 0.1, 7, 0.0)
+    tracker.begin(("e", 2), 0.01, 0, 0.01)
+    assert not tracker.end(("e", 2), 0.2).overtaken
+    assert tracker.end(("e", 1), 0.2).overtaken
+    assert tracker.end(("e", 1), 0.3) is None
+
+
+def test_unresponsive_limit_allows_for_the_running_prefill():
+    tracker = EngineLoadTracker(100_000)
+    assert tracker.unresponsive_at(5.0, 5.0) == pytest.approx(
+        5.0 + UNRESPONSIVE_SECONDS
+    )
+    tracker.begin(("e", 1), 1.4, 7, 5.0)
+    assert tracker.unresponsive_at(5.0, 5.0) > 5.0 + UNRESPONSIVE_SECONDS + 1.0
+    tracker.last_reply_at = 6.0
+    assert tracker.unresponsive_at(5.0, 6.0) > 6.0 + UNRESPONSIVE_SECONDS
 
 
-def test_prefix_memory_counts_only_an_unbroken_beginning():
+def test_only_a_contiguous_prefix_counts_as_cached():
     memory = PrefixCacheModel(1_000)
     memory.store([(1, 400), (2, 300)])
     assert memory.expected_cached_tokens([(1, 400), (3, 50), (2, 300)]) == 400
@@ -232,7 +238,7 @@
 
 
 def test_retries_stay_within_the_share_over_any_window():
-    """Everything fails, all the while: no window has more than the operators allow."""
+    """All requests fail all the time, and no window exceeds the operators' limit."""
     rng = random.Random(3)
     window = RetryWindow(RetryLimits(0.2, 20.0))
     sent, repeated, now = [], [], 0.0
@@ -249,8 +255,8 @@
     assert len(repeated) > 0.1 * len(sent)
 
 
-def test_retries_of_the_whole_fleet_stay_within_the_few():
-    """Without traffic each entry has its part of the few, and half is held back."""
+def test_free_retries_of_the_fleet_stay_within_the_limit():
+    """Without traffic each entry uses half of its share of the free retries."""
     limits = RetryLimits(0.2, 58.0)
     total = 0
     for _ in range(10):
@@ -260,14 +266,14 @@
     assert 0 < total <= 58.0 / 2
 
 
-def test_plain_upstream_that_fails_is_left_out_and_comes_back():
-    book = PlainUpstreamLoad()
+def test_failing_plain_upstream_is_ejected_and_returns():
+    tracker = PlainUpstreamLoad()
     for _ in range(FAILURES_TO_EJECT):
-        book.failed(1.0)
-    assert book.is_ejected(1.0)
-    assert not book.is_ejected(1.0 + EJECTION_SECONDS)
+        tracker.failed(1.0)
+    assert tracker.is_ejected(1.0)
+    assert not tracker.is_ejected(1.0 + EJECTION_SECONDS)
     views = [
-        PlainCandidate("a", True, 6, 0.0, book.is_ejected(1.0)),
+        PlainCandidate("a", True, 6, 0.0, tracker.is_ejected(1.0)),
         PlainCandidate("b", True, 6, 5.0),
     ]
     rng = random.Random(1)
@@ -289,7 +295,7 @@
     ("engines", "share", "wanted"),
     [(1, 0.0, 1), (2, 0.0, 1), (3, 0.9, 2), (5, 0.0, 2), (6, 0.05, 2), (6, 0.5, 5)],
 )
-def test_answering_engines_wanted(engines, share, wanted):
+def test_wanted_decode_engines(engines, share, wanted):
     assert wanted_decode_engines(engines, share) == wanted
 
 
@@ -299,8 +305,8 @@
     ]
 
 
-def test_surplus_of_answering_engines_is_mended_after_a_moment():
-    """Two reading engines crash: the third answering one reads soon, not in 15 s."""
+def test_surplus_decode_engine_changes_after_the_settle_time():
+    """Two prefill engines crash; the third decode engine changes before 15 s are over."""
     controller = RoleController()
     assert controller.decide(roles(2, 3), 0.05, 0.0) is None
     assert controller.decide(roles(2, 3), 0.05, SETTLE_SECONDS / 2) is None
@@ -308,38 +314,38 @@
     assert (order.name, order.role) == ("d0", Role.PREFILL)
 
 
-def test_answering_engine_that_leaves_is_replaced_after_a_moment():
-    """One answering engine is left: its memory fills and it puts answers back."""
+def test_lost_decode_engine_is_replaced_after_the_settle_time():
+    """Only one decode engine is left: its memory fills and it preempts answers."""
     controller = RoleController()
     assert controller.decide(roles(4, 1), 0.05, 0.0) is None
     order = controller.decide(roles(4, 1), 0.05, SETTLE_SECONDS)
     assert order.role is Role.DECODE
 
 
-def test_swing_of_the_mix_that_turns_back_changes_nothing():
+def test_short_swing_of_the_mix_changes_no_role():
     controller = RoleController()
     for tick in range(100):
         share = 0.4 if tick % 8 < 4 else 0.05
         assert controller.decide(roles(4, 2), share, tick * HOLD_SECONDS / 8) is None
 
 
-def test_lasting_shift_to_long_answers_moves_an_engine():
+def test_lasting_shift_to_long_answers_changes_a_role():
     controller = RoleController()
     orders = [controller.decide(roles(4, 2), 0.4, 0.5 * n) for n in range(20)]
     found = [order for order in orders if order is not None]
     assert found[0].role is Role.DECODE
 
 
-def test_role_without_any_engine_is_mended_at_once():
+def test_role_without_an_engine_is_filled_at_once():
     order = RoleController().decide(roles(3, 0), 0.0, 0.0)
     assert (order.role, order.urgent) == (Role.DECODE, True)
 
 
-def test_second_order_does_not_wait_where_nothing_answers():
-    """Both answering engines left; the first order for another one is under way.
+def test_second_order_does_not_wait_without_a_decode_engine():
+    """Both decode engines left, and the first order for another one is in progress.
 
-    One alone would be flooded by what has waited: the second is ordered beside it, and
-    no third.
+    A single one would be overloaded by the waiting requests, so a second engine is
+    ordered at the same time, but no third.
     """
     controller = RoleController()
     engines = roles(4, 0)
@@ -350,7 +356,7 @@
     assert controller.decide(engines, 0.05, 0.5) is None
 
 
-def test_engine_that_may_not_change_yet_is_passed_over():
+def test_engine_that_may_not_change_is_skipped():
     engines = [
         EngineRole("p0", Role.PREFILL, may_change=False),
         EngineRole("p1", Role.PREFILL, load=9),
@@ -359,7 +365,7 @@
     assert RoleController().decide(engines[:1] * 2, 0.0, 0.0) is None
 
 
-def test_mix_meter_fades():
+def test_mix_meter_decays():
     meter = MixMeter()
     assert meter.decode_share == 0.0
     meter.observe(5_000, 0, 0.0)
@@ -369,11 +375,12 @@
     assert meter.decode_share > 0.9
 
 
-def test_a_large_fleet_keeps_a_third_answering_engine():
-    """25 engines, 2,100 output tokens to 45,000 read: with two answering, all waits.
+def test_large_group_keeps_a_third_decode_engine():
+    """25 engines, 2,100 output tokens to 45,000 prompt tokens: two decode engines
+    saturate.
 
-    A tenth more time for reading in the mix takes the third one away. Answers no longer
-    fit into the memory of the two that are left, and begin again and again.
+    A tenth more prefill in the mix would remove the third one. The answers would no
+    longer fit into the memory of the other two and would be restarted repeatedly.
     """
     meter = MixMeter()
     meter.observe(45_000, 2_100, 0.0)
@@ -389,10 +396,10 @@
 
 
 class SerialEngines:
-    """Engines that read one prompt at a time, the most urgent waiting one next."""
+    """Engines that prefill one prompt at a time, the most urgent waiting one next."""
 
     def __init__(self, count: int) -> None:
-        self.books = [EngineLoadTracker(400_000) for _ in range(count)]
+        self.trackers = [EngineLoadTracker(400_000) for _ in range(count)]
         self.waiting = [[] for _ in range(count)]
         self.running = [None] * count
         self.late = {0: 0, 1: 0, 2: 0}
@@ -403,10 +410,10 @@
         return len(self.waiting[number]) + (self.running[number] is not None)
 
     def advance(self, now: float) -> None:
-        for number in range(len(self.books)):
+        for number in range(len(self.trackers)):
             while self.running[number] and self.running[number][0] <= now:
                 done, prompt, key = self.running[number]
-                self.books[number].end(key, done)
+                self.trackers[number].end(key, done)
                 self.seen[prompt.rank] += 1
                 self.late[prompt.rank] += done - prompt.arrives > prompt.objective
                 self.running[number] = None
@@ -420,7 +427,7 @@
     def send(self, number: int, prompt: Prompt, key) -> None:
         priority = prefill_priority(prompt.rank, prompt.tokens)
         seconds = predicted_seconds(prompt.tokens)
-        self.books[number].begin(key, seconds, priority, prompt.arrives)
+        self.trackers[number].begin(key, seconds, priority, prompt.arrives)
         if self.running[number] is None:
             self.start(number, prompt, key, prompt.arrives)
             return
@@ -428,8 +435,8 @@
         heapq.heappush(self.waiting[number], item)
 
 
-def afternoon(seed: int, seconds: float = 60.0) -> list[Prompt]:
-    """Return prompts of three kinds at four fifths of what four engines can read."""
+def prompt_arrivals(seed: int, seconds: float = 60.0) -> list[Prompt]:
+    """Return prompts of three kinds at four fifths of the capacity of four engines."""
     rng = random.Random(seed)
     prompts = []
     kinds = [(30.0, 650, 0, 0.25), (17.0, 1_900, 1, 0.3), (11.0, 9_500, 2, 0.8)]
@@ -444,7 +451,7 @@
 
 def replay(choose, seed: int) -> SerialEngines:
     engines = SerialEngines(4)
-    for number, prompt in enumerate(afternoon(seed)):
+    for number, prompt in enumerate(prompt_arrivals(seed)):
         engines.advance(prompt.arrives)
         engines.send(choose(engines, prompt), prompt, ("e", number))
     for later in range(60, 200):
@@ -459,16 +466,16 @@
             str(number),
             Role.PREFILL,
             True,
-            book.wait(priority, prompt.arrives),
+            tracker.wait(priority, prompt.arrives),
             predicted_seconds(prompt.tokens),
             1.0,
             0.0,
         )
-        for number, book in enumerate(engines.books)
+        for number, tracker in enumerate(engines.trackers)
     ]
-    answering = view("d", Role.DECODE, running_decodes=99.0)
+    decode_candidate = view("d", Role.DECODE, running_decodes=99.0)
     return int(
-        place_prompt([*views, answering], prompt.objective, TIGHT).prefill_engine
+        place_prompt([*views, decode_candidate], prompt.objective, TIGHT).prefill_engine
     )
 
 
@@ -480,26 +487,26 @@
     priority = prefill_priority(prompt.rank, prompt.tokens)
     return min(
         range(4),
-        key=lambda n: engines.books[n].wait(priority, prompt.arrives),
+        key=lambda n: engines.trackers[n].wait(priority, prompt.arrives),
     )
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_short_prompts_among_long_ones_at_high_load(seed):
-    """Four engines at four fifths of their load, prompts of 50 to 54,000 tokens.
+    """Four engines at four fifths of their capacity, prompts of 50 to 54,000 tokens.
 
-    By counts a short prompt waits behind a long one while another engine idles. By
-    tokens, with long ones packed, the most urgent kind is late half as often at most.
+    By counts, a short prompt waits behind a long one while another engine idles. By
+    tokens, with long ones packed, the most urgent kind is late at most half as often.
     """
     counted, placed = replay(by_count, seed), replay(by_policy, seed)
     assert placed.late[0] * 2 < counted.late[0]
     assert sum(placed.late.values()) < sum(counted.late.values())
 
 
-def test_packing_long_prompts_costs_nothing_where_all_is_known(monkeypatch):
-    """Packing answers what entries can't know of each other in time.
+def test_packing_costs_nothing_with_complete_information(monkeypatch):
+    """Packing compensates for late information between entries.
 
-    In this replay everything is known at once; packing must not make it worse.
+    In this replay all load is known at once; packing must not make it worse.
     """
     packed = sum(sum(replay(by_policy, seed).late.values()) for seed in range(6))
     monkeypatch.setattr(direct_placement, "LONG_PROMPT_SHARE", math.inf)
@@ -508,9 +515,9 @@
 
 
 def drained_at(backlog: float, every: float, seconds: float) -> float:
-    """Return when an engine comes to a long prompt behind a backlog.
+    """Return when an engine starts a long prompt behind a backlog.
 
-    Short prompts of some seconds keep coming and are read first.
+    Short prompts of some seconds keep arriving and are prefilled first.
     """
     now, due = 0.0, every
     while backlog > 1e-9:
@@ -524,37 +531,40 @@
 
 
 @pytest.mark.parametrize(("every", "seconds"), [(0.05, 0.015), (0.03, 0.015)])
-def test_wait_of_a_long_prompt_counts_the_short_ones_to_come(every, seconds):
-    """A burst of short prompts takes 30 or 50% of an engine that a long one waits for.
+def test_expected_wait_of_a_long_prompt_includes_urgent_arrivals(every, seconds):
+    """A burst of short prompts takes 30 or 50% of the engine for which a long one
+    waits.
 
-    By its place in the queue alone the long one would be let in and left by its caller
-    in the queue; foreseen, it is refused at once or read elsewhere.
+    By its place in the queue alone, the long one would be admitted and its caller would
+    time out. With the prediction it is refused at once or prefilled elsewhere.
     """
-    book = EngineLoadTracker(470_000)
+    tracker = EngineLoadTracker(470_000)
     now = 0.0
     while now < 5.0:
         now += every
-        book.begin(("e", int(now * 1e6)), seconds, 0, now)
-        book.end(("e", int(now * 1e6)), now + seconds)
-    book.begin(("e", 1), 0.4, 5, now)
-    plain = book.wait(5, now)
-    expected = book.expected_wait(5, now)
+        tracker.begin(("e", int(now * 1e6)), seconds, 0, now)
+        tracker.end(("e", int(now * 1e6)), now + seconds)
+    tracker.begin(("e", 1), 0.4, 5, now)
+    plain = tracker.wait(5, now)
+    expected = tracker.expected_wait(5, now)
     actual = drained_at(0.4, every, seconds)
     assert abs(expected - actual) < 0.15 * actual
     assert plain < 0.75 * actual
-    assert book.expected_wait(0, now) == pytest.approx(book.wait(0, now))
+    assert tracker.expected_wait(0, now) == pytest.approx(tracker.wait(0, now))
 
 
-def test_urgent_load_is_bounded_and_fades():
-    book = EngineLoadTracker(470_000)
+def test_urgent_load_is_bounded_and_decays():
+    tracker = EngineLoadTracker(470_000)
     for number in range(100):
-        book.begin(("e", number), 0.1, 0, 0.0)
-        book.end(("e", number), 0.0)
-    book.begin(("e", 100), 0.4, 5, 0.0)
-    assert book.expected_wait(5, 0.0) == pytest.approx(0.4 / (1 - MAX_URGENT_SHARE))
+        tracker.begin(("e", number), 0.1, 0, 0.0)
+        tracker.end(("e", number), 0.0)
+    tracker.begin(("e", 100), 0.4, 5, 0.0)
+    assert tracker.expected_wait(5, 0.0) == pytest.approx(0.4 / (1 - MAX_URGENT_SHARE))
     later = 20 * URGENT_LOAD_SECONDS
-    book.begin(("e", 101), 0.4, 5, later)
-    assert book.expected_wait(5, later) == pytest.approx(book.wait(5, later), rel=0.01)
+    tracker.begin(("e", 101), 0.4, 5, later)
+    assert tracker.expected_wait(5, later) == pytest.approx(
+        tracker.wait(5, later), rel=0.01
+    )
 
 
 def answer_waits(answers: list[tuple[float, int, float]], places: int) -> list[float]:
@@ -575,12 +585,12 @@
     return waits
 
 
-def test_short_answers_do_not_wait_behind_those_of_seconds():
-    """One of two answering engines is gone; the other one's 64 places are all taken.
+def test_short_answers_do_not_wait_behind_long_ones():
+    """One of two decode engines is lost, and all 64 places of the other one are taken.
 
-    Of 55 answers of 1.3 s that come each second, more urgent than checks of a word or
-    two, each takes the next free place: a check waits until its caller leaves. Given
-    the same priority it waits as long as all, and they no longer for it.
+    Of 55 answers of 1.3 s that arrive each second, more urgent than checks of a word or
+    two, each takes the next free place: a check waits until its caller times out. With
+    the same priority it waits no longer than the others, and hardly delays them.
     """
     arrivals = sorted(
         [(n / 55, 0, 830, 946, 1.3) for n in range(220)]
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -1,4 +1,4 @@
-"""Orders to engines: one holder, a token each, nothing repeated too soon."""
+"""Role change orders: one lease holder, one fencing token each, no early repeats."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class OrderedEngine:
-    """An engine that takes orders; ``how`` says how it answers them.
+    """An engine that accepts orders; ``how`` sets its reply.
 
     :param orders: bodies of the orders that arrived.
     :param token: highest fencing token seen.
@@ -74,7 +74,7 @@
 
 @contextlib.asynccontextmanager
 async def planners(*scripts: OrderedEngine, count: int = 1, quiet: float = 0.0):
-    """Yield a store, fleets and planners over engines that all make answers."""
+    """Yield a store and planners over a fleet of decode engines."""
     async with contextlib.AsyncExitStack() as stack:
         store = await stack.enter_async_context(Store())
         session = await stack.enter_async_context(store_session())
@@ -130,8 +130,8 @@
 until = functools.partial(direct_support.until, seconds=5.0)
 
 
-async def test_fleet_without_a_reading_engine_gets_one():
-    """Two engines, both answering: one is ordered to read, once."""
+async def test_fleet_without_a_prefill_engine_gets_one():
+    """Of two decode engines, one is ordered to the prefill role, once."""
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts) as (store, (planner,)), run(planner):
         await until(lambda: any(script.orders for script in scripts))
@@ -148,8 +148,8 @@
     assert any(key.startswith("/bergamotmast/plan/engines/") for key in store.items)
 
 
-async def test_order_whose_reply_is_lost_is_not_given_again():
-    """The engine may carry it out seconds later: a second order would tear it."""
+async def test_order_with_a_lost_reply_is_not_repeated():
+    """The engine may carry it out seconds later; a second order would interrupt it."""
     scripts = [OrderedEngine("lose"), OrderedEngine("lose")]
     async with planners(*scripts) as (_, (planner,)), run(planner):
         await until(lambda: any(script.orders for script in scripts))
@@ -157,10 +157,10 @@
     assert sum(len(script.orders) for script in scripts) == 1
 
 
-async def test_refused_token_is_not_used_again():
-    """Another machine has given orders under a higher token: this one gives up.
+async def test_refused_fencing_token_is_not_reused():
+    """Another instance has given orders under a higher token, so this holder gives up.
 
-    It may order again only under a new authority, whose token is higher.
+    It may order again only under a new lease, whose token is higher.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     for script in scripts:
@@ -172,11 +172,11 @@
     assert tokens == sorted(set(tokens))
 
 
-async def test_two_candidates_never_order_under_one_token():
-    """The holder is paused, its lease lapses, another takes over, the first wakes.
+async def test_two_planners_never_order_under_one_token():
+    """The holder is suspended, its lease lapses, another takes over, the first resumes.
 
-    Its write of the plan fails, so that it gives no order any more; the new holder's
-    token is higher, and it lets the pause between two holders pass.
+    The first one's plan write fails, so it gives no more orders. The new holder's token
+    is higher, and it waits for the pause between two holders.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts, count=2, quiet=0.6) as (store, (one, two)):
@@ -197,18 +197,18 @@
 
 
 async def order_all(planner: RolePlanner) -> None:
-    """Give each engine an order, as an earlier holder did."""
+    """Order each engine to change, as an earlier holder did."""
     now = asyncio.get_running_loop().time()
     for upstream in planner.fleet.present("llm", now):
         order = RoleOrder(upstream.name, Role.PREFILL, "too few prefill engines")
         await planner._send_order(upstream, order, now)
 
 
-async def test_engine_that_nobody_ordered_lately_is_ordered_at_once():
-    """All answering engines leave as the holder loses the store; another takes over.
+async def test_engine_without_a_recent_order_is_ordered_at_once():
+    """All decode engines leave as the holder loses the store, and another takes over.
 
-    Only an engine that had an order of the former holder needs the pause between two
-    holders. Waiting for all of them, nothing was served for three seconds more.
+    Only an engine with an order of the former holder needs the pause between two
+    holders. If all were waited for, nothing would be served for three more seconds.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts, count=2, quiet=5.0) as (store, (one, two)):
@@ -224,34 +224,34 @@
 
 
 async def test_role_without_an_engine_does_not_wait_for_another_order():
-    """An engine is on its way to reading when the last answering ones leave.
+    """An engine is changing to prefill when the last decode engines leave.
 
-    Nothing is answered until one answers again: the order for it is not put off until
-    the change under way is over, which takes seconds where its reply is lost.
+    Nothing is answered until there is a decode engine again. The order for it must not
+    wait for the other change, which takes seconds if its reply is lost.
     """
     scripts = [OrderedEngine("lose"), OrderedEngine(), OrderedEngine()]
     async with planners(*scripts) as (_, (planner,)), run(planner):
         await until(lambda: scripts[0].orders)
-        enter(planner.fleet, "i-1", stage="prefill")
-        enter(planner.fleet, "i-2", stage="prefill")
-        enter(planner.fleet, "i-0", state="draining")
+        update_registration(planner.fleet, "i-1", stage="prefill")
+        update_registration(planner.fleet, "i-2", stage="prefill")
+        update_registration(planner.fleet, "i-0", state="draining")
         await until(lambda: scripts[1].orders or scripts[2].orders, seconds=2.0)
     orders = scripts[1].orders + scripts[2].orders
     assert [order["stage"] for order in orders] == ["decode"]
 
 
-def enter(fleet: Fleet, name: str, **changes: str) -> None:
-    """Change an engine's entry as it does itself."""
+def update_registration(fleet: Fleet, name: str, **changes: str) -> None:
+    """Change an engine's registration as the engine does itself."""
     replica = engine(name, None)
     replica.address = fleet.upstream_records[f"servers/{name}"].upstream.address
     value = json.dumps(registration(replica) | changes).encode()
     fleet.put(KeyValue(f"servers/{name}", value, 10))
 
 
-async def test_candidate_looks_as_soon_as_the_lease_is_free():
-    """The holder dies; a candidate would look at the lease in five to fifteen seconds.
+async def test_candidate_polls_as_soon_as_the_lease_is_free():
+    """The holder dies, and a candidate's next poll is due in five to fifteen seconds.
 
-    Its watch tells it that the holder's key is gone, so that it looks at once.
+    Its watch reports that the holder's key is gone, so it polls at once.
     """
     async with planners(OrderedEngine(), count=2) as (store, (one, two)):
         two.election.vacancy_poll_spread_seconds = 0.05
@@ -301,11 +301,11 @@
         await asyncio.wait_for(two.election.acquire(), 2.0)
 
 
-async def test_plan_of_the_last_holder_is_not_taken_for_new_orders():
-    """A new holder opens the plan, in which an engine was once told to read.
+async def test_new_holder_clears_the_plan_of_the_last_one():
+    """A new holder opens the plan, which has an old prefill order for an engine.
 
-    The engine has started again since and answers. Entries that took the old part for
-    an order under way would leave it alone for seconds.
+    The engine has restarted since and decodes. Entries that took the old assignment for
+    an order in progress would send it nothing for seconds.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts, count=2) as (store, (one, two)):
@@ -318,11 +318,11 @@
         assert len(two.store.tokens_at_open) == 2
 
 
-async def test_holder_suspended_before_an_order_looks_at_the_time_anew():
-    """The holder is suspended after its write of the plan, for longer than its lease.
+async def test_suspended_holder_checks_its_lease_before_an_order():
+    """The holder is suspended after its plan write, for longer than its lease.
 
-    Another machine may have taken over and ordered elsewhere meanwhile. The holder's
-    timers have not run yet when it wakes; it must not order on what it believed.
+    Another instance may have taken over and given orders meanwhile. The holder's timers
+    have not run yet when it resumes; it must check the clock before it orders.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     loop = asyncio.get_running_loop()
@@ -342,11 +342,11 @@
     assert not any(script.orders for script in scripts)
 
 
-async def test_order_is_not_given_on_an_old_reading():
-    """The store takes its time over the plan's write, within the lease.
+async def test_order_is_not_based_on_an_old_report():
+    """The store takes long for the plan write, but less than the lease.
 
-    The engine may have restarted meanwhile and count from 0 again, so that the count
-    in the order would be one of another life. It is read anew first.
+    The engine may have restarted meanwhile with its order count at 0 again, so that the
+    count in the order would belong to an earlier process. It is read again first.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
     loop = asyncio.get_running_loop()
@@ -369,11 +369,11 @@
     assert sum(len(script.orders) for script in scripts) == 1
 
 
-async def test_lease_counts_from_before_it_was_asked_for():
-    """A candidate is paused while the reply to its request for a lease comes in.
+async def test_lease_time_counts_from_before_the_request():
+    """A candidate is suspended while the reply to its lease request arrives.
 
-    The lease runs from the store's receipt; counted from the awakening it would be
-    held after its end.
+    The lease runs from the store's receipt of the request; if it were counted from the
+    resumption, it would be considered valid after its end.
     """
     loop = asyncio.get_running_loop()
     async with planners(OrderedEngine()) as (store, (planner,)):
@@ -392,7 +392,7 @@
         assert not planner.election.lease_is_valid
 
 
-async def test_released_lease_is_taken_by_the_next():
+async def test_released_lease_is_acquired_by_the_next_candidate():
     scripts = [OrderedEngine("conflict"), OrderedEngine("conflict")]
     async with planners(*scripts, count=2) as (store, (one, two)):
         async with run(one):
@@ -402,10 +402,10 @@
             await until(lambda: two.election.lease > 0)
 
 
-async def test_entry_that_ends_as_it_takes_over_leaves_no_lease_behind():
-    """An entry is told to end while the reply to its takeover is on its way.
+async def test_shutdown_during_a_takeover_releases_the_lease():
+    """An entry shuts down while the reply to its takeover is on its way.
 
-    The lease it was granted would keep the others from planning until it lapses.
+    Otherwise the granted lease would block the other candidates until it lapses.
     """
     async with planners(OrderedEngine()) as (store, (planner,)):
         service = planner.election.kv
@@ -426,7 +426,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-async def test_store_that_is_down_stops_orders_and_nothing_else(known):
+async def test_store_outage_only_stops_orders(known):
     scripts = [OrderedEngine(), OrderedEngine()]
     async with planners(*scripts) as (store, (planner,)):
         if known:
--- a/tests/test_entry_share.py
+++ b/tests/test_entry_share.py
@@ -1,4 +1,4 @@
-"""Counts of the entries that share something."""
+"""An entry's share of a fleet-wide budget."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 NAMES = [f"e{number}" for number in range(8)]
 
 
-def test_an_entry_that_has_lapsed_counts_for_a_while():
+def test_lapsed_entry_counts_for_a_while():
     share = EntryShare("e0")
     share.on_lapsed("e7", 1.0)
     assert share.entries(NAMES[:7], 1.0) == 8
     assert share.entries(NAMES[:7], 1.0 + LAPSED_ENTRY_SECONDS) == 7
 
 
-def test_an_entry_that_is_back_counts_once():
+def test_returned_entry_counts_once():
     share = EntryShare("e0")
     share.on_lapsed("e7", 1.0)
     assert share.entries(NAMES, 2.0) == 8
     assert share.entries(NAMES[:7], 3.0) == 7
 
 
-def test_few_entries_are_taken_for_some():
+def test_number_of_entries_has_a_lower_bound():
     assert EntryShare("e0").entries([], 0.0) == MIN_ENTRIES
 
 
-def test_the_part_grows_while_the_store_is_heard():
+def test_share_grows_while_the_store_replies():
     share = EntryShare("e0")
     share.on_store_reply(1.0)
     share.on_registered("e1", 1.0)
--- a/tests/test_policy_entry.py
+++ b/tests/test_policy_entry.py
@@ -1,3 +1,5 @@
+"""The default entry policy: placement, ejection, prefix affinity and retry budget."""
+
 from __future__ import annotations
 
 import random
@@ -45,8 +47,11 @@
 
 
 def test_burst_within_one_report_spreads() -> None:
-    # Sixty requests arrive before any report does. Own work since the report counts,
-    # so the entry does not send them all to the upstream that looked idle.
+    """Sixty requests arrive between two reports.
+
+    The entry counts its own work since the report, so it doesn't send them all to the
+    upstream that looked idle.
+    """
     entry = policy()
     own = dict.fromkeys(("a", "b", "c"), 0)
     for number in range(60):
@@ -65,9 +70,11 @@
     assert max(own.values()) - min(own.values()) <= 3
 
 
-def test_slow_upstream_gets_less() -> None:
-    # One upstream reports the same rates as the others and takes six times as long;
-    # its attempts show it, and callers are sent elsewhere.
+def test_slow_upstream_gets_fewer_requests() -> None:
+    """An upstream with the same reported rates takes six times as long as the others.
+
+    Its attempts show it, and requests go elsewhere.
+    """
     entry = policy()
     names = ["a", "b", "slow"]
     chosen = []
@@ -110,8 +117,11 @@
 
 
 def test_hot_prefix_stays_until_its_upstream_is_busy() -> None:
-    # All callers share one template. It is kept at one upstream while that one is
-    # free, and goes elsewhere once the queue costs more than the prefill saved.
+    """All callers share one template.
+
+    Its requests go to the upstream that has it cached, and elsewhere once the queue
+    costs more than the prefill that is saved.
+    """
     entry = policy()
     entry.on_admitted(call(), 0.0)
     first = entry.choose(call(0, "p"), [candidate(n) for n in "abc"], 0.0).upstream
@@ -133,8 +143,10 @@
 
 
 def test_retries_are_a_share_of_fresh_work() -> None:
-    # After an outage every call is tried again: the budget lets a fifth of the fresh
-    # work through, beside the burst saved before.
+    """After an outage every call is retried.
+
+    The budget earns a fifth of the fresh work, up to its maximum.
+    """
     entry = policy()
     for number in range(1000):
         entry.on_admitted(call(number), 0.0)
@@ -144,7 +156,7 @@
 
 @pytest.mark.parametrize("entries", [1, 28, 330])
 def test_entries_that_have_just_started_retry_a_share_of_fresh_work(entries) -> None:
-    """Every call is refused: a saved burst for each entry would multiply the load."""
+    """All calls are refused. An initial burst at each entry would multiply the load."""
     fleet = [policy() for _ in range(entries)]
     fresh = granted = 0
     for entry in fleet:
@@ -157,14 +169,14 @@
 
 
 @pytest.mark.parametrize("readiness", [Readiness.LEAVING, Readiness.UNKNOWN])
-def test_upstream_that_is_not_ready_gets_nothing(readiness: Readiness) -> None:
+def test_upstream_that_is_not_ready_gets_no_request(readiness: Readiness) -> None:
     report = SideReport(readiness, Role.MIXED)
     choice = policy().choose(call(), [candidate("a", report)], 0.0)
     assert choice.upstream is None
     assert choice.code is ResultCode.NO_UPSTREAM
 
 
-def test_prediction_follows_the_class() -> None:
+def test_prediction_follows_the_request_class() -> None:
     entry = policy()
     for number in range(100):
         entry.choose(call(number), [candidate("a")], 0.0)
--- a/tests/test_policy_queueing.py
+++ b/tests/test_policy_queueing.py
@@ -1,3 +1,5 @@
+"""The default side policy: fair queueing, priorities and admission."""
+
 from __future__ import annotations
 
 import pytest
@@ -52,9 +54,10 @@
 
 
 def test_heavy_tenant_waits_behind_its_own_backlog() -> None:
-    # A clerk of a small tenant gets an answer at once, although a large tenant
-    # queued forty requests before it: the queue shares by token cost, so the clerk's
-    # request starts second and not forty-first.
+    """A small tenant's request arrives behind forty of a large tenant.
+
+    Tenants share by token cost, so it starts second and not forty-first.
+    """
     policy = side()
     for number in range(40):
         assert policy.offer(item(f"heavy-{number}", tenant="heavy"), 0.0) == 0
@@ -62,7 +65,7 @@
     assert "light" in drain(policy, 2)
 
 
-def test_weight_gives_share() -> None:
+def test_tenants_share_by_weight() -> None:
     policy = side()
     for number in range(30):
         policy.offer(item(f"a-{number}", tenant="a", weight=2.0), 0.0)
@@ -71,9 +74,11 @@
     assert sum(name.startswith("a") for name in first) in range(19, 22)
 
 
-def test_check_passes_waiting_appraisals() -> None:
-    # A hold check arrives behind appraisals that fill the queue and the batch; batch
-    # work leaves a place free, so the check starts in it at once.
+def test_check_overtakes_waiting_appraisals() -> None:
+    """A check arrives behind appraisals that fill the queue and the batch.
+
+    Batch work leaves a place free, in which the check starts at once.
+    """
     policy = side()
     for number in range(20):
         policy.offer(appraisal(f"long-{number}"), 0.0)
@@ -89,9 +94,11 @@
 
 
 def test_long_work_starts_during_an_endless_burst_of_checks() -> None:
-    # Checks arrive as fast as they are answered, each 50 ms after the last, and hold
-    # every place. The appraisal behind them waits half of the time it may, is then
-    # owed its turn, and has its first token in time.
+    """Checks arrive every 50 ms, as fast as they are answered, and hold every place.
+
+    The appraisal behind them waits half of its allowed time, then claims its share, and
+    has its first token in time.
+    """
     policy = side()
     policy.offer(item("long", Cost(1000, 1000), priority=Priority.BATCH), 0.0)
     for number in range(200):
@@ -107,9 +114,11 @@
     assert 5.0 <= now <= 6.0
 
 
-def test_saturation_is_refused_at_the_door() -> None:
-    # At several times the rate, callers beyond what can be prefilled in time are
-    # refused at once, before any of their prompt was prefilled.
+def test_saturation_is_refused_at_admission() -> None:
+    """At several times the capacity, requests that would be late are refused at once.
+
+    No prefill is spent on them.
+    """
     policy = side(max_streams=64)
     codes = [policy.offer(item(f"r-{n}", start_by=1.0), 0.0) for n in range(200)]
     assert codes.count(ResultCode.OK) == 50
@@ -127,7 +136,7 @@
 
 
 @pytest.mark.parametrize("ended", [True, False])
-def test_counts_return_to_nothing(ended: bool) -> None:
+def test_counters_return_to_zero(ended: bool) -> None:
     policy = side()
     policy.offer(item("one"), 0.0)
     if ended:
--- a/tests/test_policy_shifting.py
+++ b/tests/test_policy_shifting.py
@@ -1,3 +1,5 @@
+"""The default shift policy: role changes that pay back in time."""
+
 from __future__ import annotations
 
 import collections.abc as cabc
@@ -23,7 +25,7 @@
 
 @dataclasses.dataclass
 class Group:
-    """A group of engines that is offered a mix and takes its changes at once."""
+    """A group of engines with an offered mix; role changes take effect at once."""
 
     roles: dict[str, Role]
     policy: PaybackShiftPolicy = dataclasses.field(default_factory=PaybackShiftPolicy)
@@ -68,8 +70,10 @@
 
 
 def test_lasting_swing_moves_engines_one_at_a_time() -> None:
-    # Checks replace appraisals for good: callers' prompts wait while decode engines
-    # idle. One engine after the other changes, none within a change of the last.
+    """Checks replace appraisals for good, and prompts wait while decode engines idle.
+
+    Engines change their roles one after another, never two at a time.
+    """
     group = split()
     group.run(lambda now: PREFILL_HEAVY, 300)
     assert [c.role for _, c in group.changes] == [Role.PREFILL]
@@ -85,9 +89,12 @@
     assert group.changes == []
 
 
-def test_stale_picture_freezes_roles() -> None:
-    # The reports stop while the mix has just moved: what the last of them said may be
-    # over, and a change made on it could not be seen to work.
+def test_stale_reports_freeze_roles() -> None:
+    """Reports stop just after the mix has changed.
+
+    The last reported load may be over, and the effect of a change could not be
+    observed.
+    """
     group = split()
     group.report_age = 30.0
     group.run(lambda now: PREFILL_HEAVY, 300)
@@ -100,14 +107,14 @@
     assert group.changes == []
 
 
-def test_bounds_hold() -> None:
+def test_role_bounds_are_kept() -> None:
     group = split()
     group.bounds = {Role.DECODE: RoleBounds(least=3), Role.MIXED: RoleBounds(most=0)}
     group.run(lambda now: PREFILL_HEAVY, 300)
     assert group.changes == []
 
 
-def test_fitting_fleet_is_left_alone() -> None:
+def test_balanced_group_is_not_changed() -> None:
     group = split()
     group.run(lambda now: (15000.0, 1500.0), 600)
     assert group.changes == []
--- a/tests/test_policy_shutdown.py
+++ b/tests/test_policy_shutdown.py
@@ -1,4 +1,4 @@
-"""What an entry that is about to end still takes, and when the others come back."""
+"""Admission during a shutdown, and the retries of refused callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("now", "deadline", "taken"),
+    ("now", "deadline", "admitted"),
     [
         (11.0, 30.0, True),
         (12.6, 20.6, True),
@@ -27,19 +27,19 @@
         (17.5, 18.0, False),
     ],
 )
-def test_a_request_is_taken_if_it_has_its_whole_time(now, deadline, taken):
-    assert is_admitted(END, deadline, now) is taken
+def test_request_is_admitted_if_its_whole_time_remains(now, deadline, admitted):
+    assert is_admitted(END, deadline, now) is admitted
 
 
-def test_the_callers_of_three_ending_entries_do_not_return_in_one_moment():
-    """All entries end in turn and refuse a hundred callers within some milliseconds.
+def test_retries_after_a_rolling_restart_are_spread():
+    """All entries stop in turn, and each refuses a hundred callers within milliseconds.
 
-    Told one time, all would meet the first restarted entry at once. In no tenth of the
-    spread more than a quarter of them return.
+    With the same retry delay, all callers would reach the first restarted entry at
+    once. No tenth of the jitter interval gets more than a quarter of them.
     """
     rng = random.Random(4)
-    told = sorted(retry_after(rng, SHUTDOWN_RETRY_SECONDS) for _ in range(100))
-    assert told[0] >= SHUTDOWN_RETRY_SECONDS
-    assert told[-1] <= SHUTDOWN_RETRY_SECONDS + RETRY_JITTER_SECONDS
+    delays = sorted(retry_after(rng, SHUTDOWN_RETRY_SECONDS) for _ in range(100))
+    assert delays[0] >= SHUTDOWN_RETRY_SECONDS
+    assert delays[-1] <= SHUTDOWN_RETRY_SECONDS + RETRY_JITTER_SECONDS
     tenth = RETRY_JITTER_SECONDS / 10
-    assert max(sum(t <= x < t + tenth for x in told) for t in told) <= 25
+    assert max(sum(t <= x < t + tenth for x in delays) for t in delays) <= 25
--- a/tests/test_prefill_model.py
+++ b/tests/test_prefill_model.py
@@ -1,4 +1,4 @@
-"""What engines of unknown makes take to read, learned from what reads have taken."""
+"""Prefill times of unknown engines, learned from finished prefills."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from bergamotmast.policy.prefill_model import GroupPrefillTimes
 from bergamotmast.policy.prefill_model import PrefillTimeModel
 
-READS = 48
-WITHIN = 1.25
+SAMPLES = 48
+MAX_ERROR_FACTOR = 1.25
 
 
 @dataclasses.dataclass(frozen=True)
 class Make:
-    """An engine that reads in pieces, a step for each.
+    """An engine that prefills in chunks, one step for each.
 
-    :param rate: tokens a second, beside the steps.
-    :param step: seconds.
+    :param rate: tokens a second, apart from the steps.
+    :param step: seconds of a step.
     :param pair: seconds for each pair of a token and one before it.
     """
 
     rate: float
     step: float = 0.004
-    piece: int = 2048
+    chunk: int = 2048
     pair: float = 0.4e-9
     call: float = 0.008
 
     def seconds(self, tokens: int, cached: int) -> float:
-        steps = math.ceil(tokens / self.piece)
+        steps = math.ceil(tokens / self.chunk)
         pairs = tokens * (cached + tokens / 2)
         return self.call + steps * self.step + tokens / self.rate + pairs * self.pair
 
@@ -47,14 +47,14 @@
     "twice as fast": Make(100_000, step=0.002, pair=0.2e-9),
     "six times as slow": Make(8_000, pair=2.4e-9),
     "slow steps": Make(50_000, step=0.02),
-    "small pieces": Make(50_000, piece=512),
+    "small pieces": Make(50_000, chunk=512),
     "pairs cost nothing": Make(50_000, pair=0.0),
     "pairs cost much": Make(60_000, pair=1.2e-9),
 }
 
 
 def prompts(rng: random.Random, count: int) -> list[tuple[int, int]]:
-    """Return tokens to read and cached ones, as different as a day's."""
+    """Return uncached and cached token counts, as varied as those of a day."""
     found = []
     for _ in range(count):
         tokens = int(min(60_000, 3_000 * rng.lognormvariate(0, 1.1))) + 50
@@ -63,7 +63,9 @@
 
 
 def disturbed(rng: random.Random, seconds: float) -> float:
-    """Return what a read seems to take: some meet a queue, of some much was kept."""
+    """Return a measured time: some prefills meet a queue, some an unknown cached
+    prefix.
+    """
     kind = rng.random()
     if kind < 0.25:
         return seconds + rng.expovariate(4.0)
@@ -74,48 +76,50 @@
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("name", MAKES)
-def test_reads_of_any_make_are_known_within_four_dozen(name, seed):
-    """Another customer's engines are of a make that nobody has told of.
+def test_prefill_times_of_any_make_are_learned_from_48_samples(name, seed):
+    """The engines of another deployment are of an unknown make.
 
-    Half of what is sent there waits behind prompts that should be read by then, or is
-    turned away though there would be time.
+    With wrong prefill times, half of the prompts sent there queue behind others that
+    should be done, or are refused although there would be time.
     """
     make, rng = MAKES[name], random.Random(seed)
     model = PrefillTimeModel(PREFILL_ENGINE_PRIOR)
-    for tokens, cached in prompts(rng, READS):
+    for tokens, cached in prompts(rng, SAMPLES):
         model.learn(tokens, cached, disturbed(rng, make.seconds(tokens, cached)))
     for tokens, cached in ((1_000, 0), (4_000, 13_000), (15_000, 0), (45_000, 0)):
         ratio = model.times.seconds(tokens, cached) / make.seconds(tokens, cached)
-        assert 1 / WITHIN < ratio < WITHIN
+        assert 1 / MAX_ERROR_FACTOR < ratio < MAX_ERROR_FACTOR
 
 
-def test_engines_of_one_group_have_each_their_pace():
-    """Two of four engines take 1.5 times as long: no read of theirs shows the rest."""
+def test_engines_of_a_group_have_their_own_time_ratio():
+    """Two of four engines take 1.5 times as long, which no single prefill shows."""
     rng, group = random.Random(1), GroupPrefillTimes()
-    paces = [1.0, 1.5, 1.0, 1.5]
-    books = [EngineLoadTracker(500_000, group) for _ in paces]
+    ratios = [1.0, 1.5, 1.0, 1.5]
+    trackers = [EngineLoadTracker(500_000, group) for _ in ratios]
     make = Make(30_000)
-    for _ in range(READS):
-        for time_ratio, book in zip(paces, books, strict=True):
+    for _ in range(SAMPLES):
+        for time_ratio, tracker in zip(ratios, trackers, strict=True):
             ((tokens, cached),) = prompts(rng, 1)
-            book.learn(tokens, cached, time_ratio * make.seconds(tokens, cached))
-    for time_ratio, book in zip(paces, books, strict=True):
-        ratio = book.prefill_seconds(9_000, 0) / (time_ratio * make.seconds(9_000, 0))
-        assert 1 / WITHIN < ratio < WITHIN
+            tracker.learn(tokens, cached, time_ratio * make.seconds(tokens, cached))
+    for time_ratio, tracker in zip(ratios, trackers, strict=True):
+        ratio = tracker.prefill_seconds(9_000, 0) / (
+            time_ratio * make.seconds(9_000, 0)
+        )
+        assert 1 / MAX_ERROR_FACTOR < ratio < MAX_ERROR_FACTOR
 
 
-def test_roles_are_learned_apart():
+def test_roles_are_learned_separately():
     group = GroupPrefillTimes()
-    book = EngineLoadTracker(500_000, group)
-    book.role = Role.MIXED
-    for tokens, cached in prompts(random.Random(2), READS):
-        book.learn(tokens, cached, 4 * Make(20_000).seconds(tokens, cached))
+    tracker = EngineLoadTracker(500_000, group)
+    tracker.role = Role.MIXED
+    for tokens, cached in prompts(random.Random(2), SAMPLES):
+        tracker.learn(tokens, cached, 4 * Make(20_000).seconds(tokens, cached))
     assert group.prefill_engines.times == PREFILL_ENGINE_PRIOR
-    assert book.prefill_seconds(5_000, 0) > 3 * Make(20_000).seconds(5_000, 0)
+    assert tracker.prefill_seconds(5_000, 0) > 3 * Make(20_000).seconds(5_000, 0)
 
 
-def test_a_few_odd_reads_change_little():
-    """One prompt that waited for a second leaves its engine as good as before."""
+def test_single_outlier_changes_the_time_ratio_little():
+    """A prompt that waited for a second barely changes its engine's time ratio."""
     time_ratio = EngineTimeRatio()
     for _ in range(10):
         time_ratio.learn(0.1, 0.1)
@@ -124,9 +128,9 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
-def test_what_can_not_be_is_left_out(seconds):
+def test_impossible_samples_are_ignored(seconds):
     model, time_ratio = PrefillTimeModel(PREFILL_ENGINE_PRIOR), EngineTimeRatio()
-    for _ in range(READS):
+    for _ in range(SAMPLES):
         model.learn(1_000, 0, seconds)
         model.learn(0, 0, 1.0)
         time_ratio.learn(0.1, seconds)
@@ -134,54 +138,56 @@
     assert time_ratio.factor == 1.0
 
 
-def test_the_longest_prompt_under_way_is_found_out():
-    """An engine reads a prompt for a second; urgent ones are sent there all the while.
+def test_running_long_prefill_is_inferred_when_another_ends():
+    """An engine prefills a prompt for a second and gets urgent ones all the while.
 
-    As the prompt before it ends, two wait: the long one, which the engine has begun by
-    then, and an urgent one that has just come. Taken for the present one, the urgent
-    one seems to be read in a moment, and so does each that comes after it.
+    When the previous prefill ends, two prompts are queued: a long one, which the engine
+    has started by then, and an urgent one that has just arrived. If the urgent one were
+    assumed to be running, it and all that follow would seem to end in a moment.
+    """
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("a", 1), 0.1, 5, 0.0)
+    tracker.begin(("a", 2), 1.0, 9, 0.05)
+    tracker.begin(("b", 1), 0.03, 0, 0.095)
+    tracker.end(("a", 1), 0.1)
+    assert tracker.current == ("a", 2)
+    assert tracker.wait(0, 0.2) > 0.8
+
+
+def test_running_prefill_is_inferred_again_after_an_overrun():
+    """The inferred prefill was wrong, and only its overrun shows it."""
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("a", 1), 0.03, 0, 0.0)
+    tracker.begin(("a", 2), 1.0, 9, 0.01)
+    assert tracker.current == ("a", 1)
+    assert tracker.wait(0, 0.15) > 0.7
+    assert tracker.current == ("a", 2)
+
+
+def test_end_of_any_prefill_starts_the_next():
+    """The prompt that ended was not assumed to be running, so the assumed one wasn't
+    either.
     """
-    book = EngineLoadTracker(500_000)
-    book.begin(("a", 1), 0.1, 5, 0.0)
-    book.begin(("a", 2), 1.0, 9, 0.05)
-    book.begin(("b", 1), 0.03, 0, 0.095)
-    book.end(("a", 1), 0.1)
-    assert book.current == ("a", 2)
-    assert book.wait(0, 0.2) > 0.8
-
-
-def test_a_present_prompt_that_takes_too_long_is_another_one():
-    """The guess was wrong, and nothing ends that would tell: its own time tells."""
-    book = EngineLoadTracker(500_000)
-    book.begin(("a", 1), 0.03, 0, 0.0)
-    book.begin(("a", 2), 1.0, 9, 0.01)
-    assert book.current == ("a", 1)
-    assert book.wait(0, 0.15) > 0.7
-    assert book.current == ("a", 2)
-
-
-def test_the_end_of_any_prompt_turns_the_engine_to_the_next():
-    """It was not thought to be under way: what was thought so is not, either."""
-    book = EngineLoadTracker(500_000)
-    book.begin(("a", 1), 0.5, 5, 0.0)
-    book.begin(("a", 2), 0.2, 3, 0.01)
-    book.begin(("a", 3), 0.4, 4, 0.02)
-    book.end(("a", 2), 0.25)
-    assert book.current == ("a", 3)
-    assert book.wait(9, 0.25) == pytest.approx(0.9 - 0.02)
-
-
-def test_a_caller_that_leaves_says_nothing_of_the_present_prompt():
-    book = EngineLoadTracker(500_000)
-    book.begin(("a", 1), 0.5, 5, 0.0)
-    book.begin(("a", 2), 0.2, 6, 0.01)
-    book.end(("a", 2), 0.25, done=False)
-    assert book.current == ("a", 1)
-    assert book.wait(9, 0.25) == pytest.approx(0.25)
-
-
-def test_slowness_stays_bounded():
-    book = EngineLoadTracker(500_000)
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("a", 1), 0.5, 5, 0.0)
+    tracker.begin(("a", 2), 0.2, 3, 0.01)
+    tracker.begin(("a", 3), 0.4, 4, 0.02)
+    tracker.end(("a", 2), 0.25)
+    assert tracker.current == ("a", 3)
+    assert tracker.wait(9, 0.25) == pytest.approx(0.9 - 0.02)
+
+
+def test_cancelled_prefill_does_not_change_the_running_one():
+    tracker = EngineLoadTracker(500_000)
+    tracker.begin(("a", 1), 0.5, 5, 0.0)
+    tracker.begin(("a", 2), 0.2, 6, 0.01)
+    tracker.end(("a", 2), 0.25, done=False)
+    assert tracker.current == ("a", 1)
+    assert tracker.wait(9, 0.25) == pytest.approx(0.25)
+
+
+def test_slowdown_is_bounded():
+    tracker = EngineLoadTracker(500_000)
     for number in range(200):
-        book.observe_slowdown(0.01, 100.0, number * 0.01)
-    assert book.slowdown(2.0) <= MAX_SLOWDOWN
+        tracker.observe_slowdown(0.01, 100.0, number * 0.01)
+    assert tracker.slowdown(2.0) <= MAX_SLOWDOWN
--- a/tests/test_side_size_shares.py
+++ b/tests/test_side_size_shares.py
@@ -1,4 +1,4 @@
-"""What a side serves of large prompts while more comes than its engine can read."""
+"""Service of large prompts at a side while its engine is overloaded."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class OneEngine:
-    """A side and its engine, which reads one prompt after the other."""
+    """A side and its engine, which prefills one prompt at a time."""
 
     def __init__(self) -> None:
         self.policy = FairSidePolicy()
@@ -74,8 +74,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("factor", [1.5, 3.0])
-def test_side_does_not_leave_the_largest_prompts_to_the_last(factor, seed):
-    """Short prompts fill a queue as long as callers wait; the long never fit in."""
+def test_largest_prompts_do_not_starve_at_a_side(factor, seed):
+    """Short prompts fill the queue up to the callers' timeout, and long ones never fit
+    in.
+    """
     rng = random.Random(seed)
     side = OneEngine()
     rate = factor * TOKENS_PER_SECOND / MEAN
--- a/tests/test_size_classes.py
+++ b/tests/test_size_classes.py
@@ -1,3 +1,5 @@
+"""Size classes of prompts, relative to recent sizes of their request class."""
+
 from __future__ import annotations
 
 import random
@@ -12,7 +14,7 @@
 
 
 @pytest.mark.parametrize("scale", [1, 40, 5_000])
-def test_bands_follow_the_sizes_that_a_class_has(scale):
+def test_size_classes_follow_recent_sizes(scale):
     rng = random.Random(7)
     sizes = RecentSizes()
     for _ in range(SIZE_SAMPLES):
@@ -22,19 +24,19 @@
     assert sizes.observe(150 * scale) is SizeClass.REST
 
 
-def test_prompts_of_one_size_are_all_in_the_lowest_band():
+def test_prompts_of_one_size_are_in_the_lowest_size_class():
     sizes = RecentSizes()
-    bands = {sizes.observe(4_000) for _ in range(2 * SIZE_SAMPLES)}
-    assert bands == {SizeClass.REST}
+    size_classes = {sizes.observe(4_000) for _ in range(2 * SIZE_SAMPLES)}
+    assert size_classes == {SizeClass.REST}
 
 
-def test_the_first_prompts_of_a_class_are_not_called_large():
+def test_first_prompts_are_in_the_lowest_size_class():
     sizes = RecentSizes()
     assert {sizes.observe(size) for size in range(9)} == {SizeClass.REST}
     assert sizes.observe(100) is SizeClass.LARGEST
 
 
-def test_sizes_of_long_ago_are_forgotten():
+def test_old_sizes_are_dropped():
     sizes = RecentSizes()
     for size in range(10_000, 11_000):
         sizes.observe(size)
@@ -44,7 +46,7 @@
     assert sizes.observe(9_000) is SizeClass.LARGEST
 
 
-def test_classes_are_bounded_whatever_the_configuration_names():
+def test_number_of_request_classes_is_bounded():
     classes = RequestClassSizes()
     for number in range(10 * MAX_REQUEST_CLASSES):
         classes.observe("kept", 1)
--- a/tests/test_size_shares.py
+++ b/tests/test_size_shares.py
@@ -1,4 +1,4 @@
-"""What is served of large prompts while more comes than can be read."""
+"""Service of large prompts under overload."""
 
 from __future__ import annotations
 
@@ -33,8 +33,10 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("factor", [3.0, 6.0])
 @pytest.mark.parametrize(("entries", "readers"), [(1, 2), (4, 4)])
-async def test_largest_prompts_are_not_left_to_the_last(entries, readers, factor, seed):
-    """Shorter prompts that keep coming pass the largest until their callers leave."""
+async def test_largest_prompts_do_not_starve(entries, readers, factor, seed):
+    """Under overload, shorter prompts overtake the largest until their callers time
+    out.
+    """
     load = Load(reports=4.0 * readers, checks=5.0 * readers, factor=factor)
     shares = await play(entries, readers, load, seed)
     assert shares.all < 0.9
@@ -47,7 +49,7 @@
 
 @pytest.fixture
 def classes() -> SizeShares:
-    """Return the account of a class whose prompts have all been served."""
+    """Return the account of a request class whose prompts have all been served."""
     classes = SizeShares()
     for size in random.Random(3).sample(range(100, 300), 200):
         sized(classes, size).end(served=True)
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize("size_class", [SizeClass.LARGEST, SizeClass.LARGE])
-def test_a_refused_band_gets_half_of_what_its_class_gets(classes, size_class):
+def test_refused_size_class_gets_half_of_its_request_class(classes, size_class):
     rng = random.Random(7)
     claims = []
     ends = []
@@ -78,7 +80,7 @@
     assert allowed[0] <= sum(claims) / len(claims) <= allowed[1]
 
 
-def test_one_debt_lets_one_prompt_go_first(classes):
+def test_one_deficit_lets_one_prompt_go_first(classes):
     shares = classes.classes["report"]
     shares.deficits[SizeClass.LARGEST] = 0.7
     prompts = [SizedPrompt(shares, SizeClass.LARGEST) for _ in range(5)]
@@ -86,7 +88,7 @@
     assert prompts[0].claim()
 
 
-def test_a_prompt_that_went_first_in_vain_is_owed_again(classes):
+def test_deficit_is_restored_if_the_prompt_was_not_served(classes):
     shares = classes.classes["report"]
     shares.deficits[SizeClass.LARGEST] = 0.7
     prompt = SizedPrompt(shares, SizeClass.LARGEST)
@@ -95,7 +97,7 @@
     assert shares.deficits[SizeClass.LARGEST] == pytest.approx(0.7)
 
 
-def test_an_outage_leaves_no_lasting_debt(classes):
+def test_deficit_of_an_outage_is_bounded(classes):
     shares = classes.classes["report"]
     for _ in range(500):
         SizedPrompt(shares, SizeClass.LARGEST).end(served=False)
@@ -103,7 +105,7 @@
     assert shares.deficits[SizeClass.LARGEST] == MAX_DEFICIT_PROMPTS
 
 
-def test_what_was_served_in_calm_times_hardly_counts(classes):
+def test_surplus_of_low_load_is_bounded(classes):
     shares = classes.classes["report"]
     for _ in range(100):
         SizedPrompt(shares, SizeClass.LARGEST).end(served=True)
@@ -113,7 +115,7 @@
     assert SizedPrompt(shares, SizeClass.LARGEST).claim()
 
 
-def test_nothing_is_owed_where_nothing_of_a_class_is_served(classes):
+def test_no_deficit_without_served_prompts(classes):
     shares = classes.classes["report"]
     shares.deficits[SizeClass.LARGEST] = 0.0
     for _ in range(100):
@@ -122,7 +124,7 @@
         prompt.end(served=False)
 
 
-def test_accounts_are_bounded_whatever_the_configuration_names():
+def test_number_of_accounts_is_bounded():
     classes = SizeShares()
     for number in range(10 * MAX_REQUEST_CLASSES):
         classes.begin(f"class-{number}", 1).end(served=True)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,3 +1,5 @@
+"""Subsets of upstreams that entries keep connections to."""
+
 from __future__ import annotations
 
 import collections
@@ -18,7 +20,7 @@
     }
 
 
-def test_a_small_group_is_taken_whole():
+def test_small_group_is_its_own_subset():
     few = {"engine-1": "zone-a", "engine-2": "zone-b"}
     assert choose_subset("entry-1", "zone-a", few) == set(few)
 
@@ -34,12 +36,12 @@
 
 
 @pytest.mark.parametrize("lost", ZONES)
-def test_the_loss_of_a_zone_leaves_every_entry_candidates(lost):
+def test_loss_of_a_zone_leaves_candidates(lost):
     for names in subsets(GROUP).values():
         assert sum(GROUP[name] != lost for name in names) >= SUBSET_SIZE // 2
 
 
-def test_one_upstream_less_moves_little():
+def test_removed_upstream_changes_few_subsets():
     fewer = {name: zone for name, zone in GROUP.items() if name != "engine-3"}
     before, after = subsets(GROUP), subsets(fewer)
     moved = sum(len(after[e] - before[e]) for e in before)
