--- a/src/bergamotmast/backoff.py
+++ b/src/bergamotmast/backoff.py
@@ -1,42 +1,42 @@
-"""Delays between retries that neither hammer a failing service nor come in step."""
+"""Exponential backoff with full jitter for retries."""
 
 from __future__ import annotations
 
 import random
 
-FIRST_DELAY_SECONDS = 0.2
-LONGEST_DELAY_SECONDS = 5.0
+INITIAL_DELAY_SECONDS = 0.2
+MAX_DELAY_SECONDS = 5.0
 
 
 class Backoff:
     """Exponentially growing delays with full jitter.
 
     After an outage of the key-value service every process of the fleet retries. With
-    equal delays the retries arrive together and bring the service down again; drawing
-    each delay evenly from zero to the bound spreads them over the whole bound.
+    equal delays the retries would arrive together and overload the service again.
+    Drawing each delay uniformly between zero and the current bound spreads them.
 
     :param rng: source of the jitter.
-    :param first: bound of the first delay, in seconds.
-    :param longest: bound that later delays grow to, in seconds.
+    :param initial: bound of the first delay, seconds.
+    :param maximum: maximum that the bound grows to, seconds.
     """
 
     def __init__(
         self,
         rng: random.Random,
-        first: float = FIRST_DELAY_SECONDS,
-        longest: float = LONGEST_DELAY_SECONDS,
+        initial: float = INITIAL_DELAY_SECONDS,
+        maximum: float = MAX_DELAY_SECONDS,
     ) -> None:
         self.rng = rng
-        self.first = first
-        self.longest = longest
-        self.bound = first
+        self.initial = initial
+        self.maximum = maximum
+        self.bound = initial
 
     def next_delay(self) -> float:
-        """Return the next delay in seconds and double the bound."""
+        """Return the next delay, in seconds, and double the bound."""
         delay = self.rng.uniform(0.0, self.bound)
-        self.bound = min(self.bound * 2, self.longest)
+        self.bound = min(self.bound * 2, self.maximum)
         return delay
 
     def reset(self) -> None:
-        """Start from the first bound again, after a success."""
-        self.bound = self.first
+        """Reset the bound to its first value after a success."""
+        self.bound = self.initial
--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..errors import BergamotmastError
-from ..key_watch import follow
+from ..key_watch import watch_keys
 from ..ports import KeyValueService
 from ..ports import WatchEvent
 from .delta import apply_delta
@@ -84,7 +84,7 @@
 
     async def _watch_digest_keys(self) -> None:
         async with contextlib.aclosing(
-            follow(self.kv, DIGEST_KEY_PREFIX, self.rng)
+            watch_keys(self.kv, DIGEST_KEY_PREFIX, self.rng)
         ) as digest_keys:
             async for found in digest_keys:
                 is_gone = isinstance(found, WatchEvent) and found.value is None
@@ -104,7 +104,7 @@
                 async with asyncio.timeout(CALL_SECONDS):
                     found = await self.kv.range(DIGEST_KEY_PREFIX)
             except (BergamotmastError, TimeoutError) as error:
-                logger.info("configuration not read again: %r", error)
+                logger.info("periodic re-read of the configuration failed: %r", error)
                 continue
             self._on_digest_key(found.items[-1].key if found.items else "")
 
@@ -138,7 +138,7 @@
             if document != self.holder.document:
                 await self._republish()
         except (BergamotmastError, TimeoutError) as error:
-            logger.warning("configuration not read: %r", error)
+            logger.warning("configuration could not be read: %r", error)
 
     async def _read_from_deltas(self, current_key: str) -> bytes | None:
         """Return the document that the kept deltas lead to; ``None`` if they don't.
@@ -182,7 +182,7 @@
         try:
             self.holder.offer(document)
         except msgspec.DecodeError as error:
-            logger.error("the service holds no configuration: %s", error)
+            logger.error("the stored configuration is not valid: %s", error)
 
     def _own_digest_key(self) -> str:
         return digest_key(self.holder.document)
