--- a/src/bergamotmast/policy/__init__.py
+++ b/src/bergamotmast/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: pure code without sockets, tasks or a clock of its own."""
+"""Admission, placement, scheduling and role policies, without I/O or a clock."""
 
 from __future__ import annotations
 
--- a/src/bergamotmast/policy/admission.py
+++ b/src/bergamotmast/policy/admission.py
@@ -38,23 +38,23 @@
 
 
 def exceeds_entry_deadline(
-    predicted: float, left: float, slack: float = ENTRY_SLACK
+    predicted: float, seconds_left: float, slack: float = ENTRY_SLACK
 ) -> bool:
     """Return whether an entry refuses a request.
 
     :param predicted: predicted seconds until the request is served.
-    :param left: seconds until its deadline.
+    :param seconds_left: seconds until its deadline.
     """
-    return left <= 0.0 or predicted > slack * left
+    return seconds_left <= 0.0 or predicted > slack * seconds_left
 
 
-def exceeds_side_deadline(predicted: float, left: float, slack: float) -> bool:
+def exceeds_side_deadline(predicted: float, seconds_left: float, slack: float) -> bool:
     """Return whether a side refuses a request.
 
     :param predicted: predicted seconds until the request is served.
-    :param left: seconds until its deadline.
+    :param seconds_left: seconds until its deadline.
     """
-    return left <= 0.0 or predicted > slack * left
+    return seconds_left <= 0.0 or predicted > slack * seconds_left
 
 
 def retry_after(overshoot: float, rng: random.Random) -> float:
--- a/src/bergamotmast/policy/affinity.py
+++ b/src/bergamotmast/policy/affinity.py
@@ -49,9 +49,9 @@
     """Estimated cache contents of the upstreams, by prefix."""
 
     def __init__(self) -> None:
-        self.places: collections.OrderedDict[str, dict[str, CacheEstimate]] = (
-            collections.OrderedDict()
-        )
+        self.estimates_by_prefix: collections.OrderedDict[
+            str, dict[str, CacheEstimate]
+        ] = collections.OrderedDict()
 
     def learn(
         self, prefix_key: str, upstream: str, cached: int, prompt: int, now: float
@@ -61,16 +61,16 @@
         An answer without a cache hit still leaves its prefix in the cache, so the
         estimate for an unknown prefix stands in until the next answer gives a count.
         """
-        beliefs = self.places.setdefault(prefix_key, {})
-        self.places.move_to_end(prefix_key)
-        beliefs.pop(upstream, None)
-        beliefs[upstream] = CacheEstimate(
+        estimates = self.estimates_by_prefix.setdefault(prefix_key, {})
+        self.estimates_by_prefix.move_to_end(prefix_key)
+        estimates.pop(upstream, None)
+        estimates[upstream] = CacheEstimate(
             cached or int(prompt * UNKNOWN_PREFIX_SHARE), now
         )
-        if len(beliefs) > MAX_UPSTREAMS_PER_PREFIX:
-            del beliefs[next(iter(beliefs))]
-        if len(self.places) > MAX_PREFIXES:
-            self.places.popitem(last=False)
+        if len(estimates) > MAX_UPSTREAMS_PER_PREFIX:
+            del estimates[next(iter(estimates))]
+        if len(self.estimates_by_prefix) > MAX_PREFIXES:
+            self.estimates_by_prefix.popitem(last=False)
 
     def expected(
         self, prefix_key: str, names: list[str], prompt: int, now: float
@@ -78,11 +78,11 @@
         """Return the tokens that each named upstream is expected to have cached."""
         if not prefix_key:
             return {}
-        known = self.places.get(prefix_key, {})
+        known = self.estimates_by_prefix.get(prefix_key, {})
         fresh = {
-            name: min(belief.tokens, prompt - 1)
-            for name, belief in known.items()
-            if now - belief.seen_at <= CACHE_ESTIMATE_TTL_SECONDS and name in names
+            name: min(estimate.tokens, prompt - 1)
+            for name, estimate in known.items()
+            if now - estimate.seen_at <= CACHE_ESTIMATE_TTL_SECONDS and name in names
         }
         if fresh or not names:
             return fresh
--- a/src/bergamotmast/policy/baselines.py
+++ b/src/bergamotmast/policy/baselines.py
@@ -119,9 +119,9 @@
     def pick(self, pool: list[Candidate]) -> Candidate:
         """Return an upstream with the fewest requests; ties are broken at random."""
         counts = [_outstanding(c) for c in pool]
-        least = min(counts)
+        fewest = min(counts)
         return self.rng.choice(
-            [c for c, n in zip(pool, counts, strict=True) if n == least]
+            [c for c, n in zip(pool, counts, strict=True) if n == fewest]
         )
 
 
--- a/src/bergamotmast/policy/capacity.py
+++ b/src/bergamotmast/policy/capacity.py
@@ -67,10 +67,10 @@
         if role in self.known:
             return self.known[role]
         for other, pair in self.known.items():
-            theirs, ours = PRIOR_RATIOS[other], PRIOR_RATIOS[role]
+            other_ratios, role_ratios = PRIOR_RATIOS[other], PRIOR_RATIOS[role]
             return TokenRates(
-                pair.prefill * ours.prefill / theirs.prefill,
-                pair.decode * ours.decode / theirs.decode,
+                pair.prefill * role_ratios.prefill / other_ratios.prefill,
+                pair.decode * role_ratios.decode / other_ratios.decode,
             )
         return PRIOR_RATIOS[role]
 
--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -65,7 +65,7 @@
 """Largest prompt with the first priority of its rank. Each doubling is one step lower,
 so that short prefills don't wait for long ones."""
 
-SHORT_ANSWER_TOKENS = 300
+MAX_SHORT_ANSWER_TOKENS = 300
 """Largest ``max_tokens`` of a short answer, which ends within some tenths of a second;
 others take one to three seconds."""
 
@@ -160,7 +160,7 @@
 
     :param max_output_tokens: upper bound of the output tokens; 0 if unknown.
     """
-    is_short = 0 < max_output_tokens <= SHORT_ANSWER_TOKENS
+    is_short = 0 < max_output_tokens <= MAX_SHORT_ANSWER_TOKENS
     if is_short and decisions.short_answers_first:
         return 0
     return prefill_priority(rank, prompt_tokens, decisions)
@@ -175,8 +175,8 @@
     engines: t.Sequence[EngineCandidate],
 ) -> EngineCandidate | None:
     """Return the decode engine for a prompt that is prefilled elsewhere."""
-    able = [engine for engine in engines if engine.role is not Role.PREFILL]
-    return min(able, key=_answer_load, default=None)
+    suitable = [engine for engine in engines if engine.role is not Role.PREFILL]
+    return min(suitable, key=_answer_load, default=None)
 
 
 def place_prompt(
@@ -232,13 +232,13 @@
     options: t.Sequence[tuple[float, EngineCandidate]], objective: float
 ) -> tuple[float, EngineCandidate] | None:
     """Return the most loaded prefill engine well within the objective."""
-    able = [
+    suitable = [
         option
         for option in options
         if option[1].role is Role.PREFILL
         and option[0] <= objective * PACKING_LIMIT_SHARE
     ]
-    return max(able, key=lambda option: (option[0], option[1].name), default=None)
+    return max(suitable, key=lambda option: (option[0], option[1].name), default=None)
 
 
 def _first_token(engine: EngineCandidate) -> float:
--- a/src/bergamotmast/policy/direct_roles.py
+++ b/src/bergamotmast/policy/direct_roles.py
@@ -6,14 +6,14 @@
 Without it: with two of six engines in the prefill role, prompts queue for seconds while
 four decode engines serve a handful of requests each.
 
-A decode engine batches: it produces some :data:`DECODE_RATE` tokens a second, so
-answers of dozens of tokens need a small part of the fleet. It can also prefill between
-decode steps at about two fifths of the speed, so a second decode engine is no loss.
-:func:`wanted_decode_engines` therefore keeps :data:`MIN_DECODE_ENGINES` decode engines,
-so that one may fail, and more only if the mix requires it. A change starts once the mix
-has required it for :data:`HOLD_SECONDS`: each change takes an engine away for seconds,
-which doesn't pay for a swing that turns back sooner. A role without any engine is
-filled at once.
+A decode engine batches: it produces some :data:`DECODE_TOKENS_PER_SECOND` tokens a
+second, so answers of dozens of tokens need a small part of the fleet. It can also
+prefill between decode steps at about two fifths of the speed, so a second decode engine
+is no loss. :func:`wanted_decode_engines` therefore keeps :data:`MIN_DECODE_ENGINES`
+decode engines, so that one may fail, and more only if the mix requires it. A change
+starts once the mix has required it for :data:`HOLD_SECONDS`: each change takes an
+engine away for seconds, which doesn't pay for a swing that turns back sooner. A role
+without any engine is filled at once.
 """
 
 from __future__ import annotations
@@ -24,11 +24,12 @@
 
 from ..model import Role
 
-PREFILL_RATE = 50_000.0
-"""Prompt tokens a second of a prefill engine. Only its ratio to :data:`DECODE_RATE`
-matters, which determines how many decode engines suffice."""
+PREFILL_TOKENS_PER_SECOND = 50_000.0
+"""Prompt tokens a second of a prefill engine. Only its ratio to
+:data:`DECODE_TOKENS_PER_SECOND` matters, which determines how many decode engines
+suffice."""
 
-DECODE_RATE = 40_000.0
+DECODE_TOKENS_PER_SECOND = 40_000.0
 """Output tokens a second of a decode engine with a half full batch."""
 
 MIN_DECODE_ENGINES = 2
@@ -64,8 +65,8 @@
             self.prefill *= fade
             self.decode *= fade
         self.at = now
-        self.prefill += prompt_tokens / PREFILL_RATE
-        self.decode += output_tokens / DECODE_RATE
+        self.prefill += prompt_tokens / PREFILL_TOKENS_PER_SECOND
+        self.decode += output_tokens / DECODE_TOKENS_PER_SECOND
 
     @property
     def decode_share(self) -> float:
@@ -110,9 +111,9 @@
     if engines <= 1:
         # A single engine must decode: it can also prefill.
         return engines
-    least = MIN_DECODE_ENGINES if engines >= 2 * MIN_DECODE_ENGINES else 1
+    min_engines = MIN_DECODE_ENGINES if engines >= 2 * MIN_DECODE_ENGINES else 1
     by_mix = math.ceil(engines * decode_share * DECODE_SAFETY_FACTOR)
-    return min(engines - 1, max(least, by_mix))
+    return min(engines - 1, max(min_engines, by_mix))
 
 
 class RoleController:
@@ -150,8 +151,8 @@
             role, candidates, reason = Role.PREFILL, decoding, "too few prefill engines"
         else:
             role, candidates, reason = Role.DECODE, prefilling, "too few decode engines"
-        able = [e for e in candidates if e.may_change and not e.changing]
-        if not able:
+        changeable = [e for e in candidates if e.may_change and not e.changing]
+        if not changeable:
             return None
-        chosen = min(able, key=lambda engine: (engine.load, engine.name))
+        chosen = min(changeable, key=lambda engine: (engine.load, engine.name))
         return RoleOrder(chosen.name, role, reason, urgent)
--- a/src/bergamotmast/policy/engine_load.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -191,10 +191,10 @@
         """
         slowdown = self.slowdown(now)
         due_at = now + (self.wait(priority, now) + seconds) * slowdown
-        for work in self.pending_prefills.values():
-            if priority < work.priority:
-                work.overtaken = True
-                work.due_at += seconds * slowdown
+        for pending in self.pending_prefills.values():
+            if priority < pending.priority:
+                pending.overtaken = True
+                pending.due_at += seconds * slowdown
         self.pending_prefills[key] = PendingPrefill(seconds, priority, now, due_at)
         if not goes_first:
             self.urgent.add(priority, seconds, now)
@@ -209,25 +209,25 @@
         :param done: whether the prefill completed. If so, the engine has started the
             next one, whichever prompt was assumed to be running.
         """
-        work = self.pending_prefills.pop(key, None)
+        pending = self.pending_prefills.pop(key, None)
         self.prefix.settle(key, done=done)
-        if work is not None and (done or key == self.current):
+        if pending is not None and (done or key == self.current):
             self._infer_current(now - NEXT_PREFILL_LEAD_SECONDS)
-        return work
+        return pending
 
     def wait(self, priority: int, now: float) -> float:
         """Return the seconds of work ahead of a prompt of a priority."""
         self._drop_expired(now)
         self._revise_current(now)
         seconds = 0.0
-        for key, work in self.pending_prefills.items():
+        for key, pending in self.pending_prefills.items():
             if key == self.current:
                 progress = max(0.0, now - self.current_since) / self.slowdown(now)
                 seconds += max(
-                    work.seconds * MIN_REMAINING_SHARE, work.seconds - progress
+                    pending.seconds * MIN_REMAINING_SHARE, pending.seconds - progress
                 )
-            elif work.priority <= priority:
-                seconds += work.seconds
+            elif pending.priority <= priority:
+                seconds += pending.seconds
         return seconds
 
     def expected_wait(self, priority: int, now: float) -> float:
@@ -279,11 +279,11 @@
         prefill takes a second or more, just before they are done. A prompt that is no
         longer tracked has exceeded :data:`PENDING_TTL_SECONDS` and is overdue.
         """
-        work = self.pending_prefills.get(key)
-        if work is None:
+        pending = self.pending_prefills.get(key)
+        if pending is None:
             return -math.inf
-        expected = work.due_at - work.since
-        return work.since + OVERDUE_FACTOR * expected + UNRESPONSIVE_SECONDS
+        expected = pending.due_at - pending.since
+        return pending.since + OVERDUE_FACTOR * expected + UNRESPONSIVE_SECONDS
 
     def unresponsive_at(self, since: float, now: float) -> float:
         """Return when an engine without further replies is taken for lost.
@@ -292,8 +292,8 @@
 
         :param since: when the waiting call was sent; a point in time.
         """
-        work = self.pending_prefills.get(self.current) if self.current else None
-        seconds = work.seconds if work is not None else 0.0
+        pending = self.pending_prefills.get(self.current) if self.current else None
+        seconds = pending.seconds if pending is not None else 0.0
         allowed = UNRESPONSIVE_FACTOR * seconds * self.slowdown(now)
         return max(since, self.last_reply_at) + UNRESPONSIVE_SECONDS + allowed
 
@@ -301,7 +301,7 @@
         """Infer the prefill that is running since a point in time."""
         self.current_since = at
         queued = [
-            key for key, work in self.pending_prefills.items() if work.since <= at
+            key for key, pending in self.pending_prefills.items() if pending.since <= at
         ]
         if queued:
             self.current = min(queued, key=self._order)
@@ -318,11 +318,11 @@
         look almost free to urgent prompts for up to a second, and all of them would be
         sent there.
         """
-        work = self.pending_prefills.get(self.current) if self.current else None
-        if work is None:
+        pending = self.pending_prefills.get(self.current) if self.current else None
+        if pending is None:
             return
         elapsed = (now - self.current_since) / self.slowdown(now)
-        if elapsed <= work.seconds * OVERRUN_FACTOR + NEXT_PREFILL_LEAD_SECONDS:
+        if elapsed <= pending.seconds * OVERRUN_FACTOR + NEXT_PREFILL_LEAD_SECONDS:
             return
         queued_by = self.current_since + NEXT_PREFILL_LEAD_SECONDS
         longer = [
@@ -341,6 +341,10 @@
 
     def _drop_expired(self, now: float) -> None:
         limit = now - PENDING_TTL_SECONDS
-        old = [key for key, work in self.pending_prefills.items() if work.since < limit]
+        old = [
+            key
+            for key, pending in self.pending_prefills.items()
+            if pending.since < limit
+        ]
         for key in old:
             self.end(key, now, done=False)
--- a/src/bergamotmast/policy/plain_placement.py
+++ b/src/bergamotmast/policy/plain_placement.py
@@ -79,10 +79,10 @@
     views: t.Sequence[PlainCandidate], rng: random.Random
 ) -> str | None:
     """Return the name of the upstream that gets the call, or ``None``."""
-    able = [view for view in views if not view.ejected] or list(views)
-    if not able:
+    available = [view for view in views if not view.ejected] or list(views)
+    if not available:
         return None
-    pair = rng.sample(able, min(2, len(able)))
+    pair = rng.sample(available, min(2, len(available)))
     return min(pair, key=_share).name
 
 
--- a/src/bergamotmast/policy/prefill_model.py
+++ b/src/bergamotmast/policy/prefill_model.py
@@ -105,7 +105,7 @@
 """Prior of the time from the end of a prefill to the first token at another engine."""
 
 
-class _Read(t.NamedTuple):
+class _Sample(t.NamedTuple):
     tokens: int
     pairs: float
     seconds: float
@@ -117,21 +117,26 @@
     :param times: the present fit.
     """
 
-    def __init__(self, guess: PrefillTimes) -> None:
-        self.guess = guess
-        self.times = guess
-        self.reads: collections.deque[_Read] = collections.deque(maxlen=WINDOW_SAMPLES)
-        self.unfitted = 0
+    def __init__(self, prior: PrefillTimes) -> None:
+        self.prior = prior
+        self.times = prior
+        self.samples: collections.deque[_Sample] = collections.deque(
+            maxlen=WINDOW_SAMPLES
+        )
+        self.samples_since_fit = 0
 
     def learn(self, tokens: int, cached: int, seconds: float) -> None:
         """Add the time of a prefill without a queue, divided by the engine's ratio."""
         if tokens <= 0 or seconds <= 0.0:
             return
-        self.reads.append(_Read(tokens, _pairs(tokens, cached), seconds))
-        self.unfitted += 1
-        if len(self.reads) >= MIN_SAMPLES and self.unfitted >= SAMPLES_BETWEEN_FITS:
-            self.unfitted = 0
-            self.times = _fit(self.guess, self.reads)
+        self.samples.append(_Sample(tokens, _pairs(tokens, cached), seconds))
+        self.samples_since_fit += 1
+        if (
+            len(self.samples) >= MIN_SAMPLES
+            and self.samples_since_fit >= SAMPLES_BETWEEN_FITS
+        ):
+            self.samples_since_fit = 0
+            self.times = _fit(self.prior, self.samples)
 
 
 class GroupPrefillTimes:
@@ -162,35 +167,35 @@
         """Update the ratio from an actual time and the one expected of the group."""
         if expected <= 0.0 or seconds <= 0.0:
             return
-        off = math.log(seconds / expected) - self.log
+        deviation = math.log(seconds / expected) - self.log
         self.log += TIME_RATIO_WEIGHT * max(
-            -MAX_TIME_RATIO_STEP, min(MAX_TIME_RATIO_STEP, off)
+            -MAX_TIME_RATIO_STEP, min(MAX_TIME_RATIO_STEP, deviation)
         )
-        most = math.log(MAX_TIME_RATIO)
-        self.log = max(-most, min(most, self.log))
+        max_log = math.log(MAX_TIME_RATIO)
+        self.log = max(-max_log, min(max_log, self.log))
 
 
 def _pairs(tokens: int, cached: int) -> float:
     return tokens * (cached + tokens / 2)
 
 
-def _fit(guess: PrefillTimes, reads: t.Collection[_Read]) -> PrefillTimes:
+def _fit(prior: PrefillTimes, samples: t.Collection[_Sample]) -> PrefillTimes:
     """Return the coefficients that fit the samples best, near a scaled prior."""
-    scale = _scale(guess, reads)
-    start = (guess.fixed * scale, guess.token * scale, guess.pair * scale)
+    scale = _scale(prior, samples)
+    start = (prior.fixed * scale, prior.token * scale, prior.pair * scale)
     factors = [1.0, 1.0, 1.0]
     for stretch in WIDTH_STRETCHES:
-        factors = _refit(start, factors, reads, stretch)
+        factors = _refit(start, factors, samples, stretch)
     return PrefillTimes(
         *(part * factor for part, factor in zip(start, factors, strict=True))
     )
 
 
-def _scale(guess: PrefillTimes, reads: t.Collection[_Read]) -> float:
+def _scale(prior: PrefillTimes, samples: t.Collection[_Sample]) -> float:
     ratios = sorted(
-        read.seconds
-        / (guess.fixed + read.tokens * guess.token + read.pairs * guess.pair)
-        for read in reads
+        sample.seconds
+        / (prior.fixed + sample.tokens * prior.token + sample.pairs * prior.pair)
+        for sample in samples
     )
     return ratios[int(len(ratios) * SCALE_QUANTILE)]
 
@@ -198,16 +203,16 @@
 def _refit(
     start: tuple[float, float, float],
     factors: t.Sequence[float],
-    reads: t.Iterable[_Read],
+    samples: t.Iterable[_Sample],
     stretch: float,
 ) -> list[float]:
     """Return better factors of the coefficients by weighted least squares of ratios."""
     matrix = [[PRIOR_WEIGHT * (i == j) for j in range(3)] for i in range(3)]
     right = [PRIOR_WEIGHT] * 3
-    for read in reads:
-        parts = (start[0], read.tokens * start[1], read.pairs * start[2])
+    for sample in samples:
+        parts = (start[0], sample.tokens * start[1], sample.pairs * start[2])
         expected = sum(p * f for p, f in zip(parts, factors, strict=True))
-        ratio = read.seconds / expected
+        ratio = sample.seconds / expected
         weight = _weight(math.log(ratio) / stretch)
         row = [part / expected for part in parts]
         for i in range(3):
--- a/src/bergamotmast/policy/rate_meters.py
+++ b/src/bergamotmast/policy/rate_meters.py
@@ -34,11 +34,11 @@
 class PrefillMeter:
     """Measures prompt tokens, cached ones included, per busy second.
 
-    :param stated: the upstream's nominal rate.
+    :param nominal: the upstream's nominal rate.
     """
 
-    def __init__(self, stated: float) -> None:
-        self.stated = stated
+    def __init__(self, nominal: float) -> None:
+        self.nominal = nominal
         self.pending = 0
         self.marked_at = 0.0
         self.tokens = 0.0
@@ -62,22 +62,22 @@
     def rate(self) -> float:
         """Return the estimated rate, in prompt tokens a second."""
         if self.seconds < MIN_BUSY_SECONDS:
-            return self.stated
+            return self.nominal
         measured = self.tokens / self.seconds
         return min(
-            MAX_RATE_RATIO * self.stated, max(MIN_RATE_RATIO * self.stated, measured)
+            MAX_RATE_RATIO * self.nominal, max(MIN_RATE_RATIO * self.nominal, measured)
         )
 
 
 class StepMeter:
     """Measures the seconds between the tokens of one answer.
 
-    :param stated: nominal time between tokens with a full batch.
+    :param nominal: nominal time between tokens with a full batch.
     """
 
-    def __init__(self, stated: float) -> None:
-        self.stated = stated
-        self.measured = stated
+    def __init__(self, nominal: float) -> None:
+        self.nominal = nominal
+        self.measured = nominal
 
     def end(self, tokens: int, seconds: float) -> None:
         """Record a finished answer.
@@ -92,5 +92,5 @@
 
     def seconds(self) -> float:
         """Return the estimated time between tokens."""
-        most = self.stated / MIN_RATE_RATIO
-        return min(most, max(self.stated / MAX_RATE_RATIO, self.measured))
+        upper = self.nominal / MIN_RATE_RATIO
+        return min(upper, max(self.nominal / MAX_RATE_RATIO, self.measured))
--- a/src/bergamotmast/policy/routing.py
+++ b/src/bergamotmast/policy/routing.py
@@ -59,7 +59,7 @@
 gains.
 """
 
-_TINY = 1e-9
+_EPSILON = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
         if name not in self.ratios:
             return 1.0
         usual = statistics.median(self.ratios.values())
-        return min(MAX_SLOWDOWN, max(1.0, self.ratios[name] / max(usual, _TINY)))
+        return min(MAX_SLOWDOWN, max(1.0, self.ratios[name] / max(usual, _EPSILON)))
 
 
 def wait_seconds(
@@ -116,12 +116,12 @@
     Otherwise the reported queue is reduced by what the upstream has processed since.
     """
     if report.waits_ms:
-        own = candidate.own_since_report.prefill / max(report.prefill_rate, _TINY)
+        own = candidate.own_since_report.prefill / max(report.prefill_rate, _EPSILON)
         return report.waits_ms[priority] / 1000.0 + own
     age = max(0.0, now - candidate.reported_at)
     since = candidate.own_since_report
     drained = max(0.0, report.queued_prefill - age * report.prefill_rate)
-    prefill = (drained + since.prefill) / max(report.prefill_rate, _TINY)
+    prefill = (drained + since.prefill) / max(report.prefill_rate, _EPSILON)
     return max(prefill, _slot_seconds(candidate, report))
 
 
@@ -132,14 +132,14 @@
         return 0.0
     since = candidate.own_since_report
     decode = report.running_decode + report.queued_decode + since.decode
-    return excess * decode / max(1, active) / max(report.decode_rate, _TINY)
+    return excess * decode / max(1, active) / max(report.decode_rate, _EPSILON)
 
 
 def token_seconds(candidate: Candidate, report: SideReport) -> float:
     """Return the predicted seconds between tokens of one more stream."""
     if report.token_us:
         return report.token_us / 1e6
-    full = report.max_streams / max(report.decode_rate, _TINY)
+    full = report.max_streams / max(report.decode_rate, _EPSILON)
     active = max(report.running + report.queued, candidate.own_running) + 1
     filled = min(1.0, active / report.max_streams)
     return full * (EMPTY_BATCH_SHARE + (1.0 - EMPTY_BATCH_SHARE) * filled)
@@ -188,12 +188,12 @@
         assert report is not None
         slowdown = self.slowdowns.slowdown(candidate.name)
         wait = wait_seconds(candidate, report, priority, now)
-        prefill = max(0, work.prefill - cached) / max(report.prefill_rate, _TINY)
+        prefill = max(0, work.prefill - cached) / max(report.prefill_rate, _EPSILON)
         first = (wait + prefill) * slowdown
         if candidate.zone != self.zone:
             first += ZONE_ROUND_TRIP_SECONDS
         per_token = token_seconds(candidate, report) * slowdown
-        busy = prefill + work.decode / max(report.decode_rate, _TINY)
+        busy = prefill + work.decode / max(report.decode_rate, _EPSILON)
         return Estimate(candidate, first, first + work.decode * per_token, busy)
 
 
--- a/src/bergamotmast/policy/shifting.py
+++ b/src/bergamotmast/policy/shifting.py
@@ -58,7 +58,7 @@
 BUCKET_REFILL_SECONDS = 45.0
 """Time in which the token bucket gains one change."""
 
-BUCKET_SIZE = 2.0
+BUCKET_CAPACITY = 2.0
 """Capacity of the token bucket: changes that may follow each other at once."""
 
 STALE_SECONDS = 8.0
@@ -67,7 +67,7 @@
 MAX_STALE_SHARE = 0.25
 """Share of stale reports above which no role is changed."""
 
-MIN_GAIN = 0.03
+MIN_GAIN_SHARE = 0.03
 """Minimum gain of a change, as a share of the demand; a smaller one is within the
 error."""
 
@@ -109,7 +109,7 @@
         self.long_term = DemandMeter(LONG_TERM_SECONDS)
         self.rates = RoleRates()
         self.wanted_change: WantedChange | None = None
-        self.bucket = BUCKET_SIZE
+        self.bucket = BUCKET_CAPACITY
         self.refilled_at: float | None = None
         self.changed_at: dict[str, float] = {}
 
@@ -117,7 +117,7 @@
         """Refill the token bucket up to the present time."""
         if self.refilled_at is not None:
             earned = (now - self.refilled_at) / BUCKET_REFILL_SECONDS
-            self.bucket = min(BUCKET_SIZE, self.bucket + earned)
+            self.bucket = min(BUCKET_CAPACITY, self.bucket + earned)
         self.refilled_at = now
 
 
@@ -162,7 +162,7 @@
                 ),
                 key=lambda g: g.share,
             )
-            if gain.share < MIN_GAIN or gain.payback > MAX_PAYBACK_SECONDS:
+            if gain.share < MIN_GAIN_SHARE or gain.payback > MAX_PAYBACK_SECONDS:
                 continue
             if best is None or gain.share > best.share:
                 best = gain
@@ -214,8 +214,8 @@
     changes = []
     for source in Role:
         bounds = snapshot.bounds.get(source)
-        least = max(1, bounds.least if bounds else 0)
-        if counts[source] <= least:
+        min_count = max(1, bounds.least if bounds else 0)
+        if counts[source] <= min_count:
             continue
         for target in Role:
             if target is not source and _room(snapshot, counts, target):
@@ -243,8 +243,8 @@
     served = served_share(counts, rates, demand)
     share = served_share(after, rates, demand) - served
     loss = max(0.0, served - served_share(without, rates, demand))
-    away = snapshot.change_seconds * DRAIN_FACTOR
-    payback = away * (loss + share) / share if share > 0.0 else math.inf
+    absence = snapshot.change_seconds * DRAIN_FACTOR
+    payback = absence * (loss + share) / share if share > 0.0 else math.inf
     return Gain(source, target, share, payback)
 
 
@@ -252,14 +252,14 @@
     snapshot: GroupSnapshot, state: GroupState, role: Role, now: float
 ) -> EngineView | None:
     """Return the engine of a role with the least decode work to move."""
-    able = [
+    changeable = [
         e
         for e in snapshot.engines
         if e.role is role
         and e.report is not None
         and now - state.changed_at.get(e.name, -math.inf) >= MIN_DWELL_SECONDS
     ]
-    return min(able, key=lambda e: (_decode_left(e), e.name), default=None)
+    return min(changeable, key=lambda e: (_decode_left(e), e.name), default=None)
 
 
 def _decode_left(engine: EngineView) -> int:
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -7,16 +7,17 @@
 reach of priorities and shares; long answers fill the batch and the memory, and a check
 that would take one token waits for one of them to end.
 
-Thresholds: unfinished prefills at the engine are limited to :data:`PREFILL_WINDOW`
-seconds of work, so that the engine never idles between two scheduling rounds and a
-check never waits behind more than that; an engine honours priorities, so only work of
-the same or a higher one counts. Each lower priority leaves a larger share of the batch
-free (:attr:`SideTuning.reserved`), but little of the memory: with a quarter of the
-memory reserved, a decode engine held 18 long answers in 48 places. With the smaller
-reservation, and with waits predicted by memory as well as by places, 2.0% of tokens
-were wasted at full load instead of 3.9% (trial, docs/EXPERIMENTS.md, round 8). Waiting
-is bounded by each item's own first-token time and deadline, and the number of waiting
-items by :data:`QUEUE_BATCHES` batches, which bounds memory and the time of a decision.
+Thresholds: unfinished prefills at the engine are limited to
+:data:`PREFILL_WINDOW_SECONDS` seconds of work, so that the engine never idles between
+two scheduling rounds and a check never waits behind more than that; an engine honours
+priorities, so only work of the same or a higher one counts. Each lower priority leaves
+a larger share of the batch free (:attr:`SideTuning.reserved`), but little of the
+memory: with a quarter of the memory reserved, a decode engine held 18 long answers in
+48 places. With the smaller reservation, and with waits predicted by memory as well as
+by places, 2.0% of tokens were wasted at full load instead of 3.9% (trial,
+docs/EXPERIMENTS.md, round 8). Waiting is bounded by each item's own first-token time
+and deadline, and the number of waiting items by :data:`QUEUE_BATCHES` batches, which
+bounds memory and the time of a decision.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 from .size_shares import SizedPrompt
 from .size_shares import SizeShares
 
-PREFILL_WINDOW = 0.25
+PREFILL_WINDOW_SECONDS = 0.25
 """Seconds of unfinished prefill that may be handed to the upstream."""
 
 QUEUE_BATCHES = 8
@@ -313,7 +314,7 @@
             return False
         if self.role is None or not self.started:
             return True
-        window = PREFILL_WINDOW * self.prefill_rate()
+        window = PREFILL_WINDOW_SECONDS * self.prefill_rate()
         if item.cost.prefill > 0 and self._window_used(limits) >= window:
             return False
         return kv_tokens(item) <= self._usable_kv(limits) - self.kv_promised
--- a/src/bergamotmast/policy/subset.py
+++ b/src/bergamotmast/policy/subset.py
@@ -52,10 +52,10 @@
     ranked = sorted(
         members, key=lambda name: rendezvous_rank(entry, name), reverse=True
     )
-    near = [name for name in ranked if members[name] == zone]
-    chosen = near[: int(size * OWN_ZONE_SHARE)]
-    taken = frozenset(chosen)
-    others = (name for name in ranked if name not in taken)
+    own_zone = [name for name in ranked if members[name] == zone]
+    chosen = own_zone[: int(size * OWN_ZONE_SHARE)]
+    chosen_names = frozenset(chosen)
+    others = (name for name in ranked if name not in chosen_names)
     chosen.extend(
         name for name, _ in zip(others, range(size - len(chosen)), strict=False)
     )
--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -188,7 +188,7 @@
 
 
 def test_prefill_without_a_reported_end_expires():
-    """After a peer's failure or a lost notice, the engine must not look busy forever."""
+    """After a lost notice or a peer failure, its engine must not look busy forever."""
     tracker = EngineLoadTracker(100_000)
     tracker.begin(("peer", 1), 1.4, 0, 0.0)
     assert tracker.wait(0, 0.1) > 0
@@ -306,7 +306,7 @@
 
 
 def test_surplus_decode_engine_changes_after_the_settle_time():
-    """Two prefill engines crash; the third decode engine changes before 15 s are over."""
+    """Two prefill engines crash; a third decode engine changes in less than 15 s."""
     controller = RoleController()
     assert controller.decide(roles(2, 3), 0.05, 0.0) is None
     assert controller.decide(roles(2, 3), 0.05, SETTLE_SECONDS / 2) is None
