--- a/src/bergamotmast/policy/cost.py
+++ b/src/bergamotmast/policy/cost.py
@@ -96,6 +96,6 @@
     """Return the output tokens expected after ``produced`` ones.
 
     An answer longer than predicted is expected to continue for a quarter of what it has
-    produced: lengths are skewed, so an overdue answer is seldom almost done.
+    produced: lengths are skewed, so an overdue answer is rarely almost done.
     """
     return max(predicted - produced, produced // 4 if produced >= predicted else 1, 1)
--- a/src/bergamotmast/policy/engine_load.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -64,7 +64,7 @@
 
 OVERDUE_FACTOR = 2.0
 """Multiple of a prompt's predicted time after which it is overdue at an engine that
-still replies: work queued there unknown to this entry seldom doubles the time."""
+still replies: work queued there unknown to this entry rarely doubles the time."""
 
 SLOWDOWN_WEIGHT = 0.25
 """Weight of a new measurement in an engine's slowdown factor, on a log scale."""
@@ -294,8 +294,8 @@
         """
         pending = self.pending_prefills.get(self.current) if self.current else None
         seconds = pending.seconds if pending is not None else 0.0
-        allowed = UNRESPONSIVE_FACTOR * seconds * self.slowdown(now)
-        return max(since, self.last_reply_at) + UNRESPONSIVE_SECONDS + allowed
+        prefill_allowance = UNRESPONSIVE_FACTOR * seconds * self.slowdown(now)
+        return max(since, self.last_reply_at) + UNRESPONSIVE_SECONDS + prefill_allowance
 
     def _infer_current(self, at: float) -> None:
         """Infer the prefill that is running since a point in time."""
--- a/src/bergamotmast/policy/entry_share.py
+++ b/src/bergamotmast/policy/entry_share.py
@@ -74,6 +74,6 @@
 
     def share(self, registered: cabc.Collection[str], now: float) -> float:
         """Return this entry's share of the budget, from 0 to 1."""
-        heard = self.last_store_reply_at - self.registered_at
-        grown = min(1.0, max(0.0, heard / RAMP_UP_SECONDS))
-        return grown / self.entries(registered, now)
+        contact_seconds = self.last_store_reply_at - self.registered_at
+        ramp_up = min(1.0, max(0.0, contact_seconds / RAMP_UP_SECONDS))
+        return ramp_up / self.entries(registered, now)
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -186,21 +186,21 @@
         """Queue an item and return ``OK``, or refuse it at once with a code."""
         if not self.tuning.size_shares or item.cost.prefill == 0:
             return self._admit(item, now)
-        sized_prompts = self.size_shares.begin(item.request_class, item.cost.prefill)
+        sized_prompt = self.size_shares.begin(item.request_class, item.cost.prefill)
         code = self._admit(item, now)
-        if code is ResultCode.DEADLINE_UNREACHABLE and sized_prompts.claim():
+        if code is ResultCode.DEADLINE_UNREACHABLE and sized_prompt.claim():
             code = self._admit(dataclasses.replace(item, goes_first=True), now)
         if code is ResultCode.OK:
-            self.sized_prompts[item.attempt] = sized_prompts
+            self.sized_prompts[item.attempt] = sized_prompt
         else:
-            sized_prompts.end(served=False)
+            sized_prompt.end(served=False)
         return code
 
     def _end_sized(self, attempt: str, *, served: bool) -> None:
         """Account for a prompt at its first token, or at its end without one."""
-        sized_prompts = self.sized_prompts.pop(attempt, None)
-        if sized_prompts is not None:
-            sized_prompts.end(served=served)
+        sized_prompt = self.sized_prompts.pop(attempt, None)
+        if sized_prompt is not None:
+            sized_prompt.end(served=served)
 
     def _admit(self, item: QueueItem, now: float) -> ResultCode:
         max_items = max(MIN_QUEUE_ITEMS, QUEUE_BATCHES * self.max_streams)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,21 +10,21 @@
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Let listed tests run without affecting the result."""
-    said = read_known_red()
+    descriptions = read_known_red()
     for item in items:
-        entry = entry_of(item.nodeid, said)
+        entry = entry_of(item.nodeid, descriptions)
         if entry is not None:
-            item.add_marker(pytest.mark.xfail(reason=said[entry], strict=False))
+            item.add_marker(pytest.mark.xfail(reason=descriptions[entry], strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print each listed test and its outcome."""
-    said = read_known_red()
-    if not said:
+    descriptions = read_known_red()
+    if not descriptions:
         return
     terminalreporter.section("KNOWN-RED.txt")
     for outcome in ("xfailed", "xpassed"):
         for report in terminalreporter.stats.get(outcome, ()):
             terminalreporter.line(f"{outcome}: {report.nodeid}")
-    for test, text in said.items():
+    for test, text in descriptions.items():
         terminalreporter.line(f"{test}: {text}")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -23,7 +23,7 @@
             lines = entries.setdefault(line.strip(), [])
         elif line.strip():
             lines.append(line.strip())
-    return {test: " ".join(said) for test, said in entries.items()}
+    return {test: " ".join(text) for test, text in entries.items()}
 
 
 def entry_of(node: str, entries: cabc.Iterable[str]) -> str | None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,7 +25,7 @@
     return read_known_red(path)
 
 
-def test_entries_are_read_with_what_is_said_of_them(entries):
+def test_entries_are_read_with_their_descriptions(entries):
     assert list(entries) == [
         "tests/test_a.py::test_one",
         "tests/test_b.py::test_two[case]",
@@ -44,11 +44,11 @@
         ("tests/test_b.py::test_two", False),
     ],
 )
-def test_a_listed_test_is_known_by_its_id(entries, node, listed):
+def test_listed_test_is_found_by_its_id(entries, node, listed):
     assert (entry_of(node, entries) is not None) is listed
 
 
-def test_without_a_file_nothing_is_listed(tmp_path):
+def test_missing_file_lists_nothing(tmp_path):
     assert read_known_red(tmp_path / "none") == {}
 
 
--- a/tests/test_size_shares.py
+++ b/tests/test_size_shares.py
@@ -20,9 +20,11 @@
 from prompt_load import shares_of
 
 
-async def play(entries: int, readers: int, load: Load, seed: int) -> ServedShares:
+async def play(
+    entries: int, prefill_engines: int, load: Load, seed: int
+) -> ServedShares:
     rng = random.Random(seed)
-    fleet = LoadedFleet(entries, readers, 2, rng)
+    fleet = LoadedFleet(entries, prefill_engines, 2, rng)
     prompts = load.draw(rng)
     await fleet.play(prompts)
     reports = [prompt for prompt in prompts if prompt.target == "/report/x"]
@@ -32,13 +34,15 @@
 @pytest.mark.looptime
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("factor", [3.0, 6.0])
-@pytest.mark.parametrize(("entries", "readers"), [(1, 2), (4, 4)])
-async def test_largest_prompts_do_not_starve(entries, readers, factor, seed):
+@pytest.mark.parametrize(("entries", "prefill_engines"), [(1, 2), (4, 4)])
+async def test_largest_prompts_do_not_starve(entries, prefill_engines, factor, seed):
     """Under overload, shorter prompts overtake the largest until their callers time
     out.
     """
-    load = Load(reports=4.0 * readers, checks=5.0 * readers, factor=factor)
-    shares = await play(entries, readers, load, seed)
+    load = Load(
+        reports=4.0 * prefill_engines, checks=5.0 * prefill_engines, factor=factor
+    )
+    shares = await play(entries, prefill_engines, load, seed)
     assert shares.all < 0.9
     assert shares.min_served_ratio >= MIN_SERVED_RATIO, shares
 
@@ -111,8 +115,8 @@
     shares = classes.classes["report"]
     for _ in range(100):
         SizedPrompt(shares, SizeClass.LARGEST).end(served=True)
-    least = MAX_SURPLUS_PROMPTS / (MIN_SERVED_SHARE * 0.1)
-    for _ in range(int(least) + 2):
+    prompts_to_offset = MAX_SURPLUS_PROMPTS / (MIN_SERVED_SHARE * 0.1)
+    for _ in range(int(prompts_to_offset) + 2):
         SizedPrompt(shares, SizeClass.REST).end(served=True)
     assert SizedPrompt(shares, SizeClass.LARGEST).claim()
 
