--- a/src/bergamotmast/checker/fleet.py
+++ b/src/bergamotmast/checker/fleet.py
@@ -36,18 +36,18 @@
 
     The same order taken again, after a lost reply, conflicts with nothing.
     """
-    under_way: dict[str, OrderTaken] = {}
+    in_progress: dict[str, OrderTaken] = {}
     for record in records:
         if isinstance(record, OrderTaken):
-            held = under_way.get(record.engine)
+            held = in_progress.get(record.engine)
             if held is not None and not _same_order(held, record):
-                detail = f"{_order(record)} taken while {_order(held)} was under way"
+                detail = f"{_order_text(record)} taken while {_order_text(held)} was under way"
                 yield Violation(Rule.ONE_ORDER, record.at, record.engine, detail)
-            under_way[record.engine] = record
+            in_progress[record.engine] = record
         elif isinstance(record, OrderEnded):
-            held = under_way.get(record.engine)
+            held = in_progress.get(record.engine)
             if held is not None and _token(held) == _token(record):
-                del under_way[record.engine]
+                del in_progress[record.engine]
 
 
 def check_order_authority(
@@ -60,9 +60,9 @@
             continue
         before = newest.setdefault(record.engine, record)
         lower = _token(record) < _token(before)
-        torn = _token(record) == _token(before) and not _same_order(record, before)
-        if lower or torn:
-            detail = f"{_order(record)} taken after {_order(before)}"
+        reused = _token(record) == _token(before) and not _same_order(record, before)
+        if lower or reused:
+            detail = f"{_order_text(record)} taken after {_order_text(before)}"
             yield Violation(Rule.ORDER_AUTHORITY, record.at, record.engine, detail)
         else:
             newest[record.engine] = record
@@ -78,7 +78,7 @@
             continue
         token = _token(record)
         if token <= last:
-            detail = f"{_number(token)} written after {_number(last)}"
+            detail = f"{_token_text(token)} written after {_token_text(last)}"
             yield Violation(Rule.PLAN_FORWARD, record.at, record.writer, detail)
         last = max(last, token)
 
@@ -121,7 +121,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Life:
+class _Uptime:
     """One unbroken time in which a process ran and could be reached.
 
     :param begin: a point on the clock of the run, seconds.
@@ -131,12 +131,14 @@
 
     begin: float
     end: float = math.inf
-    steps: list[tuple[float, int]] = dataclasses.field(default_factory=list)
+    config_changes: list[tuple[float, int]] = dataclasses.field(default_factory=list)
 
     def generation_at(self, at: float) -> int:
         """Return the highest generation in force at a point in time."""
-        count = bisect.bisect_right(self.steps, (at, 1 << 62))
-        return max((generation for _, generation in self.steps[:count]), default=0)
+        count = bisect.bisect_right(self.config_changes, (at, 1 << 62))
+        return max(
+            (generation for _, generation in self.config_changes[:count]), default=0
+        )
 
 
 def check_config_in_force(
@@ -150,13 +152,13 @@
     """
     run_end = max((record.at for record in records), default=0.0)
     accepted = [r for r in records if isinstance(r, ConfigAccepted)]
-    for process, lives in _lives(records).items():
-        for life in lives:
+    for process, uptimes in _uptimes(records).items():
+        for uptime in uptimes:
             for config in accepted:
-                due = max(config.at, life.begin) + limits.config_seconds
-                if due > min(life.end, run_end):
+                due = max(config.at, uptime.begin) + limits.config_seconds
+                if due > min(uptime.end, run_end):
                     continue
-                if life.generation_at(due) < config.generation:
+                if uptime.generation_at(due) < config.generation:
                     detail = (
                         f"generation {config.generation}, accepted at {config.at}, "
                         f"not in force"
@@ -164,23 +166,27 @@
                     yield Violation(Rule.CONFIG_IN_FORCE, due, process, detail)
 
 
-def _lives(records: cabc.Iterable[AnyRecord]) -> dict[str, list[_Life]]:
-    lives: dict[str, list[_Life]] = collections.defaultdict(list)
+def _uptimes(records: cabc.Iterable[AnyRecord]) -> dict[str, list[_Uptime]]:
+    uptimes: dict[str, list[_Uptime]] = collections.defaultdict(list)
     for record in records:
         match record:
             case ProcessStarted(process=process):
-                lives[process].append(_Life(record.at))
+                uptimes[process].append(_Uptime(record.at))
             case ProcessStopped(process=process) | ProcessUnreachable(process=process):
-                if lives[process]:
-                    lives[process][-1].end = record.at
+                if uptimes[process]:
+                    uptimes[process][-1].end = record.at
             case ProcessReachable(process=process):
-                known = lives[process][-1].steps[-1:] if lives[process] else []
-                lives[process].append(_Life(record.at, steps=list(known)))
+                known = (
+                    uptimes[process][-1].config_changes[-1:] if uptimes[process] else []
+                )
+                uptimes[process].append(_Uptime(record.at, config_changes=list(known)))
             case ConfigInForce(process=process):
-                if not lives[process]:
-                    lives[process].append(_Life(record.at))
-                lives[process][-1].steps.append((record.at, record.generation))
-    return lives
+                if not uptimes[process]:
+                    uptimes[process].append(_Uptime(record.at))
+                uptimes[process][-1].config_changes.append(
+                    (record.at, record.generation)
+                )
+    return uptimes
 
 
 def _token(record: OrderTaken | OrderEnded | PlanWritten) -> FencingToken:
@@ -191,12 +197,12 @@
     return _token(one) == _token(other) and one.assignment == other.assignment
 
 
-def _number(token: FencingToken) -> str:
+def _token_text(token: FencingToken) -> str:
     return f"{token.epoch}.{token.revision}"
 
 
-def _order(record: OrderTaken) -> str:
-    return f"order {_number(_token(record))} ({record.assignment})"
+def _order_text(record: OrderTaken) -> str:
+    return f"order {_token_text(_token(record))} ({record.assignment})"
 
 
 FLEET_CHECKS: tuple[Check, ...] = (
--- a/src/bergamotmast/checker/requests.py
+++ b/src/bergamotmast/checker/requests.py
@@ -35,9 +35,11 @@
             sent.add(record.request)
         elif isinstance(record, RequestAnswered):
             if record.request not in sent:
-                yield _of(record, Rule.ANSWERED_ONCE, "answered before it was sent")
+                yield _violation(
+                    record, Rule.ANSWERED_ONCE, "answered before it was sent"
+                )
             if record.request in answered:
-                yield _of(record, Rule.ANSWERED_ONCE, "answered again")
+                yield _violation(record, Rule.ANSWERED_ONCE, "answered again")
             answered.add(record.request)
 
 
@@ -59,7 +61,7 @@
     """Find answers that broke off without a code."""
     for answer in _answers(records):
         if answer.cut_off:
-            yield _of(
+            yield _violation(
                 answer,
                 Rule.NOT_CUT_OFF,
                 f"broke off after {len(answer.text)} characters",
@@ -78,13 +80,17 @@
         request = sent.get(answer.request)
         expected = request.expected_text if request else ""
         if answer.code == ResultCode.OK and answer.outcome != Outcome.RAN.value:
-            yield _of(answer, Rule.WHOLE_ANSWER, f"code 0, but told {answer.outcome}")
+            yield _violation(
+                answer, Rule.WHOLE_ANSWER, f"code 0, but told {answer.outcome}"
+            )
         if not expected:
             continue
         short = answer.code != ResultCode.OK or answer.cut_off
         right = expected.startswith(answer.text) if short else answer.text == expected
         if not right:
-            yield _of(answer, Rule.WHOLE_ANSWER, _difference(expected, answer.text))
+            yield _violation(
+                answer, Rule.WHOLE_ANSWER, _difference(expected, answer.text)
+            )
 
 
 def check_truly_not_run(
@@ -115,14 +121,14 @@
     for record in records:
         if not isinstance(record, Execution):
             continue
-        for identity in _identities(record, sent.get(record.request)):
+        for identity in _at_most_once_keys(record, sent.get(record.request)):
             earlier = ran.setdefault(identity, record)
             if earlier is not record:
                 detail = f"ran at {earlier.upstream} and again at {record.upstream}"
                 yield Violation(Rule.AT_MOST_ONCE, record.at, identity, detail)
 
 
-def _identities(run: Execution, request: RequestSent | None) -> set[str]:
+def _at_most_once_keys(run: Execution, request: RequestSent | None) -> set[str]:
     if request is None:
         return {f"key {run.key}"} if run.key else set()
     if request.repeatable:
@@ -141,7 +147,7 @@
     )
 
 
-def _of(answer: RequestAnswered, rule: Rule, detail: str) -> Violation:
+def _violation(answer: RequestAnswered, rule: Rule, detail: str) -> Violation:
     return Violation(rule, answer.at, answer.request, detail)
 
 
--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -72,10 +72,10 @@
         request = f"r{self.sent}"
         kind = self.rng.choice(("model", "model", "counter", "orders"))
         if kind == "model":
-            asking = self._ask_model(entry, request)
+            sending = self._call_model(entry, request)
         else:
-            asking = self._ask_service(entry, request, kind)
-        task = asyncio.get_running_loop().create_task(asking)
+            sending = self._call_service(entry, request, kind)
+        task = asyncio.get_running_loop().create_task(sending)
         self.waiting.add(task)
         task.add_done_callback(self.waiting.discard)
 
@@ -83,7 +83,7 @@
         ready = [self.world.entry(name) for name in ENTRIES]
         return next((entry for entry in ready if entry is not None), None)
 
-    async def _ask_model(self, entry: EntryProcess, request: str) -> None:
+    async def _call_model(self, entry: EntryProcess, request: str) -> None:
         now = self.world.now()
         call = ModelCall(
             request_id=request,
@@ -106,11 +106,13 @@
             async for chunk in entry.core.submit_model(call):
                 parts.append(chunk.text)
 
-        code = await self._within(entry, read(), MODEL_SECONDS)
+        code = await self._run_in_entry(entry, read(), MODEL_SECONDS)
         self._record_answer(request, code, "".join(parts))
 
-    async def _ask_service(self, entry: EntryProcess, request: str, route: str) -> None:
-        key = self._key(request) if route == "orders" else ""
+    async def _call_service(
+        self, entry: EntryProcess, request: str, route: str
+    ) -> None:
+        key = self._idempotency_key(request) if route == "orders" else ""
         body = (key or request).encode()
         call = ServiceCall(
             request_id=request,
@@ -134,21 +136,21 @@
             answer = await entry.core.submit_service(call)
             parts.append(answer.body.decode())
 
-        code = await self._within(entry, read(), SERVICE_SECONDS)
+        code = await self._run_in_entry(entry, read(), SERVICE_SECONDS)
         self._record_answer(request, code, "".join(parts))
 
-    async def _within(
+    async def _run_in_entry(
         self,
         entry: EntryProcess,
-        reading: t.Coroutine[t.Any, t.Any, None],
+        attempt: t.Coroutine[t.Any, t.Any, None],
         limit: float,
     ) -> ResultCode:
         """Run a request inside its entry; a broken connection tells nothing."""
         gate = self.world.gate_of(entry)
         if gate is None:
-            reading.close()
+            attempt.close()
             return ResultCode.OUTCOME_UNKNOWN
-        task = gate.run(reading)
+        task = gate.run(attempt)
         await asyncio.wait([task], timeout=limit + PATIENCE)
         if not task.done():
             task.cancel()
@@ -164,7 +166,7 @@
             return ResultCode.OK
         return ResultCode.OUTCOME_UNKNOWN
 
-    def _key(self, request: str) -> str:
+    def _idempotency_key(self, request: str) -> str:
         """Return a key, now and then that of an earlier order sent again.
 
         A service that came back with older content has lost claims: no caller sends
--- a/src/bergamotmast/faults/cli.py
+++ b/src/bergamotmast/faults/cli.py
@@ -37,7 +37,7 @@
     context = multiprocessing.get_context("spawn")
     broken = 0
     with concurrent.futures.ProcessPoolExecutor(args.processes, context) as pool:
-        for result in pool.map(_quiet_run, seeds):
+        for result in pool.map(_run_without_logging, seeds):
             broken += not result.holds
             print(as_text(result, args.log), flush=True)
     print(f"{len(seeds)} runs, {broken} with a broken promise")
@@ -76,6 +76,6 @@
     return "\n".join(lines)
 
 
-def _quiet_run(seed: int) -> FaultRun:
+def _run_without_logging(seed: int) -> FaultRun:
     logging.disable(logging.CRITICAL)
     return run_seed(seed)
--- a/src/bergamotmast/faults/gates.py
+++ b/src/bergamotmast/faults/gates.py
@@ -76,14 +76,14 @@
     def __init__(self, inner: cabc.Coroutine[t.Any, t.Any, _T], gate: Gate) -> None:
         self.inner = inner
         self.gate = gate
-        self.held: BaseException | None = None
+        self.pending_exception: BaseException | None = None
 
     def send(self, value: t.Any) -> t.Any:
         """Take a step, or wait for the gate first."""
         if self.gate.paused:
             return self.gate.wait()
-        if self.held is not None:
-            error, self.held = self.held, None
+        if self.pending_exception is not None:
+            error, self.pending_exception = self.pending_exception, None
             return self.inner.throw(error)
         return self.inner.send(value)
 
@@ -91,7 +91,7 @@
         """Take an exception, or keep it until the gate opens."""
         if not self.gate.paused:
             return self.inner.throw(*error)
-        self.held = error[0]
+        self.pending_exception = error[0]
         return self.gate.wait()
 
     def close(self) -> None:
@@ -102,7 +102,7 @@
         raise NotImplementedError("only tasks step a gated coroutine")
 
 
-def _factory(
+def _create_task(
     loop: asyncio.AbstractEventLoop,
     coroutine: cabc.Coroutine[t.Any, t.Any, t.Any],
     **options: t.Any,
@@ -118,4 +118,4 @@
 
 def install(loop: asyncio.AbstractEventLoop) -> None:
     """Let a loop keep the tasks of its processes apart."""
-    loop.set_task_factory(t.cast(t.Any, _factory))
+    loop.set_task_factory(t.cast(t.Any, _create_task))
--- a/src/bergamotmast/faults/schedule.py
+++ b/src/bergamotmast/faults/schedule.py
@@ -50,16 +50,16 @@
         self.world = world
         self.rng = rng
         self.log: list[str] = []
-        self.busy: set[str] = set()
+        self.reserved_names: set[str] = set()
         self.edits = 0
         self.accepted_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def run(self, until: float) -> None:
+    async def run(self, end_at: float) -> None:
         """Break things until a point in time, then mend everything."""
         kinds = tuple(FAULTS)
         weights = tuple(FAULTS.values())
-        while self.world.now() < until:
+        while self.world.now() < end_at:
             await asyncio.sleep(self.rng.expovariate(1.0 / EVERY_SECONDS))
             (fault,) = self.rng.choices(kinds, weights)
             task = asyncio.get_running_loop().create_task(fault(self))
@@ -75,18 +75,18 @@
 
         :param exclusive: a name that only one fault at a time may hold, or empty.
         """
-        free = [name for name in names if name not in self.busy]
+        free = [name for name in names if name not in self.reserved_names]
         chosen = self.world.pick(free)
-        if exclusive in self.busy or chosen is None:
+        if exclusive in self.reserved_names or chosen is None:
             yield None
             return
-        held = {chosen, exclusive} - {""}
-        self.busy |= held
+        reserved = {chosen, exclusive} - {""}
+        self.reserved_names |= reserved
         self.note(f"{kind} {chosen}")
         try:
             yield chosen
         finally:
-            self.busy -= held
+            self.reserved_names -= reserved
             self.note(f"{kind} {chosen} ended")
 
     def note(self, text: str) -> None:
@@ -98,9 +98,9 @@
         while (due := self.accepted_at + SPREAD_SECONDS) > self.world.now():
             await asyncio.sleep(due - self.world.now())
 
-    async def some_time(self, most: float) -> None:
+    async def some_time(self, max_seconds: float) -> None:
         """Wait for a random time, mostly short."""
-        await asyncio.sleep(min(most, self.rng.expovariate(3.0 / most)))
+        await asyncio.sleep(min(max_seconds, self.rng.expovariate(3.0 / max_seconds)))
 
 
 async def kill_side(faults: Faults) -> None:
@@ -143,14 +143,14 @@
             return
         world = faults.world
         world.network.partition(name)
-        whole = faults.rng.random() < 0.5
-        if whole:
+        from_key_value_too = faults.rng.random() < 0.5
+        if from_key_value_too:
             world.kv.cut(name)
             world.cut_from_kv.add(name)
         world.note_reach()
         await faults.some_time(25.0)
         world.network.heal(name)
-        if whole:
+        if from_key_value_too:
             world.kv.heal(name)
             world.cut_from_kv.discard(name)
         world.note_reach()
@@ -181,10 +181,10 @@
 
 async def crash_engine(faults: Faults) -> None:
     """Crash an engine, often in mid-change, and bring it back."""
-    with faults.holding("crash engine", (f"upstream {n}" for n in ENGINES)) as held:
-        if held is None:
+    with faults.holding("crash engine", (f"upstream {n}" for n in ENGINES)) as reserved:
+        if reserved is None:
             return
-        engine = faults.world.engines[held.removeprefix("upstream ")]
+        engine = faults.world.engines[reserved.removeprefix("upstream ")]
         engine.crash(faults.rng.random() < 0.5, faults.rng.random() < 0.3)
         await faults.some_time(15.0)
         engine.restart()
@@ -192,10 +192,12 @@
 
 async def crash_service(faults: Faults) -> None:
     """Crash a plain service and bring it back."""
-    with faults.holding("crash service", (f"upstream {n}" for n in SERVICES)) as held:
-        if held is None:
+    with faults.holding(
+        "crash service", (f"upstream {n}" for n in SERVICES)
+    ) as reserved:
+        if reserved is None:
             return
-        service = faults.world.services[held.removeprefix("upstream ")]
+        service = faults.world.services[reserved.removeprefix("upstream ")]
         service.crash()
         await faults.some_time(8.0)
         service.restart()
@@ -267,11 +269,13 @@
 
 async def drain(faults: Faults) -> None:
     """Drain an engine by its label, as operators do, and take it back."""
-    with faults.holding("drain", (f"label {n}" for n in ENGINES), "draining") as held:
-        if held is None:
+    with faults.holding(
+        "drain", (f"label {n}" for n in ENGINES), "draining"
+    ) as reserved:
+        if reserved is None:
             return
         world = faults.world
-        name = held.removeprefix("label ")
+        name = reserved.removeprefix("label ")
 
         def drained(now: Configuration) -> Configuration:
             return with_labels(now, name, {"pool": "drained"})
--- a/src/bergamotmast/faults/world.py
+++ b/src/bergamotmast/faults/world.py
@@ -121,7 +121,7 @@
             self._add_engine(name, number)
         for number, name in enumerate(SERVICES):
             self.services[name] = ServiceStandIn(name, SERVICE_SECONDS, self.history)
-            self._list(name, UpstreamKind.SERVICE, number)
+            self._list_instance(name, UpstreamKind.SERVICE, number)
 
     def _add_engine(self, name: str, number: int) -> None:
         self.engines[name] = EngineStandIn(
@@ -132,9 +132,9 @@
             exchange=self.exchange,
             history=self.history,
         )
-        self._list(name, UpstreamKind.ENGINE, number)
+        self._list_instance(name, UpstreamKind.ENGINE, number)
 
-    def _list(self, name: str, kind: UpstreamKind, number: int) -> None:
+    def _list_instance(self, name: str, kind: UpstreamKind, number: int) -> None:
         zone = ZONES[number % len(ZONES)]
         self.instance_list.put(InstanceInfo(name, kind, zone, name, ""))
 
@@ -205,7 +205,7 @@
         if not self.kv.down and name not in self.cut_from_kv:
             return True
         if name not in ENTRIES:
-            return name not in self.network.partitioned and self._any_entry_lives()
+            return name not in self.network.partitioned and self._any_entry_runs()
         return any(
             side in self.processes
             and side not in self.network.partitioned
@@ -213,7 +213,7 @@
             for side in (*ENGINES, *SERVICES)
         )
 
-    def _any_entry_lives(self) -> bool:
+    def _any_entry_runs(self) -> bool:
         return any(
             name in self.processes and not self.processes[name].gate.paused
             for name in ENTRIES
--- a/src/bergamotmast/standins/engine.py
+++ b/src/bergamotmast/standins/engine.py
@@ -38,7 +38,7 @@
 DEFAULT_ASSIGNMENT = Assignment(Role.MIXED, ("model@1",))
 
 
-class _Mailbox:
+class _ChunkQueue:
     """The chunks of one stream on their way to whoever reads them."""
 
     __slots__ = ("chunks", "error", "stream", "waiter")
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Sample:
+class _LoadSample:
     at: float
     running: int
     waiting: int
@@ -123,7 +123,7 @@
             self._on_settled,
         )
         self.role = assignment.role
-        self._boot()
+        self._reset()
 
     @property
     def boot_id(self) -> str:
@@ -132,7 +132,7 @@
 
     async def state(self) -> EngineState:
         """Read what the engine is."""
-        self._refuse_if_unreached()
+        self._check_reachable()
         rates = self.batch.rates
         changing = self.orders.target is not None
         return EngineState(
@@ -148,10 +148,10 @@
 
     async def load(self) -> EngineLoad:
         """Read the load as it was some time ago."""
-        self._refuse_if_unreached()
+        self._check_reachable()
         self._advance()
         measured_at = _now() - self.spec.load_lag
-        self._forget_samples(measured_at)
+        self._drop_samples_before(measured_at)
         sample = self._samples[0]
         return EngineLoad(measured_at, sample.running, sample.waiting, sample.kv_used)
 
@@ -160,11 +160,13 @@
 
         :raises OrderRefusedError: for an old fencing token or an order under way.
         """
-        self._refuse_if_unreached()
+        self._check_reachable()
         self.orders.take(order)
-        for stream_id, mailbox in list(self._mailboxes.items()):
-            if mailbox.stream and not self.orders.carries(mailbox.stream.request.model):
-                self._break(stream_id, "the engine changed")
+        for stream_id, chunk_queue in list(self._chunk_queues.items()):
+            if chunk_queue.stream and not self.orders.carries(
+                chunk_queue.stream.request.model
+            ):
+                self._fail_stream(stream_id, "the engine changed")
         if self.lost_order_replies:
             self.lost_order_replies -= 1
             raise ReplyLostError("the order's reply was lost")
@@ -173,26 +175,26 @@
         self, request: GenerateRequest
     ) -> cabc.AsyncGenerator[TokenChunk, None]:
         """Yield the answer's chunks; closing the generator cancels the stream."""
-        mailbox = self._accept(request)
+        chunk_queue = self._accept_stream(request)
         try:
             while True:
-                chunk = await mailbox.get()
+                chunk = await chunk_queue.get()
                 yield chunk
                 if chunk.finish:
                     return
         finally:
-            if self._mailboxes.get(request.stream_id) is mailbox:
-                self._remove(request.stream_id)
+            if self._chunk_queues.get(request.stream_id) is chunk_queue:
+                self._remove_stream(request.stream_id)
 
     async def cancel(self, stream_id: str) -> None:
         """End a stream that may still run."""
-        self._refuse_if_unreached()
-        if stream_id in self._mailboxes or stream_id in self._orphans:
-            self._break(stream_id, "the stream was cancelled")
+        self._check_reachable()
+        if stream_id in self._chunk_queues or stream_id in self._detached:
+            self._fail_stream(stream_id, "the stream was cancelled")
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
         """Read the cache events after a sequence number, late and with gaps."""
-        self._refuse_if_unreached()
+        self._check_reachable()
         return self.cache.events(after, _now())
 
     def crash(self, change_done: bool = False, incomplete: bool = False) -> None:
@@ -202,8 +204,8 @@
         :param incomplete: whether it comes back not knowing what it is.
         """
         self.up = False
-        for stream_id in [*self._mailboxes, *self._orphans]:
-            self._break(stream_id, "the engine crashed")
+        for stream_id in [*self._chunk_queues, *self._detached]:
+            self._fail_stream(stream_id, "the engine crashed")
         self.exchange.forget(self.boot_id)
         self.orders.crash(change_done, incomplete)
 
@@ -211,27 +213,27 @@
         """Come back with a new boot id and empty caches."""
         self.boots += 1
         self.up = True
-        self._boot()
+        self._reset()
 
     def break_connections(self) -> None:
         """Break every connection; the streams run on until they are cancelled."""
-        for mailbox in self._mailboxes.values():
-            mailbox.fail(ReplyLostError("the connection broke"))
-        self._orphans.update(self._mailboxes)
-        self._mailboxes.clear()
+        for chunk_queue in self._chunk_queues.values():
+            chunk_queue.fail(ReplyLostError("the connection broke"))
+        self._detached.update(self._chunk_queues)
+        self._chunk_queues.clear()
 
     def set_speed(self, speed: float) -> None:
         """Run at a multiple of the specified rates; 0 is stuck."""
         self._advance()
         self.batch.speed = speed
-        self._changed()
+        self._on_batch_changed()
 
     @property
     def running(self) -> int:
         """Streams inside the engine now, waiting or not."""
         return self.batch.admitted + self.batch.waiting
 
-    def _boot(self) -> None:
+    def _reset(self) -> None:
         spec = self.spec
         self.cache = PrefixCache(
             spec.cache_capacity, spec.cache_event_lag, spec.cache_event_gap
@@ -244,50 +246,53 @@
             self._export,
             self._import,
         )
-        self._mailboxes: dict[str, _Mailbox] = {}
-        self._orphans: dict[str, _Mailbox] = {}
+        self._chunk_queues: dict[str, _ChunkQueue] = {}
+        self._detached: dict[str, _ChunkQueue] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._due = NEVER
-        self._samples: collections.deque[_Sample] = collections.deque()
-        self._samples.append(_Sample(-NEVER, 0, 0, 0))
+        self._timer_due = NEVER
+        self._samples: collections.deque[_LoadSample] = collections.deque()
+        self._samples.append(_LoadSample(-NEVER, 0, 0, 0))
 
-    def _accept(self, request: GenerateRequest) -> _Mailbox:
+    def _accept_stream(self, request: GenerateRequest) -> _ChunkQueue:
         answer = answer_to(request.model, request.prompt, request.max_tokens)
-        self._refuse_unless_fit(request, answer)
+        self._check_admissible(request, answer)
         self.history.record(
             Execution(at=_now(), upstream=self.name, request=request.stream_id)
         )
-        mailbox = _Mailbox()
+        chunk_queue = _ChunkQueue()
         if request.resume_tokens >= answer.tokens:
-            mailbox.put(TokenChunk(request.resume_tokens, 0, "", answer.finish))
-            return mailbox
-        stream = self._stream(request, answer, mailbox)
-        mailbox.stream = stream
-        self._mailboxes[request.stream_id] = mailbox
+            chunk_queue.put(TokenChunk(request.resume_tokens, 0, "", answer.finish))
+            return chunk_queue
+        stream = self._new_stream(request, answer, chunk_queue)
+        chunk_queue.stream = stream
+        self._chunk_queues[request.stream_id] = chunk_queue
         self._advance()
         self.batch.add(stream)
-        self._changed()
-        return mailbox
+        self._on_batch_changed()
+        return chunk_queue
 
-    def _refuse_unless_fit(self, request: GenerateRequest, answer: Answer) -> None:
-        self._refuse_if_unreached()
+    def _check_admissible(self, request: GenerateRequest, answer: Answer) -> None:
+        self._check_reachable()
         if not self.orders.carries(request.model):
             raise NotReachedError(f"{self.name} does not serve {request.model} now")
         kv_tokens = request.prompt_tokens + answer.tokens
         if kv_tokens > self.spec.kv_capacity:
             raise NotReachedError(f"{kv_tokens} tokens exceed the KV memory")
-        if request.stream_id in self._mailboxes or request.stream_id in self._orphans:
+        if (
+            request.stream_id in self._chunk_queues
+            or request.stream_id in self._detached
+        ):
             raise NotReachedError(f"stream {request.stream_id} is running")
 
-    def _stream(
-        self, request: GenerateRequest, answer: Answer, mailbox: _Mailbox
+    def _new_stream(
+        self, request: GenerateRequest, answer: Answer, chunk_queue: _ChunkQueue
     ) -> Stream:
         imported = self.exchange.take(request.kv_handle) if request.kv_handle else None
         return Stream(
             request,
             answer,
             self._prefix_tokens(request),
-            lambda chunk: self._deliver(mailbox, chunk),
+            lambda chunk: self._deliver(chunk_queue, chunk),
             request.resume_tokens,
             request.prompt_tokens + answer.tokens,
             importing=imported is not None,
@@ -301,12 +306,12 @@
             return int(request.prompt_tokens * self.spec.shared_share)
         return min(stated, request.prompt_tokens)
 
-    def _deliver(self, mailbox: _Mailbox, chunk: TokenChunk) -> None:
-        mailbox.put(chunk)
-        if chunk.finish and mailbox.stream:
-            stream_id = mailbox.stream.request.stream_id
-            self._mailboxes.pop(stream_id, None)
-            self._orphans.pop(stream_id, None)
+    def _deliver(self, chunk_queue: _ChunkQueue, chunk: TokenChunk) -> None:
+        chunk_queue.put(chunk)
+        if chunk.finish and chunk_queue.stream:
+            stream_id = chunk_queue.stream.request.stream_id
+            self._chunk_queues.pop(stream_id, None)
+            self._detached.pop(stream_id, None)
 
     def _export(self, stream: Stream) -> str:
         tokens = stream.request.prompt_tokens + stream.next_index + 1
@@ -315,30 +320,30 @@
     def _import(self, stream: Stream) -> None:
         tokens = stream.request.prompt_tokens + stream.request.resume_tokens
         asyncio.get_running_loop().call_later(
-            tokens / self.spec.transfer_rate, self._imported, self.batch, stream
+            tokens / self.spec.transfer_rate, self._on_imported, self.batch, stream
         )
 
-    def _imported(self, batch: Batch, stream: Stream) -> None:
+    def _on_imported(self, batch: Batch, stream: Stream) -> None:
         if batch is self.batch:
             self._advance()
             batch.imported(stream)
-            self._changed()
-
-    def _break(self, stream_id: str, reason: str) -> None:
-        mailbox = self._mailboxes.get(stream_id) or self._orphans.get(stream_id)
-        self._remove(stream_id)
-        if mailbox is not None:
-            mailbox.fail(ReplyLostError(reason))
-
-    def _remove(self, stream_id: str) -> None:
-        mailbox = self._mailboxes.pop(stream_id, None)
-        mailbox = mailbox or self._orphans.pop(stream_id, None)
-        if mailbox is None or mailbox.stream is None:
+            self._on_batch_changed()
+
+    def _fail_stream(self, stream_id: str, reason: str) -> None:
+        chunk_queue = self._chunk_queues.get(stream_id) or self._detached.get(stream_id)
+        self._remove_stream(stream_id)
+        if chunk_queue is not None:
+            chunk_queue.fail(ReplyLostError(reason))
+
+    def _remove_stream(self, stream_id: str) -> None:
+        chunk_queue = self._chunk_queues.pop(stream_id, None)
+        chunk_queue = chunk_queue or self._detached.pop(stream_id, None)
+        if chunk_queue is None or chunk_queue.stream is None:
             return
         self._advance()
-        if mailbox.stream.stage is not Stage.ENDED:
-            self.batch.remove(mailbox.stream)
-        self._changed()
+        if chunk_queue.stream.stage is not Stage.ENDED:
+            self.batch.remove(chunk_queue.stream)
+        self._on_batch_changed()
 
     def _on_settled(self) -> None:
         assignment = self.orders.assignment
@@ -348,21 +353,21 @@
             self.cache.clear(_now())
             self.batch.rates = self.spec.roles[self.role]
 
-    def _refuse_if_unreached(self) -> None:
+    def _check_reachable(self) -> None:
         if not self.up or not self.reachable:
             raise NotReachedError(f"{self.name} is not reached")
 
     def _advance(self) -> None:
         self.batch.advance(_now())
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         # A loop may fire a timer a clock tick early; counted as not yet due, the event
         # would be set again for the same moment and the loop would spin.
-        self.batch.advance(max(_now(), self._due))
+        self.batch.advance(max(_now(), self._timer_due))
         self._timer = None
-        self._changed()
+        self._on_batch_changed()
 
-    def _changed(self) -> None:
+    def _on_batch_changed(self) -> None:
         """Note the load and set the timer for the batch's next event."""
         batch = self.batch
         running = len(batch.decoding)
@@ -374,22 +379,22 @@
             batch.kv_used,
         ):
             now = _now()
-            self._samples.append(_Sample(now, running, waiting, batch.kv_used))
-            self._forget_samples(now - self.spec.load_lag)
+            self._samples.append(_LoadSample(now, running, waiting, batch.kv_used))
+            self._drop_samples_before(now - self.spec.load_lag)
         self._set_timer(batch.next_event())
 
     def _set_timer(self, due: float) -> None:
-        if self._timer is not None and due == self._due:
+        if self._timer is not None and due == self._timer_due:
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
-        self._due = due
+        self._timer_due = due
         if due < NEVER:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_at(due, self._tick)
+            self._timer = loop.call_at(due, self._on_timer)
 
-    def _forget_samples(self, at: float) -> None:
+    def _drop_samples_before(self, at: float) -> None:
         while len(self._samples) > 1 and self._samples[1].at <= at:
             self._samples.popleft()
 
--- a/src/bergamotmast/standins/engine_batch.py
+++ b/src/bergamotmast/standins/engine_batch.py
@@ -118,7 +118,7 @@
         self._prefills: _Queue = []
         self._finishes: _Queue = []
         self._steps = 0.0
-        self._boundary = tokens_per_chunk
+        self._chunk_boundary = tokens_per_chunk
         self._updated_at = 0.0
 
     def add(self, stream: Stream) -> None:
@@ -137,55 +137,59 @@
     def imported(self, stream: Stream) -> None:
         """Let a stream join whose KV cache has arrived."""
         if stream.stage is Stage.IMPORTING:
-            self._join(stream)
+            self._start_decoding(stream)
 
     def advance(self, now: float) -> None:
         """Let the time up to now pass and give out what was made in it."""
         while (event := self.next_event()) <= now:
-            self._happen(event)
+            self._process_event(event)
         if now > self._updated_at:
-            self._pass(now - self._updated_at)
+            self._elapse(now - self._updated_at)
             self._updated_at = now
 
     def next_event(self) -> float:
         """Return the time of the next event, or infinity."""
-        return self._updated_at + min(self._until_step(), self._until_prefilled())
+        return self._updated_at + min(
+            self._seconds_until_step(), self._seconds_until_prefilled()
+        )
 
-    def _until_step(self) -> float:
+    def _seconds_until_step(self) -> float:
         if not self.decoding:
             return NEVER
-        return _quotient(
+        return _duration(
             (self._target_step() - self._steps) * self._step_seconds(), self.speed
         )
 
-    def _until_prefilled(self) -> float:
-        stream = self._prefill()
+    def _seconds_until_prefilled(self) -> float:
+        stream = self._current_prefill()
         if stream is None:
             return NEVER
-        return _quotient(stream.prefill_left, self._prefill_rate())
+        return _duration(stream.prefill_left, self._prefill_rate())
 
-    def _happen(self, event: float) -> None:
-        until_step = self._until_step()
-        until_prefilled = self._until_prefilled()
-        self._pass(event - self._updated_at)
+    def _process_event(self, event: float) -> None:
+        seconds_until_step = self._seconds_until_step()
+        seconds_until_prefilled = self._seconds_until_prefilled()
+        self._elapse(event - self._updated_at)
         self._updated_at = event
-        if until_step <= until_prefilled:
-            self._reach(self._target_step())
+        if seconds_until_step <= seconds_until_prefilled:
+            self._complete_step(self._target_step())
         else:
             self._finish_prefill()
 
-    def _pass(self, seconds: float) -> None:
+    def _elapse(self, seconds: float) -> None:
         if self.decoding:
             steps = self._steps + seconds * self.speed / self._step_seconds()
             self._steps = min(steps, self._target_step())
-        stream = self._prefill()
+        stream = self._current_prefill()
         if stream is not None:
             done = min(stream.prefill_left, seconds * self._prefill_rate())
             stream.prefill_left -= done
             self.prefilled += done
 
     def _step_seconds(self) -> float:
-        return self.rates.step_seconds(len(self.decoding), self._prefill() is not None)
+        return self.rates.step_seconds(
+            len(self.decoding), self._current_prefill() is not None
+        )
 
     def _prefill_rate(self) -> float:
         share = self.rates.prefill_share if self.decoding else 1.0
@@ -194,22 +198,22 @@
     def _target_step(self) -> int:
         while self._finishes[0][2].stage is not Stage.DECODING:
             heapq.heappop(self._finishes)
-        return min(self._finishes[0][0], self._boundary)
+        return min(self._finishes[0][0], self._chunk_boundary)
 
-    def _reach(self, step: int) -> None:
+    def _complete_step(self, step: int) -> None:
         """Give out what a step completes; all streams at a chunk's boundary."""
         self._steps = float(step)
-        if step == self._boundary:
-            self._boundary += self.tokens_per_chunk
+        if step == self._chunk_boundary:
+            self._chunk_boundary += self.tokens_per_chunk
             for stream in list(self.decoding.values()):
-                self._give(stream, step)
+                self._emit_up_to_step(stream, step)
         while self._finishes and self._finishes[0][0] <= step:
             stream = heapq.heappop(self._finishes)[2]
             if stream.stage is Stage.DECODING:
-                self._give(stream, step)
+                self._emit_up_to_step(stream, step)
         self._admit()
 
-    def _give(self, stream: Stream, step: int) -> None:
+    def _emit_up_to_step(self, stream: Stream, step: int) -> None:
         end = min(stream.joined_index + step - stream.joined_step, stream.answer.tokens)
         if end > stream.next_index:
             self._emit(stream, end)
@@ -228,7 +232,7 @@
         text = stream.answer.text(start, end)
         stream.emit(TokenChunk(start, end - start, text, finish, cached, handle))
 
-    def _prefill(self) -> Stream | None:
+    def _current_prefill(self) -> Stream | None:
         """Return the stream to prefill now: by priority, then by arrival."""
         while self._prefills and self._prefills[0][2].stage is not Stage.PREFILLING:
             heapq.heappop(self._prefills)
@@ -256,13 +260,13 @@
             handle = self.export(stream)
         self._emit(stream, end, handle)
         if stream.stage is not Stage.ENDED:
-            self._join(stream)
+            self._start_decoding(stream)
         self._admit()
 
-    def _join(self, stream: Stream) -> None:
+    def _start_decoding(self, stream: Stream) -> None:
         if not self.decoding:
             self._steps = 0.0
-            self._boundary = self.tokens_per_chunk
+            self._chunk_boundary = self.tokens_per_chunk
             self._finishes.clear()
         stream.stage = Stage.DECODING
         stream.joined_step = math.ceil(self._steps - STEP_TOLERANCE)
@@ -278,13 +282,13 @@
                 return
             key = heapq.heappop(self._queue)
             if stream.stage is Stage.WAITING:
-                self._start(key)
+                self._start_admitted(key)
 
     def _fits(self, stream: Stream) -> bool:
         free = self.kv_capacity - self.kv_used
         return self.admitted < self.rates.max_streams and stream.kv_tokens <= free
 
-    def _start(self, key: tuple[int, int, Stream]) -> None:
+    def _start_admitted(self, key: tuple[int, int, Stream]) -> None:
         stream = key[2]
         self.waiting -= 1
         self.admitted += 1
@@ -308,5 +312,5 @@
         self.decoding.pop(stream.request.stream_id, None)
 
 
-def _quotient(amount: float, rate: float) -> float:
+def _duration(amount: float, rate: float) -> float:
     return amount / rate if rate > 0 else NEVER
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -69,8 +69,10 @@
         """Return whether a request for this model can be served now."""
         if self.assignment is None or self.changes_role:
             return False
-        serves = _carries(self.assignment, model)
-        return serves and (self.target is None or _carries(self.target, model))
+        serves = _assignment_serves(self.assignment, model)
+        return serves and (
+            self.target is None or _assignment_serves(self.target, model)
+        )
 
     def take(self, order: Order) -> None:
         """Begin to carry an order out.
@@ -94,9 +96,9 @@
             )
         )
         if order.assignment == self.assignment:
-            self._settle(order.assignment, True)
+            self._finish(order.assignment, True)
         else:
-            self._task = asyncio.get_running_loop().create_task(self._carry_out(order))
+            self._task = asyncio.get_running_loop().create_task(self._execute(order))
 
     def crash(self, change_done: bool, incomplete: bool) -> None:
         """Lose the order under way and every token.
@@ -107,12 +109,12 @@
         if self._task is not None:
             self._task.cancel()
         if self.target is not None:
-            self._settle(self.target if change_done else self.assignment, change_done)
+            self._finish(self.target if change_done else self.assignment, change_done)
         if incomplete:
             self.assignment = None
         self.last = NO_TOKEN
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _execute(self, order: Order) -> None:
         wanted = order.assignment
         held = self.assignment or Assignment(wanted.role)
         try:
@@ -122,11 +124,11 @@
                 if version not in held.models and version not in held.adapters:
                     await self.loader(version)
         except PortError:
-            self._settle(None, False)
+            self._finish(None, False)
         else:
-            self._settle(wanted, True)
+            self._finish(wanted, True)
 
-    def _settle(self, assignment: Assignment | None, completed: bool) -> None:
+    def _finish(self, assignment: Assignment | None, completed: bool) -> None:
         order = self._order
         self.assignment = assignment
         self.target = None
@@ -156,14 +158,14 @@
     return f"{assignment.role.value} models={models} adapters={adapters}"
 
 
-def _carries(assignment: Assignment, model: str) -> bool:
+def _assignment_serves(assignment: Assignment, model: str) -> bool:
     name, _, adapter = model.partition(":")
-    return _holds(assignment.models, name) and (
-        not adapter or _holds(assignment.adapters, adapter)
+    return _contains_version(assignment.models, name) and (
+        not adapter or _contains_version(assignment.adapters, adapter)
     )
 
 
-def _holds(versions: cabc.Iterable[str], name: str) -> bool:
+def _contains_version(versions: cabc.Iterable[str], name: str) -> bool:
     return any(name in (version, version.partition("@")[0]) for version in versions)
 
 
--- a/src/bergamotmast/standins/http_front.py
+++ b/src/bergamotmast/standins/http_front.py
@@ -78,7 +78,7 @@
     :param counters: answers ``GET /control``.
     """
 
-    async def turn(request: web.Request) -> web.Response:
+    async def set_knob(request: web.Request) -> web.Response:
         knob = knobs.get(request.match_info["knob"])
         if knob is None:
             raise web.HTTPNotFound(text=f"knobs: {', '.join(sorted(knobs))}")
@@ -89,20 +89,20 @@
             raise web.HTTPBadRequest(text=str(error)) from error
         return json_response(counters())
 
-    async def show(request: web.Request) -> web.Response:
+    async def show_counters(request: web.Request) -> web.Response:
         return json_response(counters())
 
-    app.router.add_get("/control", show)
-    app.router.add_post("/control/{knob}", turn)
+    app.router.add_get("/control", show_counters)
+    app.router.add_post("/control/{knob}", set_knob)
 
 
 def attribute(target: object, name: str) -> Knob:
     """Return a knob that sets an attribute to its argument ``value``."""
 
-    def turn(value: t.Any) -> None:
+    def set_knob(value: t.Any) -> None:
         setattr(target, name, value)
 
-    return turn
+    return set_knob
 
 
 def drop(request: web.Request) -> web.Response:
--- a/src/bergamotmast/standins/key_value.py
+++ b/src/bergamotmast/standins/key_value.py
@@ -67,7 +67,7 @@
         self.keep_alives = 0
         self._down = False
         self._cut: set[str] = set()
-        self._losses: collections.Counter[str | None] = collections.Counter()
+        self._replies_to_lose: collections.Counter[str | None] = collections.Counter()
         self._leases: dict[int, _Lease] = {}
         self._lease_ids = itertools.count(1)
         self._watches: dict[_Watch, None] = {}
@@ -106,7 +106,7 @@
 
         :param client: whose writes; ``None`` for anyone's.
         """
-        self._losses[client] += count
+        self._replies_to_lose[client] += count
 
     def silence_watches(self, client: str | None = None) -> None:
         """Let the open watches yield nothing more, without an error.
@@ -130,7 +130,9 @@
         for lease in self._leases.values():
             lease.timer.cancel()
         self.store.restore(snapshot)
-        self._leases = {i: self._begin(i, ttl) for i, ttl in snapshot.leases.items()}
+        self._leases = {
+            i: self._start_lease(i, ttl) for i, ttl in snapshot.leases.items()
+        }
         self._break_watches(lambda watch: True)
 
     async def read(self, client: str, answer: cabc.Callable[[], _T]) -> _T:
@@ -140,12 +142,12 @@
         """
         self.reads += 1
         self._refuse_if_cut(client)
-        half = self._half(client)
-        if half:
-            await asyncio.sleep(half)
+        half_delay = self._half_delay(client)
+        if half_delay:
+            await asyncio.sleep(half_delay)
         value = answer()
-        if half:
-            await asyncio.sleep(half)
+        if half_delay:
+            await asyncio.sleep(half_delay)
         self._refuse_if_cut(client)
         return value
 
@@ -156,10 +158,10 @@
         :raises KeyValueOutcomeUnknownError: if the reply is lost.
         """
         self._refuse_if_cut(client)
-        half = self._half(client)
-        if half:
+        half_delay = self._half_delay(client)
+        if half_delay:
             outcome = await asyncio.shield(
-                asyncio.ensure_future(self._late(client, effect, half))
+                asyncio.ensure_future(self._delayed_write(client, effect, half_delay))
             )
         else:
             outcome = _attempt(effect)
@@ -178,7 +180,7 @@
         """
         for write in writes:
             if isinstance(write, Put) and write.lease:
-                self._require(write.lease)
+                self._require_lease(write.lease)
         result, events = self.store.txn(compares, writes)
         self._publish(events)
         return result
@@ -186,7 +188,7 @@
     def grant_lease(self, ttl_seconds: int) -> int:
         """Create a lease at once."""
         lease = next(self._lease_ids)
-        self._leases[lease] = self._begin(lease, ttl_seconds)
+        self._leases[lease] = self._start_lease(lease, ttl_seconds)
         return lease
 
     def keep_alive(self, lease: int) -> bool:
@@ -195,7 +197,7 @@
         if entry is None:
             return False
         entry.timer.cancel()
-        self._leases[lease] = self._begin(lease, entry.ttl)
+        self._leases[lease] = self._start_lease(lease, entry.ttl)
         return True
 
     def end_lease(self, lease: int) -> None:
@@ -223,7 +225,7 @@
         watch = _Watch(client, prefix, asyncio.Queue())
         if from_revision:
             for event in self.store.events_from(from_revision):
-                _offer(watch, event)
+                _enqueue(watch, event)
         self._watches[watch] = None
         try:
             while True:
@@ -233,17 +235,17 @@
         finally:
             self._watches.pop(watch, None)
 
-    async def _late(
-        self, client: str, effect: cabc.Callable[[], _T], half: float
+    async def _delayed_write(
+        self, client: str, effect: cabc.Callable[[], _T], half_delay: float
     ) -> _T | Exception:
-        await asyncio.sleep(half)
+        await asyncio.sleep(half_delay)
         if self._is_cut(client):
             return KeyValueOutcomeUnknownError("the service went down")
         outcome = _attempt(effect)
-        await asyncio.sleep(half)
+        await asyncio.sleep(half_delay)
         return outcome
 
-    def _half(self, client: str) -> float:
+    def _half_delay(self, client: str) -> float:
         return self.delays.get(client, self.delay) / 2
 
     def _is_cut(self, client: str) -> bool:
@@ -255,23 +257,23 @@
 
     def _loses_reply(self, client: str) -> bool:
         for name in (client, None):
-            if self._losses[name]:
-                self._losses[name] -= 1
+            if self._replies_to_lose[name]:
+                self._replies_to_lose[name] -= 1
                 return True
         return False
 
-    def _begin(self, lease: int, ttl_seconds: int) -> _Lease:
+    def _start_lease(self, lease: int, ttl_seconds: int) -> _Lease:
         loop = asyncio.get_running_loop()
         return _Lease(ttl_seconds, loop.call_later(ttl_seconds, self.end_lease, lease))
 
-    def _require(self, lease: int) -> None:
+    def _require_lease(self, lease: int) -> None:
         if lease not in self._leases:
             raise LeaseLapsedError(f"lease {lease} has lapsed")
 
     def _publish(self, events: cabc.Iterable[WatchEvent]) -> None:
         for event in events:
             for watch in self._watches:
-                _offer(watch, event)
+                _enqueue(watch, event)
 
     def _break_watches(self, chosen: cabc.Callable[[_Watch], bool]) -> None:
         for watch in self._watches:
@@ -287,7 +289,7 @@
         return error
 
 
-def _offer(watch: _Watch, event: WatchEvent) -> None:
+def _enqueue(watch: _Watch, event: WatchEvent) -> None:
     if event.key.startswith(watch.prefix):
         watch.queue.put_nowait(event)
 
--- a/src/bergamotmast/standins/key_value_front.py
+++ b/src/bergamotmast/standins/key_value_front.py
@@ -87,7 +87,7 @@
         self.standin.restore(self.saved)
 
     async def _range(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         client = self._client(request)
         if "range_end" in body:
             found = await client.range(_prefix(body))
@@ -97,33 +97,33 @@
             items = (item,) if item else ()
             revision = self.standin.store.revision
         kvs = [_item(item) for item in items]
-        return _answer(revision, kvs=kvs, count=str(len(kvs)))
+        return _response(revision, kvs=kvs, count=str(len(kvs)))
 
     async def _txn(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         compares = [_compare(compare) for compare in body.get("compare", [])]
         writes = [_write(write) for write in body.get("success", [])]
         result = await self._client(request).txn(compares, writes)
-        return _answer(result.revision, succeeded=result.succeeded)
+        return _response(result.revision, succeeded=result.succeeded)
 
     async def _grant(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         lease = await self._client(request).grant_lease(int(body["TTL"]))
-        return _answer(0, ID=str(lease), TTL=body["TTL"])
+        return _response(0, ID=str(lease), TTL=body["TTL"])
 
     async def _keep_alive(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         alive = await self._client(request).keep_alive(int(body["ID"]))
         result = {"ID": body["ID"]} | ({"TTL": "1"} if alive else {})
         return http_front.json_response({"result": result})
 
     async def _revoke(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         await self._client(request).revoke_lease(int(body["ID"]))
-        return _answer(0)
+        return _response(0)
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        create = (await _body(request))["create_request"]
+        create = (await _json_body(request))["create_request"]
         start = int(create.get("start_revision", 0))
         events = self._client(request).watch(_prefix(create), start)
         async with contextlib.aclosing(events):
@@ -160,7 +160,7 @@
         return self.standin.client(request.headers.get(CLIENT_HEADER, ""))
 
 
-_body = functools.partial(http_front.read_json, kind=JsonObject)
+_json_body = functools.partial(http_front.read_json, kind=JsonObject)
 
 
 def _prefix(body: JsonObject) -> str:
@@ -200,6 +200,6 @@
     return msgspec.json.encode({"result": result}) + b"\n"
 
 
-def _answer(revision: int, **fields: t.Any) -> web.Response:
+def _response(revision: int, **fields: t.Any) -> web.Response:
     header = {"revision": str(revision)}
     return http_front.json_response({"header": header, **fields})
--- a/src/bergamotmast/standins/key_value_store.py
+++ b/src/bergamotmast/standins/key_value_store.py
@@ -60,7 +60,7 @@
         for write in writes:
             if isinstance(write, Put) and len(write.value) > VALUE_LIMIT:
                 raise PortError(f"the value of {write.key} is over {VALUE_LIMIT} bytes")
-        if not all(self._holds(compare) for compare in compares):
+        if not all(self._condition_holds(compare) for compare in compares):
             return TxnResult(False, self.revision), []
         return self._apply(writes)
 
@@ -86,7 +86,7 @@
         self.compacted = snapshot.revision
         self.events = []
 
-    def _holds(self, compare: Compare) -> bool:
+    def _condition_holds(self, compare: Compare) -> bool:
         item = self.items.get(compare.key)
         revision = item.mod_revision if item else 0
         return revision == compare.mod_revision
@@ -105,10 +105,10 @@
                 events.append(WatchEvent(write.key, None, revision))
         if events:
             self.revision = revision
-            self._keep(events)
+            self._append_events(events)
         return TxnResult(True, self.revision), events
 
-    def _keep(self, events: list[WatchEvent]) -> None:
+    def _append_events(self, events: list[WatchEvent]) -> None:
         self.events.extend(events)
         if len(self.events) > HISTORY_LIMIT:
             self.compact(self.events[HISTORY_LIMIT // 2].mod_revision)
--- a/src/bergamotmast/standins/weights.py
+++ b/src/bergamotmast/standins/weights.py
@@ -25,7 +25,7 @@
         self.gigabytes_per_second = gigabytes_per_second
         self.down = False
         self.loads = 0
-        self._free_at = 0.0
+        self._available_at = 0.0
 
     async def sizes(self) -> dict[str, float]:
         """Read the size of each version, in gigabytes."""
@@ -48,8 +48,8 @@
         self.loads += 1
         now = asyncio.get_running_loop().time()
         seconds = self.versions[version] / self.gigabytes_per_second
-        self._free_at = max(now, self._free_at) + seconds
-        await asyncio.sleep(self._free_at - now)
+        self._available_at = max(now, self._available_at) + seconds
+        await asyncio.sleep(self._available_at - now)
 
     def _refuse_if_down(self) -> None:
         if self.down:
