--- a/src/bergamotmast/checker/__init__.py
+++ b/src/bergamotmast/checker/__init__.py
@@ -1,4 +1,4 @@
-"""The promises that a run is held to, checked on its recorded history."""
+"""Checks the system's guarantees on the recorded history of a run."""
 
 from __future__ import annotations
 
--- a/src/bergamotmast/checker/fleet.py
+++ b/src/bergamotmast/checker/fleet.py
@@ -1,4 +1,7 @@
-"""Checks of orders, plans, configurations and leaving upstreams."""
+"""Checks of engine orders, plans, configurations and leaving upstreams.
+
+Each check reads the records of one history and yields its violations.
+"""
 
 from __future__ import annotations
 
@@ -32,16 +35,20 @@
 def check_one_order(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find engines that held two conflicting orders at once.
+    """Find engines that accepted an order while a conflicting one was in progress.
 
-    The same order taken again, after a lost reply, conflicts with nothing.
+    An order that is sent again after a lost reply carries the same token and
+    assignment, so it conflicts with nothing.
     """
     in_progress: dict[str, OrderTaken] = {}
     for record in records:
         if isinstance(record, OrderTaken):
             held = in_progress.get(record.engine)
             if held is not None and not _same_order(held, record):
-                detail = f"{_order_text(record)} taken while {_order_text(held)} was under way"
+                detail = (
+                    f"{_order_text(record)} accepted while {_order_text(held)} "
+                    f"was in progress"
+                )
                 yield Violation(Rule.ONE_ORDER, record.at, record.engine, detail)
             in_progress[record.engine] = record
         elif isinstance(record, OrderEnded):
@@ -53,7 +60,7 @@
 def check_order_authority(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find orders of an older authority, and two orders under one authority."""
+    """Find orders with a lower fencing token, and two orders with the same token."""
     newest: dict[str, OrderTaken] = {}
     for record in records:
         if not isinstance(record, OrderTaken):
@@ -62,7 +69,7 @@
         lower = _token(record) < _token(before)
         reused = _token(record) == _token(before) and not _same_order(record, before)
         if lower or reused:
-            detail = f"{_order_text(record)} taken after {_order_text(before)}"
+            detail = f"{_order_text(record)} accepted after {_order_text(before)}"
             yield Violation(Rule.ORDER_AUTHORITY, record.at, record.engine, detail)
         else:
             newest[record.engine] = record
@@ -71,7 +78,7 @@
 def check_plan_forward(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find accepted plans whose fencing token is not above the one before."""
+    """Find accepted plans whose fencing token is not higher than the previous one."""
     last = NO_TOKEN
     for record in records:
         if not isinstance(record, PlanWritten):
@@ -86,7 +93,10 @@
 def check_leaving(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find new work at an upstream that had been leaving for too long."""
+    """Find requests started at an upstream after its leaving was announced.
+
+    Requests that start within ``limits.leaving_seconds`` are allowed.
+    """
     leaving: dict[str, float] = {}
     for record in records:
         if isinstance(record, LeavingAnnounced):
@@ -96,7 +106,10 @@
         elif isinstance(record, Execution):
             since = leaving.get(record.upstream, math.inf)
             if record.at > since + limits.leaving_seconds:
-                detail = f"{record.request} began {record.at - since:.3f} s after"
+                detail = (
+                    f"{record.request} started {record.at - since:.3f} s after the "
+                    f"upstream was announced as leaving"
+                )
                 yield Violation(Rule.LEAVING, record.at, record.upstream, detail)
 
 
@@ -105,8 +118,8 @@
 ) -> cabc.Iterator[Violation]:
     """Find processes that put an older configuration in force.
 
-    A process that starts has nothing in its memory: what it must reach, and how
-    soon, is the matter of :func:`check_config_in_force`.
+    A process that starts has no configuration, so its first one may be an older
+    one; :func:`check_config_in_force` checks which one it must reach, and when.
     """
     in_force: dict[str, int] = {}
     for record in records:
@@ -122,11 +135,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Uptime:
-    """One unbroken time in which a process ran and could be reached.
+    """An uninterrupted period in which a process ran and was reachable.
 
-    :param begin: a point on the clock of the run, seconds.
-    :param end: the same; infinite while it lasts.
-    :param steps: when each generation came into force, rising.
+    :param begin: seconds on the clock of the run.
+    :param end: seconds on the clock of the run; infinite if it never ended.
+    :param config_changes: time and generation of each configuration that came into
+        force, in ascending order of time.
     """
 
     begin: float
@@ -134,7 +148,8 @@
     config_changes: list[tuple[float, int]] = dataclasses.field(default_factory=list)
 
     def generation_at(self, at: float) -> int:
-        """Return the highest generation in force at a point in time."""
+        """Return the highest generation that came into force up to a point in time."""
+        # 1 << 62 is above every generation: a change at exactly ``at`` counts.
         count = bisect.bisect_right(self.config_changes, (at, 1 << 62))
         return max(
             (generation for _, generation in self.config_changes[:count]), default=0
@@ -146,9 +161,9 @@
 ) -> cabc.Iterator[Violation]:
     """Find processes where an accepted configuration came into force too late.
 
-    A process that starts or comes back has the whole time from then on; one that
-    stops, or is cut off before its time is up, owes nothing. Nor does the end of
-    the history count against anyone.
+    The deadline of a process that starts or becomes reachable again counts from
+    that moment. A deadline doesn't apply if the process stops, becomes unreachable
+    or the history ends before it.
     """
     run_end = max((record.at for record in records), default=0.0)
     accepted = [r for r in records if isinstance(r, ConfigAccepted)]
@@ -167,6 +182,11 @@
 
 
 def _uptimes(records: cabc.Iterable[AnyRecord]) -> dict[str, list[_Uptime]]:
+    """Return each process's uptimes, oldest first.
+
+    A process that becomes reachable again still has its last configuration; one that
+    starts has none.
+    """
     uptimes: dict[str, list[_Uptime]] = collections.defaultdict(list)
     for record in records:
         match record:
--- a/src/bergamotmast/checker/history_check.py
+++ b/src/bergamotmast/checker/history_check.py
@@ -1,4 +1,4 @@
-"""Reads the history of a run and says which promises it broke."""
+"""Runs all checks on the history of a run, and counts how its requests ended."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """Counts of a run, by request.
+    """Number of requests of a run by how they ended.
 
     :param sent: requests that callers sent.
-    :param answered_whole: requests whose first answer was whole.
-    :param refused: requests that ended with a result code other than 0, by code.
-    :param unknown: requests whose caller was told that the outcome is unknown.
-    :param duplicates: answers beyond the first of a request.
-    :param lost: requests that never ended.
-    :param cut_off: requests whose answer broke off without a code.
+    :param answered_whole: requests whose first answer was complete (code 0).
+    :param refused: requests whose first answer has another result code, by code.
+    :param unknown: requests whose first answer reports an unknown outcome.
+    :param duplicates: answers after the first one to a request.
+    :param lost: requests without any answer.
+    :param cut_off: requests whose answer was truncated and has no result code.
     """
 
     sent: int
@@ -41,10 +41,10 @@
 def check(
     records: cabc.Sequence[AnyRecord], limits: Limits | None = None
 ) -> list[Violation]:
-    """Return every broken promise of a history, oldest first.
+    """Return every violation in a history, oldest first.
 
-    :param records: the records in the order they happened.
-    :param limits: the times the promises allow; the usual ones if ``None``.
+    :param records: records in chronological order.
+    :param limits: time limits of the guarantees; the defaults if ``None``.
     """
     allowed = limits or Limits()
     found = [
@@ -56,7 +56,10 @@
 
 
 def summary(records: cabc.Iterable[AnyRecord]) -> Summary:
-    """Count how the requests of a history ended."""
+    """Count how the requests of a history ended.
+
+    Only the first answer to a request counts, except for ``duplicates``.
+    """
     sent: set[str] = set()
     first: dict[str, RequestAnswered] = {}
     duplicates = 0
--- a/src/bergamotmast/checker/requests.py
+++ b/src/bergamotmast/checker/requests.py
@@ -1,4 +1,4 @@
-"""Checks of what callers were told against what upstreams ran."""
+"""Checks of the answers that callers received against what upstreams executed."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def check_answered_once(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find answers beyond the first, and answers to nothing."""
+    """Find duplicate answers, and answers to requests that were never sent."""
     sent: set[str] = set()
     answered: set[str] = set()
     for record in records:
@@ -46,7 +46,7 @@
 def check_not_lost(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find requests that never ended."""
+    """Find requests that were never answered."""
     answered = {answer.request for answer in _answers(records)}
     for request in _sent(records).values():
         if request.request not in answered:
@@ -58,22 +58,23 @@
 def check_not_cut_off(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find answers that broke off without a code."""
+    """Find answers that were truncated and have no result code."""
     for answer in _answers(records):
         if answer.cut_off:
             yield _violation(
                 answer,
                 Rule.NOT_CUT_OFF,
-                f"broke off after {len(answer.text)} characters",
+                f"truncated after {len(answer.text)} characters without a result code",
             )
 
 
 def check_whole_answer(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find answers that differ from what the upstream gave.
+    """Find answers that differ from the upstream's answer.
 
-    An answer that ends with a code may be short, but what it holds must be right.
+    An answer that failed or was truncated may be shorter than the upstream's, but
+    must be a prefix of it.
     """
     sent = _sent(records)
     for answer in _answers(records):
@@ -81,7 +82,7 @@
         expected = request.expected_text if request else ""
         if answer.code == ResultCode.OK and answer.outcome != Outcome.RAN.value:
             yield _violation(
-                answer, Rule.WHOLE_ANSWER, f"code 0, but told {answer.outcome}"
+                answer, Rule.WHOLE_ANSWER, f"code 0 with outcome {answer.outcome}"
             )
         if not expected:
             continue
@@ -96,7 +97,7 @@
 def check_truly_not_run(
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
-    """Find requests whose caller was told "not run" and that ran."""
+    """Find executed requests whose caller received the outcome "not run"."""
     runs: dict[str, Execution] = {}
     for record in records:
         if isinstance(record, Execution):
@@ -104,7 +105,7 @@
     for answer in _answers(records):
         run = runs.get(answer.request)
         if answer.outcome == Outcome.NOT_RUN.value and run is not None:
-            detail = f'told "not run" at {answer.at}, ran at {run.upstream}'
+            detail = f'answered "not run" at {answer.at}, but ran at {run.upstream}'
             yield Violation(Rule.TRULY_NOT_RUN, run.at, answer.request, detail)
 
 
@@ -113,8 +114,8 @@
 ) -> cabc.Iterator[Violation]:
     """Find non-repeatable requests and idempotency keys that ran more than once.
 
-    A key counts over all requests that carry it, at whichever entry. The key of a
-    request that may be repeated promises nothing.
+    A key counts across all requests that carry it and all entries. The key of a
+    repeatable request guarantees nothing.
     """
     sent = _sent(records)
     ran: dict[str, Execution] = {}
@@ -142,7 +143,7 @@
     while same < min(len(expected), len(text)) and expected[same] == text[same]:
         same += 1
     return (
-        f"{len(text)} characters for {len(expected)}, the first difference at "
+        f"{len(text)} characters instead of {len(expected)}, the first difference at "
         f"character {same}"
     )
 
--- a/src/bergamotmast/faults/__main__.py
+++ b/src/bergamotmast/faults/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bergamotmast.faults --seeds A-B``."""
+"""Entry point of ``python -m bergamotmast.faults --seeds A-B``."""
 
 from __future__ import annotations
 
--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they send requests to whichever entry is ready and record what they get."""
+"""Callers that send random requests to ready entries and record the answers."""
 
 from __future__ import annotations
 
@@ -24,24 +24,31 @@
 from .world import FaultWorld
 
 RATE = 4.0
-"""Requests a second."""
+"""Mean arrival rate; arrivals are a Poisson process."""
 
 MODEL_SECONDS = 30.0
 SERVICE_SECONDS = 10.0
 PATIENCE = 10.0
-"""Seconds past its deadline that a caller waits before it hangs up."""
+"""Time after its deadline at which a caller gives up and closes the connection."""
 
 MOST_TOKENS = 120
 REPLAYED_SHARE = 0.3
-"""Share of the orders that a caller sends again, mostly through another entry."""
+"""Share of the orders that reuse the idempotency key of an earlier order.
+
+Orders are calls of a route that isn't repeatable.
+"""
 
 
 class Callers:
     """The traffic of one run.
 
-    :param world: whose entries are called.
-    :param rng: seeded source of arrivals and of requests.
-    :param errors: what no entry should raise; its caller is told an internal error.
+    :param world: environment whose entries are called.
+    :param rng: seeded source of arrivals and requests.
+    :param waiting: tasks of the requests that have no answer yet.
+    :param errors: unexpected exceptions that entries raised; their callers are
+        recorded as answered with an internal error.
+    :param keys: idempotency keys of the orders sent so far.
+    :param restores: restores of the key-value service that ``keys`` accounts for.
     """
 
     def __init__(self, world: FaultWorld, rng: random.Random) -> None:
@@ -54,13 +61,13 @@
         self.restores = 0
 
     async def run(self, until: float) -> None:
-        """Send until a point in time."""
+        """Send requests until a point in time."""
         while self.world.now() < until:
             await asyncio.sleep(self.rng.expovariate(RATE))
             self._send()
 
     async def finish(self) -> None:
-        """Wait until every caller has its answer or has hung up."""
+        """Wait until every caller has its answer or has given up."""
         await asyncio.gather(*self.waiting)
 
     def _send(self) -> None:
@@ -145,7 +152,13 @@
         attempt: t.Coroutine[t.Any, t.Any, None],
         limit: float,
     ) -> ResultCode:
-        """Run a request inside its entry; a broken connection tells nothing."""
+        """Run a request inside its entry's process and return its result code.
+
+        If the entry is killed, or the caller gives up, the outcome is unknown to the
+        caller.
+
+        :param limit: deadline of the request, in seconds from now.
+        """
         gate = self.world.gate_of(entry)
         if gate is None:
             attempt.close()
@@ -167,10 +180,10 @@
         return ResultCode.OUTCOME_UNKNOWN
 
     def _idempotency_key(self, request: str) -> str:
-        """Return a key, now and then that of an earlier order sent again.
+        """Return a new idempotency key, or at times the key of an earlier order.
 
-        A service that came back with older content has lost claims: no caller sends
-        an order from before again, because nothing could tell that it ran.
+        Keys from before a restore of the key-value service are not reused: the
+        restore loses claims, so the system can't know that these orders ran.
         """
         if self.restores != self.world.restores:
             self.restores = self.world.restores
--- a/src/bergamotmast/faults/cli.py
+++ b/src/bergamotmast/faults/cli.py
@@ -1,4 +1,4 @@
-"""Runs under faults from the command line, for a range of seeds."""
+"""Command line of the fault injection runs, one run for each seed of a range."""
 
 from __future__ import annotations
 
@@ -12,27 +12,30 @@
 from .run import run_seed
 
 DEFAULT_PROCESSES = 4
-"""Runs made at the same time."""
+"""Default number of runs in parallel."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Add all flags of the command to a parser."""
+    """Add all flags of the fault runs to a parser."""
     add_seed_arguments(parser)
     parser.add_argument(
-        "--processes", type=int, default=DEFAULT_PROCESSES, help="runs at the same time"
+        "--processes", type=int, default=DEFAULT_PROCESSES, help="runs in parallel"
     )
 
 
 def add_seed_arguments(parser: argparse._ActionsContainer) -> None:
-    """Add the flags that say which runs are made and what is shown."""
+    """Add the flags that select the seeds and the output."""
     parser.add_argument("--seeds", default="1-20", metavar="A-B", help="seeds to run")
     parser.add_argument(
-        "--log", action="store_true", help="show the faults of each broken run"
+        "--log", action="store_true", help="print the injected faults of failed runs"
     )
 
 
 def run(args: argparse.Namespace) -> int:
-    """Make the runs, print a line for each; 1 if a promise was broken."""
+    """Run all seeds, print a line for each, and return the exit code.
+
+    :return: 1 if any run violated a guarantee or raised an error, else 0.
+    """
     seeds = parse_seeds(args.seeds)
     context = multiprocessing.get_context("spawn")
     broken = 0
@@ -45,22 +48,25 @@
 
 
 def parse_seeds(value: str) -> range:
-    """Return the seeds of ``A-B`` or of one number.
+    """Parse a range of seeds ``A-B``, both ends included, or a single seed.
 
-    :raises SettingError: for anything else.
+    :raises SettingError: for a value of another form, or if ``A`` is above ``B``.
     """
     first, _, last = value.partition("-")
     try:
         seeds = range(int(first), int(last or first) + 1)
     except ValueError as error:
-        raise SettingError("--seeds", value, "two numbers, A-B") from error
+        raise SettingError("--seeds", value, "one number, or two: A-B") from error
     if not seeds:
-        raise SettingError("--seeds", value, "a first seed below the last")
+        raise SettingError("--seeds", value, "a first seed that is not above the last")
     return seeds
 
 
 def as_text(result: FaultRun, with_log: bool) -> str:
-    """Return a run as a line, followed by what it broke."""
+    """Format the result of a run: one line, then its violations and errors.
+
+    :param with_log: whether to add the injected faults if the run failed.
+    """
     s = result.summary
     lines = [
         f"seed {result.seed}: sent {s.sent}, whole {s.answered_whole}, "
--- a/src/bergamotmast/faults/gates.py
+++ b/src/bergamotmast/faults/gates.py
@@ -1,9 +1,10 @@
-"""Pausing and killing the tasks of one process among many in a single event loop.
+"""Pauses and kills simulated processes that share one event loop.
 
-Every task that is created inside a process, directly or by another of its tasks,
-belongs to the process's gate. While the gate is shut none of them takes a step, as
-when the operating system stops a process: time goes on, timers of it fall due, and
-frames for it wait, and it sees all of that only when it wakes.
+A :class:`Gate` stands for one process. Every task created inside the process,
+directly or by another of its tasks, belongs to its gate. While the gate is paused
+none of these tasks runs, as if the operating system had stopped the process with
+SIGSTOP: the clock goes on, the process's timers expire and frames for it queue up,
+and it handles all of them only after it is resumed.
 """
 
 from __future__ import annotations
@@ -21,11 +22,12 @@
 
 
 class Gate:
-    """One process's tasks.
+    """The tasks of one simulated process.
 
-    :param tasks: those that have not ended, in the order of their start, so that a
-        run ends them in the same order each time.
-    :param paused: whether the process is stopped.
+    :param tasks: tasks that have not ended, in the order of their start, so that
+        :meth:`kill` cancels them in the same order in every run of a seed.
+    :param paused: whether the process is paused.
+    :param waiting: futures of the tasks that tried to run while paused.
     """
 
     def __init__(self) -> None:
@@ -34,11 +36,11 @@
         self.waiting: list[asyncio.Future[None]] = []
 
     def pause(self) -> None:
-        """Stop the process."""
+        """Pause all tasks of the process."""
         self.paused = True
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume all tasks of the process."""
         self.paused = False
         for future in self.waiting:
             if not future.done():
@@ -46,15 +48,19 @@
         self.waiting.clear()
 
     def wait(self) -> asyncio.Future[None]:
-        """Return what one task waits for; a task may cancel what it awaits."""
+        """Return a future that is done once the process is resumed.
+
+        Each task gets a future of its own, as cancelling a task cancels the future
+        that it awaits.
+        """
         future = asyncio.get_running_loop().create_future()
         self.waiting.append(future)
-        # What ``Future.__await__`` does before it yields itself to the task.
+        # ``Future.__await__`` sets this flag before it yields itself to the task.
         future._asyncio_future_blocking = True
         return future
 
     def run(self, coroutine: cabc.Coroutine[t.Any, t.Any, _T]) -> asyncio.Task[_T]:
-        """Start a task inside the process."""
+        """Run a coroutine as a task of the process."""
         token = _CURRENT.set(self)
         try:
             return asyncio.get_running_loop().create_task(coroutine)
@@ -62,7 +68,7 @@
             _CURRENT.reset(token)
 
     async def kill(self) -> None:
-        """End the process at once, paused or not."""
+        """Cancel all tasks of the process, paused or not, and wait for their end."""
         self.resume()
         tasks = list(self.tasks)
         for task in tasks:
@@ -71,7 +77,11 @@
 
 
 class _Gated(cabc.Coroutine[t.Any, t.Any, _T]):
-    """A coroutine that takes no step while its gate is shut."""
+    """A coroutine that isn't resumed while its gate is paused.
+
+    :param pending_exception: thrown into the coroutine once the gate is resumed, for
+        instance a cancellation that came meanwhile.
+    """
 
     def __init__(self, inner: cabc.Coroutine[t.Any, t.Any, _T], gate: Gate) -> None:
         self.inner = inner
@@ -79,7 +89,7 @@
         self.pending_exception: BaseException | None = None
 
     def send(self, value: t.Any) -> t.Any:
-        """Take a step, or wait for the gate first."""
+        """Resume the wrapped coroutine, or wait for the gate if it is paused."""
         if self.gate.paused:
             return self.gate.wait()
         if self.pending_exception is not None:
@@ -88,18 +98,18 @@
         return self.inner.send(value)
 
     def throw(self, *error: t.Any) -> t.Any:
-        """Take an exception, or keep it until the gate opens."""
+        """Throw an exception into the coroutine, now or once the gate is resumed."""
         if not self.gate.paused:
             return self.inner.throw(*error)
         self.pending_exception = error[0]
         return self.gate.wait()
 
     def close(self) -> None:
-        """Close the coroutine inside."""
+        """Close the wrapped coroutine."""
         self.inner.close()
 
     def __await__(self) -> t.Generator[t.Any, t.Any, _T]:
-        raise NotImplementedError("only tasks step a gated coroutine")
+        raise NotImplementedError("a gated coroutine can only be run as a task")
 
 
 def _create_task(
@@ -117,5 +127,8 @@
 
 
 def install(loop: asyncio.AbstractEventLoop) -> None:
-    """Let a loop keep the tasks of its processes apart."""
+    """Make a loop assign each new task to the gate that is current on its creation.
+
+    Tasks created outside of any gate are ordinary tasks.
+    """
     loop.set_task_factory(t.cast(t.Any, _create_task))
--- a/src/bergamotmast/faults/run.py
+++ b/src/bergamotmast/faults/run.py
@@ -1,4 +1,4 @@
-"""One run under the faults of a seed, checked for every promise."""
+"""Runs one seed of the fault injection and checks every guarantee on its history."""
 
 from __future__ import annotations
 
@@ -22,16 +22,19 @@
 WARM_UP_SECONDS = 10.0
 FAULT_SECONDS = 60.0
 CALM_SECONDS = 30.0
-"""After the last fault: long enough for what was accepted to be in force."""
+"""Time without faults at the end of a run.
+
+Long enough for every accepted configuration to come into force.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FaultRun:
-    """What a seed's run showed.
+    """Result of the run of one seed.
 
-    :param violations: promises broken.
-    :param errors: what entries raised at callers beside the errors they should.
-    :param log: the faults, a line each.
+    :param violations: violated guarantees.
+    :param errors: tracebacks of unexpected exceptions that entries raised to callers.
+    :param log: the injected faults, a line each.
     """
 
     seed: int
@@ -43,12 +46,12 @@
 
     @property
     def holds(self) -> bool:
-        """Whether every promise held and nothing else went wrong."""
+        """Whether no guarantee was violated and no entry raised an unexpected error."""
         return not self.violations and not self.errors
 
 
 def run_seed(seed: int) -> FaultRun:
-    """Make the run of a seed in virtual time, on a loop of its own."""
+    """Run a seed on a new event loop with a simulated clock."""
     loop = looptime.new_event_loop(noop_cycles=0)
     asyncio.set_event_loop(loop)
     try:
@@ -60,7 +63,7 @@
 
 
 async def run(seed: int) -> FaultRun:
-    """Make the run of a seed on the running loop."""
+    """Run a seed on the running event loop."""
     world = FaultWorld(seed)
     callers = Callers(world, random.Random(f"callers {seed}"))
     faults = Faults(world, random.Random(f"faults {seed}"))
--- a/src/bergamotmast/faults/schedule.py
+++ b/src/bergamotmast/faults/schedule.py
@@ -1,7 +1,7 @@
-"""Random faults: what may go wrong, for how long, and how it is put right again.
+"""Random fault injection: which faults occur, for how long, and how they are undone.
 
-A fault is a coroutine that breaks something, waits, and mends it. Several run at the
-same time; one that finds nothing it may break ends at once.
+A fault is a coroutine that breaks something, waits, and repairs it. Several faults
+run concurrently; one that finds no target that is free returns at once.
 """
 
 from __future__ import annotations
@@ -29,21 +29,26 @@
 from .world import FaultWorld
 
 EVERY_SECONDS = 2.5
-"""Mean time between two faults."""
+"""Mean time between the starts of two faults."""
 
 SPREAD_SECONDS = 3.0
-"""A service that accepted an edit stays up for so long: what nobody could read can't
-come into force anywhere."""
+"""Time for which the key-value service stays up after it accepted an edit.
+
+An edit that no process could read before an outage can't come into force anywhere.
+"""
 
 _Fault: t.TypeAlias = cabc.Callable[["Faults"], t.Coroutine[t.Any, t.Any, None]]
 
 
 class Faults:
-    """The faults of one run.
+    """Injects the faults of one run.
 
-    :param world: what is broken.
+    :param world: environment that the faults are injected into.
     :param rng: seeded source of the schedule.
-    :param log: what was done when, for whoever looks into a run.
+    :param log: time and description of each step, to debug a run.
+    :param reserved_names: targets of the faults in progress.
+    :param edits: number of edits tried so far, which makes their nonces unique.
+    :param accepted_at: when the last edit was accepted.
     """
 
     def __init__(self, world: FaultWorld, rng: random.Random) -> None:
@@ -56,7 +61,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, end_at: float) -> None:
-        """Break things until a point in time, then mend everything."""
+        """Start faults until a point in time, then wait until all are repaired."""
         kinds = tuple(FAULTS)
         weights = tuple(FAULTS.values())
         while self.world.now() < end_at:
@@ -71,9 +76,14 @@
     def holding(
         self, kind: str, names: cabc.Iterable[str], exclusive: str = ""
     ) -> cabc.Iterator[str | None]:
-        """Choose something that no other fault holds, and hold it.
+        """Reserve a random target that no other fault has reserved.
 
-        :param exclusive: a name that only one fault at a time may hold, or empty.
+        Yields the target, or ``None`` if there is none or ``exclusive`` is taken.
+
+        :param kind: description of the fault, for the log.
+        :param names: possible targets.
+        :param exclusive: lock shared by kinds of fault of which only one may be in
+            progress; empty for none.
         """
         free = [name for name in names if name not in self.reserved_names]
         chosen = self.world.pick(free)
@@ -90,21 +100,27 @@
             self.note(f"{kind} {chosen} ended")
 
     def note(self, text: str) -> None:
-        """Add a line to the log."""
+        """Append a line with the current time to the log."""
         self.log.append(f"{self.world.now():8.3f} {text}")
 
     async def until_spread(self) -> None:
-        """Wait until what was accepted could be read; another may come meanwhile."""
+        """Wait until every accepted edit has had time to propagate.
+
+        Further edits may be accepted during the wait, which prolong it.
+        """
         while (due := self.accepted_at + SPREAD_SECONDS) > self.world.now():
             await asyncio.sleep(due - self.world.now())
 
     async def some_time(self, max_seconds: float) -> None:
-        """Wait for a random time, mostly short."""
+        """Wait for a random, exponentially distributed time.
+
+        :param max_seconds: upper bound; the mean is about a third of it.
+        """
         await asyncio.sleep(min(max_seconds, self.rng.expovariate(3.0 / max_seconds)))
 
 
 async def kill_side(faults: Faults) -> None:
-    """Kill a side and start it again."""
+    """Kill a side and restart it."""
     with faults.holding("kill side", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
@@ -114,7 +130,7 @@
 
 
 async def kill_entry(faults: Faults) -> None:
-    """Kill an entry and start it again; the other one lives."""
+    """Kill an entry and restart it; the other entry keeps running."""
     with faults.holding("kill entry", ENTRIES, "entry") as name:
         if name is None:
             return
@@ -124,7 +140,7 @@
 
 
 async def pause(faults: Faults) -> None:
-    """Stop a process and let it go on."""
+    """Pause a process and resume it."""
     with faults.holding("pause", (*ENGINES, *SERVICES, *ENTRIES)) as name:
         if name is None:
             return
@@ -137,7 +153,7 @@
 
 
 async def partition(faults: Faults) -> None:
-    """Cut a side off from the entries, and perhaps from the key-value service."""
+    """Partition a side from the entries, and at times from the key-value service."""
     with faults.holding("partition", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
@@ -157,7 +173,7 @@
 
 
 async def restart_side(faults: Faults) -> None:
-    """Shut a side down gracefully and start its successor."""
+    """Shut a side down gracefully and restart it."""
     with faults.holding("restart side", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
@@ -171,7 +187,7 @@
 
 
 async def restart_entry(faults: Faults) -> None:
-    """Shut an entry down gracefully and start its successor."""
+    """Shut an entry down gracefully and restart it."""
     with faults.holding("restart entry", ENTRIES, "entry") as name:
         if name is None:
             return
@@ -180,7 +196,7 @@
 
 
 async def crash_engine(faults: Faults) -> None:
-    """Crash an engine, often in mid-change, and bring it back."""
+    """Crash an engine, possibly during a role change, and restart it."""
     with faults.holding("crash engine", (f"upstream {n}" for n in ENGINES)) as reserved:
         if reserved is None:
             return
@@ -191,7 +207,7 @@
 
 
 async def crash_service(faults: Faults) -> None:
-    """Crash a plain service and bring it back."""
+    """Crash a plain service and restart it."""
     with faults.holding(
         "crash service", (f"upstream {n}" for n in SERVICES)
     ) as reserved:
@@ -204,7 +220,7 @@
 
 
 async def lose_replies(faults: Faults) -> None:
-    """Lose replies of upstreams and of the key-value service."""
+    """Lose replies of a service, an engine and the key-value service."""
     world = faults.world
     world.kv.lose_next_reply(count=faults.rng.randint(0, 2))
     world.services[faults.rng.choice(SERVICES)].lost_replies += 1
@@ -216,7 +232,7 @@
 
 
 async def key_value_down(faults: Faults) -> None:
-    """Take the key-value service down; it may come back with older content."""
+    """Take the key-value service down; at times it comes back with older content."""
     with faults.holding("key-value down", ("key-value",)) as name:
         if name is None:
             return
@@ -236,7 +252,7 @@
 
 
 async def silence_watches(faults: Faults) -> None:
-    """Let every open watch fall silent without an error."""
+    """Stop delivering events to all open watches, without an error."""
     faults.note("watches silent")
     faults.world.kv.silence_watches()
 
@@ -252,13 +268,13 @@
 
 
 async def leave_by_list(faults: Faults) -> None:
-    """Announce that an upstream leaves, and that it stays after all."""
+    """Mark an engine as leaving in the instance list, and withdraw it later."""
     with faults.holding("leaving", ENGINES, "instance-list") as name:
         if name is None:
             return
         world = faults.world
         world.instance_list.set_leaving(name)
-        # Only the list says so here: nobody can know before it shows.
+        # The list is the only signal here, so no process can know before it shows it.
         await asyncio.sleep(LIST_LAG)
         world.history.record(LeavingAnnounced(at=world.now(), upstream=name))
         await faults.some_time(20.0)
@@ -268,7 +284,7 @@
 
 
 async def drain(faults: Faults) -> None:
-    """Drain an engine by its label, as operators do, and take it back."""
+    """Drain an engine by changing its label, as operators do, and undo it later."""
     with faults.holding(
         "drain", (f"label {n}" for n in ENGINES), "draining"
     ) as reserved:
@@ -287,14 +303,15 @@
             return
         world.history.record(LeavingAnnounced(at=world.now(), upstream=name))
         await faults.some_time(30.0)
-        # The promise is over with the first try: one whose reply is lost may hold.
+        # The guarantee ends with the first attempt: an edit whose reply was lost may
+        # have been accepted.
         world.history.record(StayingAnnounced(at=world.now(), upstream=name))
         while not await edit(faults, taken_back):
             await asyncio.sleep(1.0)
 
 
 async def change_roles(faults: Faults) -> None:
-    """Ask for engines of one role, so that the planner orders changes."""
+    """Change the minimum number of engines in a role, so that the planner acts."""
     role = faults.rng.choice((Role.PREFILL, Role.DECODE, Role.MIXED))
     least = faults.rng.randint(0, 3)
 
@@ -306,7 +323,7 @@
 
 
 def with_least(selector: Selector, role: Role, least: int) -> Selector:
-    """Return a selector that wants at least some engines in one role."""
+    """Return a copy of a selector with a minimum number of engines in one role."""
     return Selector(
         name=selector.name,
         group=selector.group,
@@ -319,7 +336,7 @@
 async def edit(
     faults: Faults, change: cabc.Callable[[Configuration], Configuration]
 ) -> bool:
-    """Edit the configuration through an entry; whether it was accepted."""
+    """Edit the configuration as an entry knows it; return whether it was accepted."""
     world = faults.world
     entry = world.entry(faults.rng.choice(ENTRIES))
     if entry is None:
@@ -356,4 +373,4 @@
     drain: 1.5,
     change_roles: 4.0,
 }
-"""Every fault with its share."""
+"""Every fault with its relative frequency."""
--- a/src/bergamotmast/faults/world.py
+++ b/src/bergamotmast/faults/world.py
@@ -1,4 +1,8 @@
-"""The fleet that faults are tried on: real entries and sides, stand-ins outside."""
+"""The simulated environment of a fault run: real entries and sides, and stand-ins.
+
+The entries and sides run the production code. Upstreams, the key-value service, the
+instance list, the weight store and the network between the processes are stand-ins.
+"""
 
 from __future__ import annotations
 
@@ -45,16 +49,18 @@
 ENTRIES = ("entry-1", "entry-2")
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 CONCURRENCY = 8
-"""Calls that a plain service takes at once."""
+"""Maximum number of concurrent calls of a plain service."""
 
 SERVICE_SECONDS = 0.3
+"""Duration of a call of a plain service."""
 CHANGE_SECONDS = 6.0
 LIST_LAG = 2.0
+"""Delay until a change of the instance list becomes visible."""
 KEY_VALUE_DELAY = 0.004
 
 
 def first_configuration() -> Configuration:
-    """Return the configuration that every run starts with."""
+    """Return the initial configuration of every run."""
     labels = {name: {"pool": "models"} for name in ENGINES}
     labels |= {name: {"pool": "counter"} for name in SERVICES}
     return Configuration(
@@ -86,7 +92,8 @@
 class Process:
     """One running entry or side.
 
-    :param reachable: whether anything else can reach it, as the history has it.
+    :param gate: pauses and kills the process.
+    :param reachable: whether the history records the process as reachable.
     """
 
     name: str
@@ -96,11 +103,14 @@
 
 
 class FaultWorld:
-    """Everything of one run.
-
-    :param rng: seeded source of everything random.
-    :param history: everything that happened.
-    :param restores: times that the key-value service came back with older content.
+    """The processes and stand-ins of one run.
+
+    :param seed: seed of ``rng``.
+    :param rng: source of the environment's random choices and of each process's own
+        random source.
+    :param history: records of everything that happened.
+    :param cut_from_kv: names of the processes that can't reach the key-value service.
+    :param restores: how often the key-value service was restored to older content.
     """
 
     def __init__(self, seed: int) -> None:
@@ -141,7 +151,7 @@
     # Processes
 
     async def start(self) -> None:
-        """Start every process with a configuration in the service."""
+        """Store the initial configuration and start every process."""
         await self.store.propose(first_configuration(), 0, "operator", "first")
         for name in (*ENGINES, *SERVICES, *ENTRIES):
             self.start_process(name)
@@ -156,7 +166,7 @@
         self.note_reach()
 
     async def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process, as with SIGKILL."""
         process = self.processes.pop(name)
         self.history.record(ProcessStopped(at=self.now(), process=name))
         if isinstance(process.body, SideProcess):
@@ -164,33 +174,36 @@
         await process.gate.kill()
 
     async def stop_gracefully(self, name: str) -> None:
-        """End a process as its operating system's first signal does."""
+        """Shut a process down, as on its first SIGTERM."""
         process = self.processes[name]
         await process.gate.run(process.body.close())
         if self.processes.get(name) is process:
             await self.kill(name)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill every process."""
         for name in list(self.processes):
             await self.kill(name)
 
     def entry(self, name: str) -> EntryProcess | None:
-        """Return an entry that callers reach and the balancer counts as ready."""
+        """Return an entry, or ``None`` if it isn't running or isn't ready.
+
+        Callers use ready entries only, as the load balancer would choose for them.
+        """
         process = self.processes.get(name)
         if process is None or not isinstance(process.body, EntryProcess):
             return None
         return process.body if process.body.core.is_ready else None
 
     def gate_of(self, entry: EntryProcess) -> Gate | None:
-        """Return the gate of an entry, or ``None`` if it has ended."""
+        """Return the gate of an entry, or ``None`` if its process has ended."""
         for process in self.processes.values():
             if process.body is entry:
                 return process.gate
         return None
 
     def note_reach(self) -> None:
-        """Record which processes nothing else can reach now."""
+        """Record the processes that became unreachable or reachable again."""
         for process in self.processes.values():
             reachable = self._is_reachable(process.name)
             if reachable is not process.reachable:
@@ -199,6 +212,11 @@
                 process.reachable = reachable
 
     def _is_reachable(self, name: str) -> bool:
+        """Return whether a configuration can get to a process.
+
+        It can from the key-value service, or from the other side of a session with a
+        running process.
+        """
         process = self.processes[name]
         if process.gate.paused:
             return False
@@ -246,10 +264,10 @@
         return service_side(parts, listener, self.services[name], CONCURRENCY)
 
     def now(self) -> float:
-        """Return the time on the clock of the run."""
+        """Return seconds on the clock of the run."""
         return asyncio.get_running_loop().time()
 
     def pick(self, names: t.Iterable[str]) -> str | None:
-        """Return one of some names at random."""
+        """Return a random name of some, or ``None`` if there are none."""
         choices = sorted(names)
         return self.rng.choice(choices) if choices else None
--- a/src/bergamotmast/standins/__init__.py
+++ b/src/bergamotmast/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what lies outside, for tests and the demonstration."""
+"""Stand-ins for external systems, for tests, the demonstration and the benchmarks."""
--- a/src/bergamotmast/standins/engine.py
+++ b/src/bergamotmast/standins/engine.py
@@ -1,4 +1,7 @@
-"""A model engine in process: continuous batching, orders and faults on demand."""
+"""In-process stand-in for a model engine, with continuous batching and fault injection.
+
+The engine runs on the event loop's clock, so it works in real and in simulated time.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,7 @@
 
 
 class _ChunkQueue:
-    """The chunks of one stream on their way to whoever reads them."""
+    """The chunks of one stream that its reader has not taken yet."""
 
     __slots__ = ("chunks", "error", "stream", "waiter")
 
@@ -72,6 +75,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _LoadSample:
+    """The engine's load from a point in time until the next sample."""
+
     at: float
     running: int
     waiting: int
@@ -79,18 +84,21 @@
 
 
 class EngineStandIn:
-    """One engine, reached through the methods of the port.
+    """Stand-in for one engine; implements the engine port.
 
-    A role change breaks the streams that still run, and so does an order that takes
-    their model away: whoever orders must have drained the engine.
+    A role change fails the streams that still run, and so does an order that unloads
+    their model. The sender of an order must drain the engine first.
 
-    :param name: name in the history and in handles of exported KV caches.
-    :param assignment: what it is and carries at its first start.
-    :param loader: loads versions, for instance a weight store stand-in's ``load``.
+    :param name: name in the history, and in the handles of exported KV caches.
+    :param assignment: role and loaded versions at the first start.
+    :param loader: loads a version, for instance a weight store stand-in's ``load``.
     :param exchange: shared by engines that import each other's KV caches.
-    :param boot_prefix: makes boot ids differ between processes of the same name.
-    :param reachable: ``False`` cuts the engine off; what it does goes on.
-    :param lost_order_replies: so many orders are taken and their replies lost.
+    :param boot_prefix: makes boot ids differ between processes with the same engine
+        name.
+    :param up: ``False`` between a crash and the restart.
+    :param reachable: ``False`` makes every call fail, while running streams go on.
+    :param lost_order_replies: number of the next orders that are accepted, but whose
+        replies are lost.
     """
 
     def __init__(
@@ -127,11 +135,14 @@
 
     @property
     def boot_id(self) -> str:
-        """Name of this engine since its last start."""
+        """Identity of the engine since its last start; differs after each restart."""
         return f"{self.name}-{self.boot_prefix}{self.boots}"
 
     async def state(self) -> EngineState:
-        """Read what the engine is."""
+        """Return the engine's assignment, fencing token and capacity.
+
+        :raises NotReachedError: if the engine is down or unreachable.
+        """
         self._check_reachable()
         rates = self.batch.rates
         changing = self.orders.target is not None
@@ -147,7 +158,10 @@
         )
 
     async def load(self) -> EngineLoad:
-        """Read the load as it was some time ago."""
+        """Return the load as it was ``load_lag`` seconds ago.
+
+        :raises NotReachedError: if the engine is down or unreachable.
+        """
         self._check_reachable()
         self._advance()
         measured_at = _now() - self.spec.load_lag
@@ -156,9 +170,12 @@
         return EngineLoad(measured_at, sample.running, sample.waiting, sample.kv_used)
 
     async def order(self, order: Order) -> None:
-        """Take an order; role changes break the streams that still run.
+        """Accept an order; streams of models that are no longer served fail.
 
-        :raises OrderRefusedError: for an old fencing token or an order under way.
+        :raises NotReachedError: if the engine is down or unreachable.
+        :raises OrderRefusedError: for a stale fencing token, or while another order
+            is in progress.
+        :raises ReplyLostError: if the order was accepted and its reply is lost.
         """
         self._check_reachable()
         self.orders.take(order)
@@ -166,7 +183,7 @@
             if chunk_queue.stream and not self.orders.carries(
                 chunk_queue.stream.request.model
             ):
-                self._fail_stream(stream_id, "the engine changed")
+                self._fail_stream(stream_id, "the engine no longer serves the model")
         if self.lost_order_replies:
             self.lost_order_replies -= 1
             raise ReplyLostError("the order's reply was lost")
@@ -174,7 +191,12 @@
     async def generate(
         self, request: GenerateRequest
     ) -> cabc.AsyncGenerator[TokenChunk, None]:
-        """Yield the answer's chunks; closing the generator cancels the stream."""
+        """Yield the answer's chunks; closing the generator cancels the stream.
+
+        :raises NotReachedError: before the first chunk, if the engine is down or
+            unreachable, or can't run the request.
+        :raises ReplyLostError: if the stream fails, for instance by a crash.
+        """
         chunk_queue = self._accept_stream(request)
         try:
             while True:
@@ -187,21 +209,26 @@
                 self._remove_stream(request.stream_id)
 
     async def cancel(self, stream_id: str) -> None:
-        """End a stream that may still run."""
+        """Cancel a stream, if it still runs.
+
+        :raises NotReachedError: if the engine is down or unreachable.
+        """
         self._check_reachable()
         if stream_id in self._chunk_queues or stream_id in self._detached:
             self._fail_stream(stream_id, "the stream was cancelled")
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Read the cache events after a sequence number, late and with gaps."""
+        """Return the cache events after a sequence number, delayed and with gaps.
+        :raises NotReachedError: if the engine is down or unreachable.
+        """
         self._check_reachable()
         return self.cache.events(after, _now())
 
     def crash(self, change_done: bool = False, incomplete: bool = False) -> None:
-        """Stop at once; every stream breaks and nothing is reached until a restart.
+        """Crash: every stream fails, and every call until :meth:`restart`.
 
-        :param change_done: whether a change under way was complete.
-        :param incomplete: whether it comes back not knowing what it is.
+        :param change_done: whether an order in progress takes effect all the same.
+        :param incomplete: whether the engine restarts without a known assignment.
         """
         self.up = False
         for stream_id in [*self._chunk_queues, *self._detached]:
@@ -210,27 +237,30 @@
         self.orders.crash(change_done, incomplete)
 
     def restart(self) -> None:
-        """Come back with a new boot id and empty caches."""
+        """Start again with a new boot id and empty caches."""
         self.boots += 1
         self.up = True
         self._reset()
 
     def break_connections(self) -> None:
-        """Break every connection; the streams run on until they are cancelled."""
+        """Break every connection; streams run on until they end or are cancelled."""
         for chunk_queue in self._chunk_queues.values():
             chunk_queue.fail(ReplyLostError("the connection broke"))
         self._detached.update(self._chunk_queues)
         self._chunk_queues.clear()
 
     def set_speed(self, speed: float) -> None:
-        """Run at a multiple of the specified rates; 0 is stuck."""
+        """Run at a multiple of the specified rates.
+
+        :param speed: 1 for the specified rates; 0 for an engine that hangs.
+        """
         self._advance()
         self.batch.speed = speed
         self._on_batch_changed()
 
     @property
     def running(self) -> int:
-        """Streams inside the engine now, waiting or not."""
+        """Number of streams in the engine, including those that wait for admission."""
         return self.batch.admitted + self.batch.waiting
 
     def _reset(self) -> None:
@@ -299,6 +329,7 @@
         )
 
     def _prefix_tokens(self, request: GenerateRequest) -> int:
+        """Return how many leading prompt tokens the request's prefix key covers."""
         if not request.prefix_key:
             return 0
         stated = directive(request.prompt, "prefix")
@@ -318,24 +349,28 @@
         return self.exchange.export(self.boot_id, tokens)
 
     def _import(self, stream: Stream) -> None:
+        """Simulate the transfer of the KV cache of the prompt and the resumed text."""
         tokens = stream.request.prompt_tokens + stream.request.resume_tokens
         asyncio.get_running_loop().call_later(
             tokens / self.spec.transfer_rate, self._on_imported, self.batch, stream
         )
 
     def _on_imported(self, batch: Batch, stream: Stream) -> None:
+        # The engine may have restarted during the transfer, with a new batch.
         if batch is self.batch:
             self._advance()
             batch.imported(stream)
             self._on_batch_changed()
 
     def _fail_stream(self, stream_id: str, reason: str) -> None:
+        """End a stream and raise :exc:`ReplyLostError` at its reader."""
         chunk_queue = self._chunk_queues.get(stream_id) or self._detached.get(stream_id)
         self._remove_stream(stream_id)
         if chunk_queue is not None:
             chunk_queue.fail(ReplyLostError(reason))
 
     def _remove_stream(self, stream_id: str) -> None:
+        """Remove a stream from the batch, if it still runs."""
         chunk_queue = self._chunk_queues.pop(stream_id, None)
         chunk_queue = chunk_queue or self._detached.pop(stream_id, None)
         if chunk_queue is None or chunk_queue.stream is None:
@@ -346,6 +381,7 @@
         self._on_batch_changed()
 
     def _on_settled(self) -> None:
+        """Switch to the rates of a new role, which also empties the prefix cache."""
         assignment = self.orders.assignment
         if assignment is not None and assignment.role is not self.role:
             self.role = assignment.role
@@ -361,14 +397,15 @@
         self.batch.advance(_now())
 
     def _on_timer(self) -> None:
-        # A loop may fire a timer a clock tick early; counted as not yet due, the event
-        # would be set again for the same moment and the loop would spin.
+        # A loop may fire a timer up to one clock tick early. If the event counted as
+        # not yet due, the timer would be set for the same moment again and the loop
+        # would spin.
         self.batch.advance(max(_now(), self._timer_due))
         self._timer = None
         self._on_batch_changed()
 
     def _on_batch_changed(self) -> None:
-        """Note the load and set the timer for the batch's next event."""
+        """Record a load sample and set the timer for the batch's next event."""
         batch = self.batch
         running = len(batch.decoding)
         waiting = batch.admitted + batch.waiting - running
@@ -395,6 +432,7 @@
             self._timer = loop.call_at(due, self._on_timer)
 
     def _drop_samples_before(self, at: float) -> None:
+        """Drop the samples that are older than the one in effect at ``at``."""
         while len(self._samples) > 1 and self._samples[1].at <= at:
             self._samples.popleft()
 
--- a/src/bergamotmast/standins/engine_batch.py
+++ b/src/bergamotmast/standins/engine_batch.py
@@ -1,10 +1,10 @@
-"""Continuous batching as a model in time, without a loop of its own.
+"""Discrete-event model of continuous batching, driven from outside.
 
-Between two events the rates are constant: each decode step takes as long as the
-number of streams and a prefill under way make it take, and one prefill at a time goes
-at the role's rate. Streams join the batch at the end of a step. Whoever drives the
-batch calls :meth:`Batch.advance` at the time that :meth:`Batch.next_event` names, so
-the whole batch costs one event for each step or chunk.
+Between two events all rates are constant. The duration of a decode step depends on
+the number of decoding streams and on whether a prefill runs; one prefill runs at a
+time, at the role's rate. Streams join the batch at the end of a step. The driver calls
+:meth:`Batch.advance` at the time that :meth:`Batch.next_event` returns, so the whole
+batch costs one event for each step or chunk.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 NEVER = math.inf
 
 STEP_TOLERANCE = 1e-6
-"""Share of a step that counts as none.
+"""Share of a step that counts as zero.
 
-A stream that joins just as a step ends would else wait for one step more or less,
-depending on how the rounding errors of the steps before it add up.
+Without it, a stream that joins just as a step ends would wait for one step more or
+less, depending on the accumulated rounding errors of the steps before.
 """
 
 
 class Stage(enum.Enum):
-    """Where a stream stands."""
+    """Stage of a stream's life cycle."""
 
     WAITING = "waiting"
     IMPORTING = "importing"
@@ -43,16 +43,19 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Stream:
-    """One answer being made.
-
-    :param answer: the whole answer, known from the start.
-    :param prefix_tokens: leading prompt tokens that the prefix key stands for.
-    :param emit: takes each chunk.
-    :param next_index: position of the next token to give out.
-    :param kv_tokens: KV memory it holds from admission to its end.
-    :param importing: whether a KV cache is imported in place of a prefill.
-    :param prefill_left: tokens still to prefill; negative before prefill began.
-    :param joined_step: step of the batch at which its position was ``joined_index``.
+    """One request that the engine answers.
+
+    :param answer: the whole answer, which is known from the start.
+    :param prefix_tokens: leading prompt tokens covered by the prefix key.
+    :param emit: called with each chunk.
+    :param next_index: position of the next token to emit.
+    :param kv_tokens: KV memory reserved from admission to the end, in tokens.
+    :param importing: whether a KV cache is imported instead of a prefill.
+    :param prefill_left: tokens left to prefill; negative before the prefill begins.
+    :param cached_tokens: prompt tokens found in the prefix cache, until the first
+        chunk has reported them.
+    :param joined_step: batch step at which the stream began to decode.
+    :param joined_index: position of its next token at that step.
     """
 
     request: GenerateRequest
@@ -70,25 +73,30 @@
 
     @property
     def last_step(self) -> int:
-        """Step of the batch at which its last token is made."""
+        """Batch step that generates the last token."""
         return self.joined_step + self.answer.tokens - self.joined_index
 
 
 _Queue = list[tuple[int, int, Stream]]
+"""Heap of streams; an entry's first two items are its sort key."""
 
 
 class Batch:
     """All streams of one engine.
 
-    :param rates: speed in the engine's present role.
-    :param kv_capacity: tokens of KV memory.
-    :param tokens_per_chunk: steps between chunks.
-    :param export: names the KV cache of a stream that ends after its prefill.
-    :param on_admitted: called when a stream that imports a KV cache may begin to.
-    :param speed: 1 for as specified, less for a slow engine, 0 for a stuck one.
-    :param kv_used: tokens of KV memory held.
-    :param prefilled: prompt tokens prefilled, so far.
-    :param decoded: output tokens made, so far.
+    :param rates: rates of the engine's current role.
+    :param kv_capacity: size of the KV memory, in tokens.
+    :param tokens_per_chunk: decode steps between chunks.
+    :param export: exports the KV cache of a stream that ends after its prefill, and
+        returns its handle.
+    :param on_admitted: called on the admission of a stream that imports a KV cache;
+        the import may start.
+    :param speed: multiple of the rates; 0 for an engine that hangs.
+    :param kv_used: KV memory reserved by admitted streams, in tokens.
+    :param prefilled: prompt tokens prefilled so far.
+    :param decoded: output tokens generated so far.
+    :param admitted: number of admitted streams that have not ended.
+    :param waiting: number of streams that wait for admission.
     """
 
     def __init__(
@@ -122,7 +130,7 @@
         self._updated_at = 0.0
 
     def add(self, stream: Stream) -> None:
-        """Take a stream; :meth:`advance` must have been called for now."""
+        """Enqueue a stream; :meth:`advance` must have been called for this moment."""
         self._arrivals += 1
         self.waiting += 1
         key = (int(stream.request.priority), self._arrivals, stream)
@@ -135,12 +143,12 @@
         self._admit()
 
     def imported(self, stream: Stream) -> None:
-        """Let a stream join whose KV cache has arrived."""
+        """Start to decode a stream whose KV cache has been imported."""
         if stream.stage is Stage.IMPORTING:
             self._start_decoding(stream)
 
     def advance(self, now: float) -> None:
-        """Let the time up to now pass and give out what was made in it."""
+        """Advance to a point in time and emit the chunks that are complete by then."""
         while (event := self.next_event()) <= now:
             self._process_event(event)
         if now > self._updated_at:
@@ -196,12 +204,17 @@
         return self.rates.prefill_rate * share * self.speed
 
     def _target_step(self) -> int:
+        """Return the next step at which a stream ends or a chunk is due."""
         while self._finishes[0][2].stage is not Stage.DECODING:
             heapq.heappop(self._finishes)
         return min(self._finishes[0][0], self._chunk_boundary)
 
     def _complete_step(self, step: int) -> None:
-        """Give out what a step completes; all streams at a chunk's boundary."""
+        """Emit the chunks that a step completes.
+
+        At a chunk boundary these are the chunks of all decoding streams, else those
+        of the streams that end with this step.
+        """
         self._steps = float(step)
         if step == self._chunk_boundary:
             self._chunk_boundary += self.tokens_per_chunk
@@ -233,7 +246,7 @@
         stream.emit(TokenChunk(start, end - start, text, finish, cached, handle))
 
     def _current_prefill(self) -> Stream | None:
-        """Return the stream to prefill now: by priority, then by arrival."""
+        """Return the stream to prefill now: the first by priority, then by arrival."""
         while self._prefills and self._prefills[0][2].stage is not Stage.PREFILLING:
             heapq.heappop(self._prefills)
         if not self._prefills:
--- a/src/bergamotmast/standins/engine_cache.py
+++ b/src/bergamotmast/standins/engine_cache.py
@@ -8,7 +8,7 @@
 from ..model import CacheEvent
 
 EVENTS_KEPT = 1024
-"""Cache events kept for those who read late."""
+"""Number of recent cache events that can still be read."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,11 +18,13 @@
 
 
 class PrefixCache:
-    """Least recently used prefixes leave first.
+    """Prefix cache with LRU eviction, which publishes its changes as events.
 
-    :param capacity: tokens it holds.
+    :param capacity: size, in tokens.
     :param lag: seconds until an event can be read.
-    :param gap: each so manyth event is lost; 0 for none.
+    :param gap: every n-th event is lost; 0 to lose none.
+    :param used: tokens of all cached prefixes.
+    :param sequence: sequence number of the last event.
     """
 
     def __init__(self, capacity: int, lag: float, gap: int) -> None:
@@ -37,14 +39,18 @@
         )
 
     def hit(self, key: str, tokens: int) -> int:
-        """Return how many of a prompt's leading tokens are cached."""
+        """Return how many of a prompt's leading tokens are cached.
+
+        :param key: the prompt's prefix key.
+        :param tokens: leading prompt tokens that the key covers.
+        """
         if key not in self._tokens:
             return 0
         self._tokens.move_to_end(key)
         return min(tokens, self._tokens[key])
 
     def add(self, key: str, tokens: int, now: float) -> None:
-        """Keep a prefix, and drop others until it fits."""
+        """Cache a prefix, and evict the least recently used ones until it fits."""
         if not key or not 0 < tokens <= self.capacity:
             return
         held = self._tokens.pop(key, 0)
@@ -56,12 +62,12 @@
             self._drop_oldest(now)
 
     def clear(self, now: float) -> None:
-        """Drop every prefix."""
+        """Evict every prefix."""
         while self._tokens:
             self._drop_oldest(now)
 
     def events(self, after: int, now: float) -> tuple[CacheEvent, ...]:
-        """Return the events after a sequence number that can be read by now."""
+        """Return the events after a sequence number that are visible by now."""
         visible = now - self.lag
         return tuple(
             published.event
--- a/src/bergamotmast/standins/engine_front.py
+++ b/src/bergamotmast/standins/engine_front.py
@@ -1,4 +1,4 @@
-"""HTTP front of the engine stand-in: completions as events, and administration."""
+"""HTTP frontend of the engine stand-in: streaming completions and administration."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class EngineFront:
-    """Serves an engine stand-in."""
+    """Serves an engine stand-in over HTTP."""
 
     def __init__(self, standin: EngineStandIn) -> None:
         self.standin = standin
 
     def application(self) -> web.Application:
-        """Return the application."""
+        """Return the aiohttp application."""
         app = http_front.application()
         router = app.router
         router.add_post("/v1/completions", self._completions)
@@ -67,7 +67,8 @@
         wanted = await http_front.read_json(request, GenerateRequest)
         chunks = self.standin.generate(wanted)
         async with contextlib.aclosing(chunks):
-            # A refusal comes before the first chunk, while a status can still say so.
+            # A refusal is raised before the first chunk, when the HTTP status has not
+            # been sent yet.
             chunk = await anext(chunks)
             response = web.StreamResponse()
             response.content_type = "text/event-stream"
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in is and carries, and the orders that change it."""
+"""Assignment of an engine stand-in, and execution of the orders that change it."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 from ..model import Order
 
 Loader = cabc.Callable[[str], cabc.Awaitable[None]]
-"""Loads one version and returns when it is there."""
+"""Loads one model or adapter version and returns once it is loaded."""
 
 
 class OrderBook:
-    """The engine's assignment and the one order that may be under way.
+    """Holds the engine's assignment and executes at most one order at a time.
 
     :param engine: name in the history.
-    :param assignment: what the engine is; ``None`` if that is not known.
-    :param target: what it is becoming; ``None`` if no order is under way.
-    :param change_seconds: how long a role change takes.
-    :param honours_fencing: whether an order needs a higher token than the last.
+    :param assignment: current assignment; ``None`` if it is unknown.
+    :param target: assignment of the order in progress; ``None`` if there is none.
+    :param change_seconds: duration of a role change.
+    :param honours_fencing: whether an order is refused unless its fencing token is
+        higher than the previous one.
     :param loader: loads a version.
-    :param on_settled: called when an order ended or was lost.
+    :param on_settled: called when an order is complete, has failed or was lost in a
+        crash.
+    :param last: fencing token of the last accepted order since the engine started.
     """
 
     def __init__(
@@ -55,18 +58,22 @@
 
     @property
     def changes_role(self) -> bool:
-        """Whether the order under way takes the engine away."""
+        """Whether the order in progress changes the role, so that nothing is served."""
         if self.target is None:
             return False
         return self.assignment is None or self.assignment.role != self.target.role
 
     @property
     def token(self) -> FencingToken:
-        """Authority of the last order, where the engine keeps it."""
+        """Token of the last order, or ``NO_TOKEN`` if the engine ignores tokens."""
         return self.last if self.honours_fencing else NO_TOKEN
 
     def carries(self, model: str) -> bool:
-        """Return whether a request for this model can be served now."""
+        """Return whether a request for this model can be served now.
+
+        While an order is in progress the model must be part of both the current and
+        the target assignment.
+        """
         if self.assignment is None or self.changes_role:
             return False
         serves = _assignment_serves(self.assignment, model)
@@ -75,9 +82,10 @@
         )
 
     def take(self, order: Order) -> None:
-        """Begin to carry an order out.
+        """Accept an order and start to execute it.
 
-        :raises OrderRefusedError: for an old token or while another is under way.
+        :raises OrderRefusedError: for a stale fencing token, or while another order
+            is in progress.
         """
         if self.target is not None:
             raise OrderRefusedError(f"{self.engine} is changing")
@@ -101,10 +109,10 @@
             self._task = asyncio.get_running_loop().create_task(self._execute(order))
 
     def crash(self, change_done: bool, incomplete: bool) -> None:
-        """Lose the order under way and every token.
+        """Abort the order in progress and forget the fencing token.
 
-        :param change_done: whether the change was complete when the engine crashed.
-        :param incomplete: whether the engine no longer knows what it is.
+        :param change_done: whether the order takes effect all the same.
+        :param incomplete: whether the assignment is unknown afterwards.
         """
         if self._task is not None:
             self._task.cancel()
@@ -148,11 +156,11 @@
 
 
 async def load_nothing(version: str) -> None:
-    """Load a version in no time, where there is no weight store."""
+    """Return at once: the loader of engines without a weight store."""
 
 
 def describe(assignment: Assignment) -> str:
-    """Return an assignment as one line."""
+    """Format an assignment as one line, for the history."""
     models = ",".join(assignment.models)
     adapters = ",".join(assignment.adapters)
     return f"{assignment.role.value} models={models} adapters={adapters}"
@@ -166,6 +174,7 @@
 
 
 def _contains_version(versions: cabc.Iterable[str], name: str) -> bool:
+    """Return whether a name is in a list, with or without its ``@version``."""
     return any(name in (version, version.partition("@")[0]) for version in versions)
 
 
--- a/src/bergamotmast/standins/engine_spec.py
+++ b/src/bergamotmast/standins/engine_spec.py
@@ -1,9 +1,9 @@
-"""How fast an engine stand-in is, in each role.
+"""Performance model of an engine stand-in: rates by role, capacities and delays.
 
 The default figures are plausible for one replica of a large model on eight
-accelerators; none was measured on hardware. With them a mixed engine prefills
-14,000 tokens a second, and decodes 96 streams in steps of 29 ms, 3,300 tokens a
-second; each of the other roles gives up one of the two for more of the other.
+accelerators, and do not describe any actual hardware. With them a mixed engine
+prefills 14,000 tokens a second, and decodes 96 streams in steps of 29 ms, which is
+3,300 tokens a second. Each of the other roles trades one of the two for the other.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleRates:
-    """Speed of an engine in one role.
-
-    :param prefill_rate: prompt tokens a second while nothing is decoded.
-    :param prefill_share: what is left of that rate while streams are decoded.
-    :param step_base: seconds of a decode step of an empty batch.
-    :param step_per_stream: seconds each stream adds to a step.
-    :param interference: how many times longer a step takes while prefill runs.
-    :param max_streams: most streams admitted at once, in prefill or decode.
+    """Rates of an engine in one role.
+
+    :param prefill_rate: prompt tokens a second while no stream is decoded.
+    :param prefill_share: share of that rate while streams are decoded.
+    :param step_base: seconds of a decode step with an empty batch.
+    :param step_per_stream: seconds that each stream adds to a decode step.
+    :param interference: factor by which a prefill lengthens concurrent decode steps.
+    :param max_streams: maximum number of admitted streams, in prefill or decode.
     """
 
     prefill_rate: float
@@ -34,7 +34,11 @@
     max_streams: int
 
     def step_seconds(self, streams: int, prefilling: bool) -> float:
-        """Return how long a decode step of so many streams takes."""
+        """Return the duration of a decode step, in seconds.
+
+        :param streams: number of decoding streams.
+        :param prefilling: whether a prefill runs at the same time.
+        """
         seconds = self.step_base + self.step_per_stream * streams
         return seconds * self.interference if prefilling else seconds
 
@@ -45,13 +49,13 @@
 
 
 MIXED_RATES = RoleRates(14_000.0, 0.7, 0.015, 0.00015, 2.0, 96)
-"""Chunked prefill shares each step with the batch, at the cost of both."""
+"""Chunked prefill shares each step with the batch, which slows both down."""
 
 PREFILL_RATES = RoleRates(22_000.0, 0.9, 0.02, 0.0005, 4.0, 16)
-"""Steps are large and prefill comes first; the few streams decoded crawl."""
+"""Prefill comes first, in large steps; the few decoding streams are slow."""
 
 DECODE_RATES = RoleRates(4_000.0, 0.5, 0.012, 0.0001, 1.3, 192)
-"""Short steps and a deep batch; prefill gets only what steps leave over."""
+"""Short steps and a large batch; prefill gets only the capacity that is left over."""
 
 DEFAULT_ROLES: cabc.Mapping[Role, RoleRates] = {
     Role.MIXED: MIXED_RATES,
@@ -62,21 +66,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """Everything about an engine stand-in that does not change while it runs.
-
-    :param roles: its speed in each role.
-    :param kv_capacity: tokens of KV memory; streams wait while it is full.
-    :param cache_capacity: tokens of the prefix cache, beside the KV memory.
-    :param shared_share: share of a prompt that its prefix key stands for, where the
-        prompt has no ``[prefix=N]``.
-    :param transfer_rate: tokens of KV cache imported a second.
-    :param change_seconds: how long a role change takes, without loading anything.
-    :param load_lag: seconds that load reports are old.
+    """Properties of an engine stand-in that don't change while it runs.
+
+    :param roles: rates in each role.
+    :param kv_capacity: size of the KV memory, in tokens; streams wait while it is
+        full.
+    :param cache_capacity: size of the prefix cache, in tokens; it is separate from
+        the KV memory.
+    :param shared_share: share of a prompt that its prefix key covers, if the prompt
+        has no ``[prefix=N]``.
+    :param transfer_rate: imported tokens of KV cache a second.
+    :param change_seconds: duration of a role change, without loading models.
+    :param load_lag: age of load reports, in seconds.
     :param cache_event_lag: seconds until a cache event can be read.
-    :param cache_event_gap: each so manyth cache event is lost; 0 for none.
+    :param cache_event_gap: every n-th cache event is lost; 0 to lose none.
     :param tokens_per_chunk: decode steps between the chunks of a running stream; a
-        chunk leaves at the time of its last token.
-    :param honours_fencing: whether an order needs a higher token than the last.
+        chunk is sent when its last token is complete.
+    :param honours_fencing: whether an order is refused unless its fencing token is
+        higher than the previous one.
     """
 
     roles: cabc.Mapping[Role, RoleRates] = dataclasses.field(
--- a/src/bergamotmast/standins/engine_text.py
+++ b/src/bergamotmast/standins/engine_text.py
@@ -1,8 +1,9 @@
-"""The answers of an engine stand-in: a function of model, prompt and position only.
+"""Deterministic answers of an engine stand-in.
 
-A resumed answer can therefore be checked byte for byte against
-:func:`expected_text`. Two directives in a prompt steer a stand-in: ``[out=N]`` sets
-the length of the answer and ``[prefix=N]`` how many tokens the prefix key stands for.
+A token depends on the model, the prompt and its position only, so every answer, also
+one resumed at another engine, can be checked byte for byte against
+:func:`expected_text`. A prompt may contain two directives: ``[out=N]`` sets the length
+of the answer, and ``[prefix=N]`` the number of tokens that the prefix key covers.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 import xxhash
 
 TOKEN_WIDTH = 6
-"""Characters of each token: five and a blank."""
+"""Characters of each token: five hexadecimal digits and a space."""
 
 TABLE_TOKENS = 1 << 16
-"""Tokens of the table; longer answers begin again at its head."""
+"""Number of tokens in the table; answers that reach its end wrap around."""
 
 SHORTEST_HASHED = 16
-"""Least tokens of an answer whose prompt has no ``[out=N]``."""
+"""Minimum length, in tokens, of an answer whose prompt has no ``[out=N]``."""
 
 HASHED_SPREAD = 240
-"""Lengths of such answers spread over so many values."""
+"""Number of different lengths of such answers; a hash of the prompt selects one."""
 
 _DIRECTIVE = re.compile(r"\[(out|prefix)=(\d+)\]")
 
@@ -32,9 +33,9 @@
 class Answer:
     """The whole answer to one request.
 
-    :param offset: where it begins in the table of tokens.
-    :param tokens: its length in tokens, at least 1.
-    :param finish: ``stop``, or ``length`` where ``max_tokens`` cut it.
+    :param offset: index of the first token in the table of tokens.
+    :param tokens: length in tokens, at least 1.
+    :param finish: finish reason: ``stop``, or ``length`` if ``max_tokens`` cut it off.
     """
 
     offset: int
@@ -52,7 +53,11 @@
 
 
 def answer_to(model: str, prompt: str, max_tokens: int) -> Answer:
-    """Return the whole answer; ``max_tokens`` counts from its very beginning."""
+    """Return the whole answer to a prompt.
+
+    :param max_tokens: maximum length, counted from the first token also if the answer
+        is resumed.
+    """
     seed = xxhash.xxh3_64_intdigest(f"{model}\0{prompt}".encode())
     wanted = directive(prompt, "out")
     if wanted is None:
@@ -63,13 +68,13 @@
 
 
 def expected_text(model: str, prompt: str, max_tokens: int) -> str:
-    """Return the text of the whole answer."""
+    """Return the text of the whole answer to a prompt."""
     answer = answer_to(model, prompt, max_tokens)
     return answer.text(0, answer.tokens)
 
 
 def directive(prompt: str, name: str) -> int | None:
-    """Return the number of a directive in a prompt, if it has one."""
+    """Return the value of a prompt's first directive of that name, if it has one."""
     for found, number in _DIRECTIVE.findall(prompt):
         if found == name:
             return int(number)
--- a/src/bergamotmast/standins/http_front.py
+++ b/src/bergamotmast/standins/http_front.py
@@ -1,4 +1,4 @@
-"""What the HTTP fronts of all stand-ins share."""
+"""Helpers of all stand-ins' HTTP frontends: serving, JSON, errors and control paths."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 from ..errors import ReplyLostError
 
 MAX_BODY = 16 * 1024 * 1024
-"""Bytes a client may send."""
+"""Maximum size of a request's body."""
 
 Handler = cabc.Callable[[web.Request], cabc.Awaitable[web.StreamResponse]]
 Knob = cabc.Callable[..., object]
+"""Action of a control path, called with the members of a JSON object as keywords."""
 
 _T = t.TypeVar("_T")
 
 
 def application() -> web.Application:
-    """Return an application whose errors become what a client would see of them."""
+    """Return an application that maps the ports' errors to statuses or aborts."""
     return web.Application(client_max_size=MAX_BODY, middlewares=[_errors])
 
 
@@ -33,10 +34,12 @@
 async def serving(
     app: web.Application, host: str = "127.0.0.1", port: int = 0
 ) -> cabc.AsyncIterator[str]:
-    """Serve an application within an ``async with``, which gets its address.
+    """Serve an application within an ``async with`` and yield its URL.
 
-    Handlers are cancelled when their client goes, as an engine ends a stream whose
-    connection is closed.
+    Handlers are cancelled when their client disconnects, as an engine cancels a stream
+    whose connection is closed.
+
+    :param port: port to listen on; 0 for any free one.
     """
     runner = web.AppRunner(
         app, access_log=None, handler_cancellation=True, shutdown_timeout=1.0
@@ -58,9 +61,9 @@
 
 
 async def read_json(request: web.Request, kind: type[_T]) -> _T:
-    """Decode a request's body.
+    """Decode a request's body; an empty one counts as ``{}``.
 
-    :raises HTTPBadRequest: if it is not of the kind.
+    :raises HTTPBadRequest: if it is not valid JSON of type ``kind``.
     """
     try:
         return msgspec.json.decode(await request.read() or b"{}", type=kind)
@@ -73,9 +76,11 @@
     knobs: cabc.Mapping[str, Knob],
     counters: cabc.Callable[[], dict[str, object]],
 ) -> None:
-    """Add ``POST /control/{knob}``, which takes its arguments as a JSON object.
+    """Add ``POST /control/{knob}`` for fault injection, and ``GET /control``.
 
-    :param counters: answers ``GET /control``.
+    :param knobs: actions by name; the arguments are the members of the request's JSON
+        object.
+    :param counters: returns the reply of both paths.
     """
 
     async def set_knob(request: web.Request) -> web.Response:
@@ -97,7 +102,7 @@
 
 
 def attribute(target: object, name: str) -> Knob:
-    """Return a knob that sets an attribute to its argument ``value``."""
+    """Return a knob that sets an attribute of an object to its argument ``value``."""
 
     def set_knob(value: t.Any) -> None:
         setattr(target, name, value)
@@ -106,7 +111,7 @@
 
 
 def drop(request: web.Request) -> web.Response:
-    """Break the client's connection without an answer."""
+    """Abort the client's connection without a response."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/src/bergamotmast/standins/instance_list.py
+++ b/src/bergamotmast/standins/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's instance list in process: it shows what was true some time ago."""
+"""In-process stand-in for the platform's instance list, which lags behind changes."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class InstanceListStandIn:
-    """The list.
+    """Stand-in for the instance list.
 
-    :param instances: what it shows from the beginning.
-    :param lag: seconds until a change shows.
-    :param down: whether every call is refused.
-    :param reads: calls so far.
+    :param instances: initial instances.
+    :param lag: seconds until a change becomes visible.
+    :param down: whether every call fails.
+    :param reads: number of calls so far.
     """
 
     def __init__(
@@ -43,7 +43,10 @@
         self._versions = [_Version(float("-inf"), first)]
 
     async def instances(self) -> tuple[InstanceInfo, ...]:
-        """Read the list as it was ``lag`` seconds ago."""
+        """Return the list as it was ``lag`` seconds ago.
+
+        :raises NotReachedError: while the list is down.
+        """
         self.reads += 1
         if self.down:
             raise NotReachedError("the instance list is down")
@@ -53,17 +56,17 @@
         return tuple(self._versions[0].instances.values())
 
     def put(self, info: InstanceInfo) -> None:
-        """Add an instance, or replace what is said of it."""
+        """Add an instance, or replace its entry."""
         self._change({**self._versions[-1].instances, info.name: info})
 
     def remove(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         instances = dict(self._versions[-1].instances)
         del instances[name]
         self._change(instances)
 
     def set_leaving(self, name: str, leaving: bool = True) -> None:
-        """Announce that an instance is leaving, or that it stays after all."""
+        """Mark an instance as leaving or, with ``False``, as staying."""
         info = self._versions[-1].instances[name]
         self.put(dataclasses.replace(info, leaving=leaving))
         announced = LeavingAnnounced if leaving else StayingAnnounced
--- a/src/bergamotmast/standins/key_value.py
+++ b/src/bergamotmast/standins/key_value.py
@@ -1,7 +1,8 @@
-"""A key-value service in process, with faults on demand.
+"""In-process stand-in for the key-value service, with fault injection.
 
-Leases lapse by the loop's time, also during an outage: a holder that can't renew
-loses its keys, as the harsher of the services our users run would have it.
+Leases expire by the event loop's clock, also during an outage: a holder that can't
+renew its lease loses its keys. Some of the services that users run behave like this,
+and it is the harsher of the possible behaviours.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 from .key_value_store import Snapshot
 
 SIGN_OF_LIFE = 1.0
-"""Seconds after which a quiet watch yields ``None``."""
+"""Time without an event after which a watch yields ``None``."""
 
 _T = t.TypeVar("_T")
 
@@ -40,6 +41,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Watch:
+    """One open watch.
+
+    :param broken: the watch fails with :exc:`KeyValueUnavailableError`.
+    :param silent: the watch yields nothing more, without an error.
+    """
+
     client: str
     prefix: str
     queue: asyncio.Queue[WatchEvent | None]
@@ -48,14 +55,15 @@
 
 
 class KeyValueStandIn:
-    """The service itself; processes reach it through :meth:`client`.
-
-    :param delay: seconds each call takes, half of them before it takes effect.
-    :param delays: the same for single clients, by name.
-    :param store: the content, to be looked at by tests.
-    :param reads: calls that read, so far.
-    :param writes: transactions, grants and revocations, so far.
-    :param keep_alives: lease renewals, so far.
+    """Stand-in for the key-value service; processes use it through :meth:`client`.
+
+    :param delay: duration of each call in seconds, half of it before the call takes
+        effect.
+    :param delays: durations that differ from ``delay``, by client name.
+    :param store: the content, which tests may inspect.
+    :param reads: number of reading calls so far.
+    :param writes: number of transactions, lease grants and revocations so far.
+    :param keep_alives: number of lease renewals so far.
     """
 
     def __init__(self, delay: float = 0.0) -> None:
@@ -73,17 +81,17 @@
         self._watches: dict[_Watch, None] = {}
 
     def client(self, name: str) -> KeyValueClient:
-        """Return one process's way to the service."""
+        """Return a client of the service, one for each process."""
         return KeyValueClient(self, name)
 
     @property
     def waiting_watches(self) -> int:
-        """How many watches are open now."""
+        """Number of open watches."""
         return len(self._watches)
 
     @property
     def down(self) -> bool:
-        """Whether the service refuses every call; going down breaks all watches."""
+        """Whether every call fails; setting it to ``True`` breaks all open watches."""
         return self._down
 
     @down.setter
@@ -93,40 +101,47 @@
             self._break_watches(lambda watch: True)
 
     def cut(self, client: str) -> None:
-        """Refuse one client's calls and break its watches, until :meth:`heal`."""
+        """Partition one client from the service until :meth:`heal`.
+
+        Its calls fail and its open watches break.
+        """
         self._cut.add(client)
         self._break_watches(lambda watch: watch.client == client)
 
     def heal(self, client: str) -> None:
-        """End a :meth:`cut`."""
+        """End the partition of a client."""
         self._cut.discard(client)
 
     def lose_next_reply(self, client: str | None = None, count: int = 1) -> None:
-        """Let the next writes take effect and lose their replies.
+        """Make the next writes take effect, but lose their replies.
 
-        :param client: whose writes; ``None`` for anyone's.
+        :param client: client whose writes are concerned; ``None`` for any client.
+        :param count: number of writes.
         """
         self._replies_to_lose[client] += count
 
     def silence_watches(self, client: str | None = None) -> None:
-        """Let the open watches yield nothing more, without an error.
+        """Make the open watches yield nothing more, without an error.
 
-        Watches opened later work. So fails a connection that was cut without a word.
+        Watches opened later work. This is how a half-open TCP connection fails, whose
+        other end is gone without closing it.
+
+        :param client: client whose watches are concerned; ``None`` for all clients.
         """
         for watch in self._watches:
             watch.silent = watch.silent or client in (None, watch.client)
 
     def compact(self, revision: int | None = None) -> None:
-        """Forget the events up to a revision, or up to now."""
+        """Compact the events up to a revision, or all of them."""
         self.store.compact(self.store.revision if revision is None else revision)
 
     def snapshot(self) -> Snapshot:
-        """Return the whole content."""
+        """Return a snapshot of the content and the leases."""
         leases = {lease: entry.ttl for lease, entry in self._leases.items()}
         return Snapshot(dict(self.store.items), self.store.revision, leases)
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Come back with older content; its leases begin anew, watches break."""
+        """Restore a snapshot; its leases start anew, and all open watches break."""
         for lease in self._leases.values():
             lease.timer.cancel()
         self.store.restore(snapshot)
@@ -136,9 +151,11 @@
         self._break_watches(lambda watch: True)
 
     async def read(self, client: str, answer: cabc.Callable[[], _T]) -> _T:
-        """Carry a client's read.
+        """Run a client's read.
 
-        :raises KeyValueUnavailableError: if the service is or goes down.
+        :param answer: reads the store, halfway through the call's duration.
+        :raises KeyValueUnavailableError: if the service is down, or goes down during
+            the call, or the client is cut off.
         """
         self.reads += 1
         self._refuse_if_cut(client)
@@ -152,9 +169,10 @@
         return value
 
     async def write(self, client: str, effect: cabc.Callable[[], _T]) -> _T:
-        """Carry a client's write; it takes effect even if the caller stops waiting.
+        """Run a client's write, which takes effect even if the call is cancelled.
 
-        :raises KeyValueUnavailableError: if the service is down.
+        :param effect: changes the store, halfway through the call's duration.
+        :raises KeyValueUnavailableError: if the service is down or the client cut off.
         :raises KeyValueOutcomeUnknownError: if the reply is lost.
         """
         self._refuse_if_cut(client)
@@ -174,9 +192,9 @@
     def txn(
         self, compares: cabc.Sequence[Compare], writes: cabc.Sequence[Put | Delete]
     ) -> TxnResult:
-        """Apply a transaction at once.
+        """Apply a transaction, without the delay of a call.
 
-        :raises LeaseLapsedError: for a write with a lease that is no more.
+        :raises LeaseLapsedError: for a write with a lease that has expired.
         """
         for write in writes:
             if isinstance(write, Put) and write.lease:
@@ -186,13 +204,16 @@
         return result
 
     def grant_lease(self, ttl_seconds: int) -> int:
-        """Create a lease at once."""
+        """Grant a lease and return its id, without the delay of a call."""
         lease = next(self._lease_ids)
         self._leases[lease] = self._start_lease(lease, ttl_seconds)
         return lease
 
     def keep_alive(self, lease: int) -> bool:
-        """Renew a lease at once; ``False`` if it has lapsed."""
+        """Renew a lease, without the delay of a call.
+
+        :return: ``False`` if the lease has expired.
+        """
         entry = self._leases.get(lease)
         if entry is None:
             return False
@@ -201,7 +222,7 @@
         return True
 
     def end_lease(self, lease: int) -> None:
-        """End a lease at once and delete its keys, if it still is."""
+        """End a lease and delete its keys, unless it has expired already."""
         entry = self._leases.pop(lease, None)
         if entry is None:
             return
@@ -213,11 +234,14 @@
     async def watch(
         self, client: str, prefix: str, from_revision: int
     ) -> cabc.AsyncGenerator[WatchEvent | None, None]:
-        """Yield a client's events below a prefix.
+        """Yield the events of all keys with a prefix.
+
+        Yields ``None`` as a progress notification after each
+        :data:`SIGN_OF_LIFE` without an event.
 
-        :param from_revision: first revision wanted; 0 for what comes from now on.
-        :raises KeyValueUnavailableError: when the service is or goes down, or the
-            first revision was compacted.
+        :param from_revision: first revision of interest; 0 for future events only.
+        :raises KeyValueUnavailableError: if the service is down or goes down, or if
+            the first revision was compacted.
         """
         self._refuse_if_cut(client)
         if 0 < from_revision <= self.store.compacted:
@@ -308,10 +332,10 @@
 
 
 class KeyValueClient:
-    """One process's way to a :class:`KeyValueStandIn`.
+    """Client of a :class:`KeyValueStandIn`; implements the key-value port.
 
     :param standin: the service.
-    :param name: by which faults are set for this client alone.
+    :param name: name of the client, by which faults are injected for it alone.
     """
 
     def __init__(self, standin: KeyValueStandIn, name: str) -> None:
@@ -319,13 +343,13 @@
         self.name = name
 
     async def get(self, key: str) -> KeyValue | None:
-        """Read one key."""
+        """Return one key, or ``None`` if it does not exist."""
         return await self.standin.read(
             self.name, lambda: self.standin.store.items.get(key)
         )
 
     async def range(self, prefix: str) -> RangeResult:
-        """Read every key below a prefix, sorted."""
+        """Return every key with a prefix, in order."""
         store = self.standin.store
         return await self.standin.read(
             self.name, lambda: RangeResult(store.below(prefix), store.revision)
@@ -334,21 +358,21 @@
     async def txn(
         self, compares: cabc.Sequence[Compare], writes: cabc.Sequence[Put | Delete]
     ) -> TxnResult:
-        """Apply all writes if all conditions hold, else none."""
+        """Apply all writes if all conditions hold, and none otherwise."""
         self.standin.writes += 1
         return await self.standin.write(
             self.name, lambda: self.standin.txn(compares, writes)
         )
 
     async def grant_lease(self, ttl_seconds: int) -> int:
-        """Create a lease and return its id."""
+        """Grant a lease and return its id."""
         self.standin.writes += 1
         return await self.standin.write(
             self.name, lambda: self.standin.grant_lease(ttl_seconds)
         )
 
     async def keep_alive(self, lease: int) -> bool:
-        """Renew a lease; ``False`` if it has lapsed."""
+        """Renew a lease; return ``False`` if it has expired."""
         self.standin.keep_alives += 1
         return await self.standin.write(
             self.name, lambda: self.standin.keep_alive(lease)
@@ -362,5 +386,5 @@
     def watch(
         self, prefix: str, from_revision: int
     ) -> cabc.AsyncGenerator[WatchEvent | None, None]:
-        """Yield changes below a prefix in order; ``None`` is a sign of life."""
+        """Yield the changes of keys with a prefix; ``None`` shows that it is alive."""
         return self.standin.watch(self.name, prefix, from_revision)
--- a/src/bergamotmast/standins/key_value_front.py
+++ b/src/bergamotmast/standins/key_value_front.py
@@ -1,4 +1,4 @@
-"""HTTP front of the key-value stand-in, in the style of etcd's v3 JSON gateway."""
+"""HTTP frontend of the key-value stand-in, modelled on etcd's v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class KeyValueFront:
-    """Serves a key-value stand-in.
+    """Serves a key-value stand-in over HTTP.
 
-    :param saved: content kept by the control path's ``save`` for its ``restore``.
+    :param saved: snapshot taken by the control path ``save``, for ``restore``.
     """
 
     def __init__(self, standin: KeyValueStandIn) -> None:
@@ -40,7 +40,7 @@
         self.saved: Snapshot | None = None
 
     def application(self) -> web.Application:
-        """Return the application."""
+        """Return the aiohttp application."""
         app = http_front.application()
         router = app.router
         router.add_post("/v3/kv/range", self._range)
@@ -127,8 +127,8 @@
         start = int(create.get("start_revision", 0))
         events = self._client(request).watch(_prefix(create), start)
         async with contextlib.aclosing(events):
-            # The watch must be open before the client is told so: it would miss
-            # what it writes as soon as it knows.
+            # The watch must be open before the response confirms it: otherwise the
+            # client would miss the events of writes that it makes right after.
             first = asyncio.ensure_future(anext(events))
             try:
                 await asyncio.sleep(0)
--- a/src/bergamotmast/standins/key_value_store.py
+++ b/src/bergamotmast/standins/key_value_store.py
@@ -1,4 +1,4 @@
-"""The data of the key-value stand-in: revisions, transactions and their history."""
+"""Data of the key-value stand-in: revisions, transactions and their events."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from ..ports import WatchEvent
 
 HISTORY_LIMIT = 20_000
-"""Events kept before the older half is compacted."""
+"""Maximum number of events; above it the older half is compacted."""
 
 VALUE_LIMIT = 1_000_000
-"""Largest value, in bytes."""
+"""Maximum size of a value."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
     """The whole content at one revision.
 
-    :param items: every key.
+    :param items: every key and its value.
     :param revision: store revision.
-    :param leases: id and time to live, in seconds, of each lease.
+    :param leases: time to live of each lease, in seconds, by lease id.
     """
 
     items: dict[str, KeyValue]
@@ -37,11 +37,12 @@
 
 
 class KeyValueStore:
-    """Keys with revisions, and the events that led to them.
+    """Keys with their revisions, and the events of the recent changes.
 
-    :param items: every key present.
-    :param revision: raised by each transaction that changes anything.
-    :param compacted: events up to this revision are no longer kept.
+    :param items: every key and its value.
+    :param revision: increased by each transaction that changes anything.
+    :param compacted: highest compacted revision; the events up to it are gone.
+    :param events: events after ``compacted``, oldest first.
     """
 
     def __init__(self) -> None:
@@ -53,8 +54,9 @@
     def txn(
         self, compares: cabc.Sequence[Compare], writes: cabc.Sequence[Put | Delete]
     ) -> tuple[TxnResult, list[WatchEvent]]:
-        """Apply all writes if all conditions hold; return what changed too.
+        """Apply all writes if all conditions hold.
 
+        :return: the result, and an event for each change.
         :raises PortError: for a value that is too large.
         """
         for write in writes:
@@ -65,22 +67,22 @@
         return self._apply(writes)
 
     def below(self, prefix: str) -> tuple[KeyValue, ...]:
-        """Return every key below a prefix, sorted."""
+        """Return every item whose key has a prefix, in order of keys."""
         found = [item for key, item in self.items.items() if key.startswith(prefix)]
         return tuple(sorted(found, key=operator.attrgetter("key")))
 
     def events_from(self, revision: int) -> list[WatchEvent]:
-        """Return the kept events of this revision and later."""
+        """Return the events of this revision and later that are not compacted."""
         start = bisect.bisect_left(self.events, revision, key=_revision_of)
         return self.events[start:]
 
     def compact(self, revision: int) -> None:
-        """Forget the events up to and including a revision."""
+        """Drop the events up to and including a revision."""
         self.compacted = max(self.compacted, revision)
         self.events = self.events_from(self.compacted + 1)
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Become what a snapshot holds; the history is lost, the revision goes back."""
+        """Restore a snapshot: the revision goes back, and all events are dropped."""
         self.items = dict(snapshot.items)
         self.revision = snapshot.revision
         self.compacted = snapshot.revision
--- a/src/bergamotmast/standins/kv_exchange.py
+++ b/src/bergamotmast/standins/kv_exchange.py
@@ -1,4 +1,4 @@
-"""KV caches that engine stand-ins have exported for each other."""
+"""Exported KV caches, for the transfer between engine stand-ins."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import itertools
 
 EXPORTS_KEPT = 4096
-"""Exports kept; the oldest leaves first."""
+"""Maximum number of exports; the oldest is dropped first."""
 
 
 class KvExchange:
-    """Exports by handle, shared by the engines of one process.
+    """Exported KV caches by handle, shared by the engines of one process.
 
-    :param trusts_handles: take a handle of another process's engine at its word; that
-        engine's crash then goes unnoticed.
+    :param trusts_handles: accept a handle of an engine in another process without a
+        check; the transfer then succeeds even if that engine has crashed.
     """
 
     def __init__(self, trusts_handles: bool = False) -> None:
@@ -22,7 +22,10 @@
         self._numbers = itertools.count(1)
 
     def export(self, boot_id: str, tokens: int) -> str:
-        """Keep an engine's export and return its handle, which names the engine."""
+        """Store an export and return its handle, which contains the boot id.
+
+        :param tokens: length of the KV cache.
+        """
         handle = f"{boot_id}/{next(self._numbers)}/{tokens}"
         self._tokens[handle] = tokens
         if len(self._tokens) > EXPORTS_KEPT:
@@ -30,7 +33,10 @@
         return handle
 
     def take(self, handle: str) -> int | None:
-        """Remove an export and return its length in tokens, if it is still kept."""
+        """Remove an export and return its length in tokens.
+
+        Return ``None`` if the handle is unknown, for instance after a crash.
+        """
         tokens = self._tokens.pop(handle, None)
         if tokens is None and self.trusts_handles:
             last = handle.rpartition("/")[2]
--- a/src/bergamotmast/standins/run.py
+++ b/src/bergamotmast/standins/run.py
@@ -1,4 +1,4 @@
-"""Runs any stand-in as a process of its own, behind its HTTP front."""
+"""Runs a stand-in as a process of its own, with its HTTP frontend."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class StandInKind(enum.Enum):
-    """What there are stand-ins for."""
+    """Kinds of stand-ins."""
 
     KEY_VALUE = "key-value"
     ENGINE = "engine"
@@ -47,17 +47,18 @@
 
 
 class StandInOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What a stand-in needs besides its address; each kind reads its own part.
+    """Options of a stand-in; each kind uses only those that concern it.
 
     :param name: name of an engine or service in the history.
-    :param assignment: what an engine is and carries at its start.
-    :param spec: how fast an engine is.
-    :param weight_store_url: where an engine loads from; empty for no time at all.
-    :param seconds: how long a call of a service runs.
-    :param instances: what the instance list shows.
-    :param lag: seconds until a change of it shows.
-    :param versions: gigabytes of each version in the weight store.
-    :param gigabytes_per_second: the weight store's rate.
+    :param assignment: role and loaded versions of an engine at its start.
+    :param spec: rates, capacities and delays of an engine.
+    :param weight_store_url: weight store that an engine loads from; if empty, loads
+        take no time.
+    :param seconds: duration of a service's calls.
+    :param instances: initial instances of the instance list.
+    :param lag: seconds until a change of the instance list becomes visible.
+    :param versions: size of each version in the weight store, in gigabytes.
+    :param gigabytes_per_second: bandwidth of the weight store.
     """
 
     name: str = "stand-in"
@@ -72,9 +73,9 @@
 
 
 class FileHistory:
-    """Appends records to a file, one write each, so that a kill loses none.
+    """Appends history records to a file, unbuffered, so that a kill loses none.
 
-    :param path: file of JSON lines, created if there is none.
+    :param path: file of JSON lines, created if it does not exist.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
@@ -99,8 +100,8 @@
 ) -> None:
     """Serve a stand-in until cancelled.
 
-    :param history_path: file to append history records to.
-    :param on_ready: called with the address once it listens.
+    :param history_path: file to append history records to; ``None`` for no history.
+    :param on_ready: called with the URL once the stand-in listens.
     """
     async with contextlib.AsyncExitStack() as stack:
         history: HistorySink = NullHistory()
--- a/src/bergamotmast/standins/service.py
+++ b/src/bergamotmast/standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service in process: it counts what it runs."""
+"""In-process stand-in for a plain service, which counts its executions."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 
 
 def expected_body(method: str, path: str, body: bytes) -> bytes:
-    """Return the body of the answer to a call; it depends on the call alone."""
+    """Return the body of the answer to a call, which depends on the call alone."""
     digest = xxhash.xxh3_64_hexdigest(body)
     return f'{{"method":"{method}","path":"{path}","seen":"{digest}"}}'.encode()
 
 
 class ServiceStandIn:
-    """A plain service.
+    """Stand-in for a plain service.
 
     :param name: name in the history.
-    :param seconds: how long a call runs.
+    :param seconds: duration of a call.
     :param status: HTTP status of the answers.
-    :param reachable: ``False`` cuts the service off before a call is sent.
-    :param lost_replies: so many of the next calls run and lose their replies.
-    :param executions: how often each idempotency key began to run; calls without a
-        key count under their request id.
+    :param reachable: ``False`` makes new calls fail before they run.
+    :param up: ``False`` between a crash and the restart.
+    :param lost_replies: number of the next calls that run, but whose replies are lost.
+    :param executions: executions by idempotency key; calls without a key count under
+        their request id.
     """
 
     def __init__(
@@ -49,11 +50,16 @@
 
     @property
     def running(self) -> int:
-        """Calls running now."""
+        """Number of running calls."""
         return len(self._running)
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
-        """Run one call; it counts as run from here, whatever becomes of its answer."""
+        """Run one call, which counts as executed from its start.
+
+        :raises NotReachedError: if the service is down or unreachable; the call did
+            not run.
+        :raises ReplyLostError: if the call ran and its reply is lost.
+        """
         if not self.up or not self.reachable:
             raise NotReachedError(f"{self.name} is not reached")
         self.executions[call.idempotency_key or call.request_id] += 1
@@ -73,14 +79,14 @@
         return ServiceAnswer(self.status, body, "application/json")
 
     def crash(self) -> None:
-        """Stop at once; the replies of running calls are lost."""
+        """Crash: the replies of running calls are lost, and new calls fail."""
         self.up = False
         for ended in self._running:
             if not ended.done():
                 ended.set_exception(ReplyLostError(f"{self.name} crashed"))
 
     def restart(self) -> None:
-        """Come back; the counts stay, for the tests."""
+        """Start again; the execution counts are kept, so that tests can read them."""
         self.up = True
 
     async def _run(self) -> None:
--- a/src/bergamotmast/standins/small_fronts.py
+++ b/src/bergamotmast/standins/small_fronts.py
@@ -1,4 +1,4 @@
-"""HTTP fronts of the plain service, the instance list and the weight store."""
+"""HTTP frontends of the plain service, the instance list and the weight store."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from .weights import WeightStoreStandIn
 
 CALL_BUDGET = 3600.0
-"""Seconds a call may take as far as the service is concerned."""
+"""Deadline of each call: long enough that the service stand-in never hits it."""
 
 
 def service_application(standin: ServiceStandIn) -> web.Application:
-    """Serve a plain service at any path.
+    """Return an application that serves a plain service at every path.
 
-    While it is not reachable it drops connections: an answer of any status would be
-    the service's own.
+    While the service is unreachable it aborts connections, as a response of any status
+    would count as the service's own.
     """
 
     async def call(request: web.Request) -> web.Response:
@@ -74,7 +74,7 @@
 
 
 def instance_list_application(standin: InstanceListStandIn) -> web.Application:
-    """Serve the instance list at ``/instances``."""
+    """Return an application that serves the instance list at ``/instances``."""
 
     async def instances(request: web.Request) -> web.Response:
         return http_front.json_response(await standin.instances())
@@ -96,7 +96,11 @@
 
 
 def weight_store_application(standin: WeightStoreStandIn) -> web.Application:
-    """Serve the weight store at ``/store`` and ``/loads/{version}``."""
+    """Return an application that serves a weight store.
+
+    ``GET /store`` returns sizes and bandwidth, ``POST /loads/{version}`` returns once
+    the version is loaded.
+    """
 
     async def store(request: web.Request) -> web.Response:
         body = WeightStoreBody(await standin.sizes(), await standin.rate())
--- a/src/bergamotmast/standins/weights.py
+++ b/src/bergamotmast/standins/weights.py
@@ -1,4 +1,4 @@
-"""A weight store whose rate all loads share."""
+"""In-process stand-in for the weight store, whose bandwidth all loads share."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 class WeightStoreStandIn:
-    """Sizes by version, and loads that take their turn.
+    """Stand-in for the weight store; loads run one after the other.
 
     :param versions: size of each model or adapter version, in gigabytes.
-    :param gigabytes_per_second: rate that all loads share.
-    :param down: whether every call is refused.
+    :param gigabytes_per_second: bandwidth shared by all loads.
+    :param down: whether every call fails.
+    :param loads: number of loads started so far.
     """
 
     def __init__(
@@ -28,19 +29,19 @@
         self._available_at = 0.0
 
     async def sizes(self) -> dict[str, float]:
-        """Read the size of each version, in gigabytes."""
+        """Return the size of each version, in gigabytes."""
         self._refuse_if_down()
         return dict(self.versions)
 
     async def rate(self) -> float:
-        """Read the rate that all loads share, in gigabytes a second."""
+        """Return the bandwidth that all loads share, in gigabytes a second."""
         self._refuse_if_down()
         return self.gigabytes_per_second
 
     async def load(self, version: str) -> None:
-        """Return when a version has been read, after the loads asked for earlier.
+        """Load a version, after all loads that were requested earlier.
 
-        :raises PortError: for a version the store does not hold, or while down.
+        :raises PortError: for an unknown version, or while the store is down.
         """
         self._refuse_if_down()
         if version not in self.versions:
