--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -152,7 +152,7 @@
         try:
             self.socket.send(frame, _NOBLOCK)
         except zmq.ZMQError as error:
-            raise NotReachedError(f"not handed over: {error}") from error
+            raise NotReachedError(f"frame not queued: {error}") from error
         finally:
             self.frame_waiter.after_send()
 
@@ -192,7 +192,7 @@
     """The side's end of all its connections.
 
     The address is bound exclusively: a second process for the same slot fails to
-    start while the first one, even if it is stopped, still holds the port.
+    start while the first one, even if it is suspended, still holds the port.
 
     :param address: ``host:port``; port 0 binds a free port, which the attribute
         ``address`` then names.
@@ -253,7 +253,7 @@
                 self.socket.send(frame, _NOBLOCK | _SNDMORE)
             self.socket.send(frames[-1], _NOBLOCK)
         except zmq.ZMQError as error:
-            raise NotReachedError(f"not handed over: {error}") from error
+            raise NotReachedError(f"frame not queued: {error}") from error
         finally:
             self.frame_waiter.after_send()
 
--- /dev/null
+++ b/src/bergamotmast/direct/placer.py
@@ -0,0 +1,360 @@
+"""Placement of requests: keeps a load tracker per upstream and applies the policy."""
+
+from __future__ import annotations
+
+import asyncio
+import collections.abc as cabc
+import dataclasses
+import heapq
+import random
+import zlib
+
+from ..errors import RequestError
+from ..errors import ResultCode
+from ..model import Role
+from ..policy.decisions import ALL_DECISIONS
+from ..policy.decisions import Decisions
+from ..policy.direct_placement import EngineCandidate
+from ..policy.direct_placement import Placement
+from ..policy.direct_placement import choose_decode_engine
+from ..policy.direct_placement import place_prompt
+from ..policy.direct_placement import prefill_priority
+from ..policy.engine_load import EngineLoadTracker
+from ..policy.plain_placement import PlainCandidate
+from ..policy.plain_placement import PlainUpstreamLoad
+from ..policy.plain_placement import choose_plain_upstream
+from ..policy.prefill_model import GroupPrefillTimes
+from ..policy.prefix_cache import PrefillKey
+from .fleet import Fleet
+from .model import Call
+from .model import CallTraits
+from .model import Upstream
+from .ports import LoadHint
+from .prefill_notice import PrefillNotice
+
+UpstreamKey = tuple[str, str]
+"""Name and boot of an upstream, as its load and caches are lost in a restart."""
+
+
+MIN_TRANSFER_TOKENS = 400
+"""Shortest prefix, in tokens, that is transferred from another engine instead of being
+prefilled: it takes 8 ms to prefill and less than 3 ms to transfer."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PrefixLookup:
+    """Result of a prefix-cache lookup for a prompt at one engine.
+
+    :param uncached_tokens: tokens to prefill.
+    :param transferred_tokens: tokens before them to transfer from another engine.
+    :param prefix_source: address of the engine to transfer the prefix from; empty if
+        nothing is to be transferred.
+    """
+
+    uncached_tokens: int
+    transferred_tokens: int
+    prefix_source: str
+
+
+class RequestPlacer:
+    """Chooses upstreams by the load that this entry and its peers have placed on them.
+
+    :param name: name of this entry.
+    :param zone: availability zone of this entry.
+    :param engines: load trackers of engines.
+    :param prefill_times: learned prefill times, by group.
+    :param plain: load trackers of plain upstreams.
+    :param by_hash: keys of engines by the hash used in notices.
+    :param last_number: number of this entry's last prefill.
+    """
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        name: str,
+        zone: str,
+        rng: random.Random,
+        decisions: Decisions = ALL_DECISIONS,
+    ) -> None:
+        self.decisions = decisions
+        self.fleet = fleet
+        self.name = name
+        self.zone = zone
+        self.rng = rng
+        self.engines: dict[UpstreamKey, EngineLoadTracker] = {}
+        self.prefill_times: dict[str, GroupPrefillTimes] = {}
+        self.plain: dict[UpstreamKey, PlainUpstreamLoad] = {}
+        self.by_hash: dict[int, UpstreamKey] = {}
+        self.last_number = 0
+
+    def engine_load(self, upstream: Upstream) -> EngineLoadTracker:
+        """Return the load tracker of an engine."""
+        key = (upstream.name, upstream.boot)
+        tracker = self.engines.get(key)
+        if tracker is None:
+            self._forget_departed()
+            engine = self.fleet.group(upstream.group).engine
+            prefill_times = self.prefill_times.setdefault(
+                upstream.group, GroupPrefillTimes()
+            )
+            kv_capacity = engine.kv_capacity if engine else 1
+            tracker = EngineLoadTracker(
+                kv_capacity, prefill_times, self.rng.getrandbits(32)
+            )
+            self.engines[key] = tracker
+            self.by_hash[upstream_hash(upstream)] = key
+        tracker.role = upstream.role or Role.MIXED
+        return tracker
+
+    def plain_load(self, upstream: Upstream) -> PlainUpstreamLoad:
+        """Return the load tracker of a plain upstream."""
+        key = (upstream.name, upstream.boot)
+        tracker = self.plain.get(key)
+        if tracker is None:
+            self._forget_departed()
+            tracker = self.plain[key] = PlainUpstreamLoad()
+        return tracker
+
+    def new_prefill_key(self) -> PrefillKey:
+        """Return a key for a prefill that this entry is about to start."""
+        self.last_number += 1
+        return self.name, self.last_number
+
+    def on_load(self, upstream: Upstream, load: LoadHint) -> None:
+        """Apply the load that an upstream has reported in a reply."""
+        if not self.decisions.load_hints:
+            return
+        now = asyncio.get_running_loop().time()
+        if upstream.role is not None:
+            self.engine_load(upstream).hint(load.running, load.waiting, now)
+        else:
+            self.plain_load(upstream).hint(load.running, load.waiting, now)
+
+    def on_notice(self, sender: str, notice: PrefillNotice, now: float) -> None:
+        """Apply another entry's notice about a prefill."""
+        tracker = self.engines.get(self.by_hash.get(notice.engine, ("", "")))
+        if tracker is None:
+            return
+        key = (sender, notice.number)
+        if notice.tokens:
+            seconds = tracker.occupied_seconds(notice.tokens, notice.cached)
+            tracker.begin(
+                key, seconds, notice.priority, now, goes_first=notice.goes_first
+            )
+            tracker.prefix.expect(key, notice.all_parts(key))
+        else:
+            tracker.end(key, now, done=notice.done)
+            if notice.done:
+                tracker.last_reply_at = now
+
+    def lookup_prefix(self, call: Call, upstream: Upstream) -> PrefixLookup:
+        """Return how much of a prompt an engine would have to prefill, as estimated."""
+        now = asyncio.get_running_loop().time()
+        members = self.fleet.members(call.group.name, now)
+        replicas = self._prefix_replicas(call, members)
+        return self._lookup_prefix(
+            call, upstream, replicas, _best_sources(members, replicas)
+        )
+
+    def priority(self, call: Call, tokens: int) -> int:
+        """Return the engines' priority for the prefill of a prompt.
+
+        :param tokens: tokens to prefill.
+        """
+        return prefill_priority(
+            call.route.rank, tokens, self.decisions, goes_first=call.goes_first
+        )
+
+    def _prefix_replicas(self, call: Call, members: list[Upstream]) -> dict[str, int]:
+        """Return the tokens of a prompt's prefix that each engine could transfer."""
+        return {
+            m.name: self.engine_load(m).prefix.transferable_tokens(call.parts)
+            for m in members
+        }
+
+    def choose_plain_upstream(
+        self, call: Call, tried: cabc.Collection[str]
+    ) -> Upstream:
+        """Return the plain upstream for a request's next attempt.
+
+        :param tried: names of upstreams to exclude.
+        :raises RequestError: if there is none.
+        """
+        now = asyncio.get_running_loop().time()
+        members = self._untried(call, tried, now)
+        by_name = {member.name: member for member in members}
+        candidates = [
+            PlainCandidate(
+                member.name,
+                self._is_near(member),
+                max(1, member.slots),
+                self.plain_load(member).load(now),
+                self._is_ejected(member, now),
+            )
+            for member in members
+        ]
+        chosen = choose_plain_upstream(candidates, self.rng)
+        if chosen is None:
+            raise RequestError(ResultCode.NO_UPSTREAM)
+        return by_name[chosen]
+
+    def place_stream(
+        self, call: Call, tried: cabc.Collection[str]
+    ) -> tuple[Upstream | None, Upstream, Placement]:
+        """Return the prefill engine, the decode engine and the placement of a stream.
+
+        The prefill engine is ``None`` if the decode engine prefills the prompt itself.
+
+        :param tried: names of engines to exclude.
+        :raises RequestError: if there is no decode engine.
+        """
+        now = asyncio.get_running_loop().time()
+        members = self._untried(call, tried, now)
+        by_name = {member.name: member for member in members}
+        candidates = self._candidates(call, members, now)
+        tightest = self.fleet.tightest_objective(call.group.name)
+        placement = place_prompt(
+            candidates, call.route.objective, tightest, self.decisions
+        )
+        if placement is None:
+            raise RequestError(ResultCode.NO_UPSTREAM)
+        prefill_upstream = (
+            by_name[placement.prefill_engine] if placement.prefill_engine else None
+        )
+        return prefill_upstream, by_name[placement.decode_engine], placement
+
+    def place_decode(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
+        """Return the decode engine for a request that was prefilled elsewhere.
+
+        :param tried: names of engines to exclude.
+        :raises RequestError: if there is none.
+        """
+        now = asyncio.get_running_loop().time()
+        untried = self._untried(call, tried, now)
+        able = [member for member in untried if member.role is not Role.PREFILL]
+        chosen = choose_decode_engine(self._candidates(call, able, now))
+        if chosen is None:
+            raise RequestError(ResultCode.NO_UPSTREAM)
+        return next(member for member in able if member.name == chosen.name)
+
+    def _untried(
+        self, call: Call, tried: cabc.Collection[str], now: float
+    ) -> list[Upstream]:
+        members = self.fleet.members(call.group.name, now)
+        return [member for member in members if member.name not in tried]
+
+    def _candidates(
+        self, call: Call, members: list[Upstream], now: float
+    ) -> list[EngineCandidate]:
+        """Return the members that may be chosen, with their predicted load."""
+        candidates = []
+        everyone = self.fleet.members(call.group.name, now)
+        replicas = self._prefix_replicas(call, everyone)
+        sources = _best_sources(everyone, replicas)
+        for member in self._not_cooling_down(members, now):
+            tracker = self.engine_load(member)
+            lookup = self._lookup_prefix(call, member, replicas, sources)
+            uncached = lookup.uncached_tokens
+            priority = self.priority(call, uncached)
+            wait = tracker.wait(priority, now)
+            if self.decisions.urgent_load:
+                wait = tracker.expected_wait(priority, now)
+            candidates.append(
+                EngineCandidate(
+                    member.name,
+                    member.role or Role.MIXED,
+                    self._is_near(member),
+                    wait,
+                    tracker.prefill_seconds(
+                        uncached, call.traits.prompt_tokens - uncached
+                    ),
+                    tracker.slowdown(now),
+                    tracker.running_decodes(now),
+                    tracker.prefill_times.transfers.times.seconds(
+                        call.traits.prompt_tokens, 0
+                    ),
+                    tracker.occupied_seconds(lookup.transferred_tokens, 0)
+                    if self.decisions.copies
+                    else 0.0,
+                    tracker.tie_break,
+                    uncached,
+                    priority,
+                )
+            )
+        return candidates
+
+    def _not_cooling_down(self, members: list[Upstream], now: float) -> list[Upstream]:
+        """Return the engines that are not cooling down after a failure.
+
+        Decode engines are all kept if every one of them is cooling down. An engine that
+        has refused one request may accept the next; if all of them have refused one at
+        the same time, excluding them all would refuse every request for the duration of
+        the cool-down.
+        """
+        if not self.decisions.leaving_alone:
+            return members
+        eligible = [m for m in members if now >= self.engine_load(m).cooldown_until]
+        if any(member.role is not Role.PREFILL for member in eligible):
+            return eligible
+        decode_engines = [m for m in members if m.role is not Role.PREFILL]
+        return eligible + decode_engines
+
+    def _lookup_prefix(
+        self,
+        call: Call,
+        upstream: Upstream,
+        replicas: dict[str, int],
+        sources: list[Upstream],
+    ) -> PrefixLookup:
+        own = self.engine_load(upstream).prefix.expected_cached_tokens(call.parts)
+        best, source = own, ""
+        others = sources if self.decisions.fetching else []
+        for other in others:
+            found = replicas[other.name]
+            if other.name != upstream.name and found >= best + MIN_TRANSFER_TOKENS:
+                best, source = found, other.address
+        return PrefixLookup(
+            max(1, call.traits.prompt_tokens - best), best - own, source
+        )
+
+    def _is_near(self, upstream: Upstream) -> bool:
+        """Return whether to treat an upstream as being in this availability zone."""
+        return upstream.zone == self.zone or not self.decisions.zone_preference
+
+    def _is_ejected(self, upstream: Upstream, now: float) -> bool:
+        return self.decisions.ejection and self.plain_load(upstream).is_ejected(now)
+
+    def _forget_departed(self) -> None:
+        present = {
+            (record.upstream.name, record.upstream.boot)
+            for record in self.fleet.upstream_records.values()
+        }
+        self.engines = {k: b for k, b in self.engines.items() if k in present}
+        self.plain = {k: b for k, b in self.plain.items() if k in present}
+        self.by_hash = {h: k for h, k in self.by_hash.items() if k in present}
+
+
+def _best_sources(members: list[Upstream], replicas: dict[str, int]) -> list[Upstream]:
+    """Return the two engines with the longest replicas of a prompt's prefix.
+
+    Two are enough: an engine does not transfer from itself, so its best source is the
+    first of them or, for the first one, the second. Comparing every pair of engines
+    would make the cost of a placement quadratic in their number.
+
+    :param replicas: transferable tokens of the prefix, by engine.
+    """
+    return heapq.nlargest(2, members, key=lambda member: replicas[member.name])
+
+
+def shared_parts(traits: CallTraits) -> tuple[tuple[int, int], ...]:
+    """Return the hash and the length in tokens of each part of a prompt, in order."""
+    return tuple((_hash(part.key), part.tokens) for part in traits.parts)
+
+
+def upstream_hash(upstream: Upstream) -> int:
+    """Return the hash that identifies an upstream's incarnation in notices."""
+    return _hash(f"{upstream.name}/{upstream.boot}")
+
+
+def _hash(text: str) -> int:
+    return zlib.crc32(text.encode())
