--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -19,20 +19,20 @@
 from ..model import ServiceCall
 from ..standins.engine_text import expected_text
 from ..standins.service import expected_body
-from .world import ENTRIES
-from .world import MODEL
-from .world import FaultWorld
+from .environment import ENTRIES
+from .environment import MODEL
+from .environment import FaultEnvironment
 
-RATE = 4.0
+REQUESTS_PER_SECOND = 4.0
 """Mean arrival rate; arrivals are a Poisson process."""
 
-MODEL_SECONDS = 30.0
-SERVICE_SECONDS = 10.0
-PATIENCE = 10.0
+MODEL_DEADLINE_SECONDS = 30.0
+SERVICE_DEADLINE_SECONDS = 10.0
+CALLER_TIMEOUT_MARGIN_SECONDS = 10.0
 """Time after its deadline at which a caller gives up and closes the connection."""
 
-MOST_TOKENS = 120
-REPLAYED_SHARE = 0.3
+MAX_OUTPUT_TOKENS = 120
+RESENT_ORDER_SHARE = 0.3
 """Share of the orders that reuse the idempotency key of an earlier order.
 
 Orders are calls of a route that isn't repeatable.
@@ -42,7 +42,7 @@
 class Callers:
     """The traffic of one run.
 
-    :param world: environment whose entries are called.
+    :param environment: environment whose entries are called.
     :param rng: seeded source of arrivals and requests.
     :param waiting: tasks of the requests that have no answer yet.
     :param errors: unexpected exceptions that entries raised; their callers are
@@ -51,8 +51,8 @@
     :param restores: restores of the key-value service that ``keys`` accounts for.
     """
 
-    def __init__(self, world: FaultWorld, rng: random.Random) -> None:
-        self.world = world
+    def __init__(self, environment: FaultEnvironment, rng: random.Random) -> None:
+        self.environment = environment
         self.rng = rng
         self.sent = 0
         self.waiting: set[asyncio.Task[None]] = set()
@@ -62,8 +62,8 @@
 
     async def run(self, until: float) -> None:
         """Send requests until a point in time."""
-        while self.world.now() < until:
-            await asyncio.sleep(self.rng.expovariate(RATE))
+        while self.environment.now() < until:
+            await asyncio.sleep(self.rng.expovariate(REQUESTS_PER_SECOND))
             self._send()
 
     async def finish(self) -> None:
@@ -72,7 +72,7 @@
 
     def _send(self) -> None:
         name = self.rng.choice(ENTRIES)
-        entry = self.world.entry(name) or self._any_ready()
+        entry = self.environment.entry(name) or self._any_ready()
         if entry is None:
             return
         self.sent += 1
@@ -87,23 +87,23 @@
         task.add_done_callback(self.waiting.discard)
 
     def _any_ready(self) -> EntryProcess | None:
-        ready = [self.world.entry(name) for name in ENTRIES]
+        ready = [self.environment.entry(name) for name in ENTRIES]
         return next((entry for entry in ready if entry is not None), None)
 
     async def _call_model(self, entry: EntryProcess, request: str) -> None:
-        now = self.world.now()
+        now = self.environment.now()
         call = ModelCall(
             request_id=request,
             tenant=self.rng.choice(("a", "b")),
             request_class="c",
             priority=self.rng.choice(tuple(Priority)),
             model=MODEL,
-            prompt=f"{request} [out={self.rng.randint(1, MOST_TOKENS)}]",
+            prompt=f"{request} [out={self.rng.randint(1, MAX_OUTPUT_TOKENS)}]",
             prompt_tokens=self.rng.randint(1, 2000),
-            max_tokens=MOST_TOKENS,
+            max_tokens=MAX_OUTPUT_TOKENS,
             prefix_key=self.rng.choice(("", "p", "q")),
-            first_token_by=now + MODEL_SECONDS / 2,
-            deadline=now + MODEL_SECONDS,
+            first_token_by=now + MODEL_DEADLINE_SECONDS / 2,
+            deadline=now + MODEL_DEADLINE_SECONDS,
         )
         text = expected_text(call.model, call.prompt, call.max_tokens)
         self._record_sent(request, "model", True, text)
@@ -113,7 +113,7 @@
             async for chunk in entry.core.submit_model(call):
                 parts.append(chunk.text)
 
-        code = await self._run_in_entry(entry, read(), MODEL_SECONDS)
+        code = await self._run_in_entry(entry, read(), MODEL_DEADLINE_SECONDS)
         self._record_answer(request, code, "".join(parts))
 
     async def _call_service(
@@ -133,7 +133,7 @@
             content_type="text/plain",
             repeatable=route == "counter",
             idempotency_key=key,
-            deadline=self.world.now() + SERVICE_SECONDS,
+            deadline=self.environment.now() + SERVICE_DEADLINE_SECONDS,
         )
         text = expected_body(call.method, call.path, body).decode()
         self._record_sent(request, route, call.repeatable, text, key)
@@ -143,7 +143,7 @@
             answer = await entry.core.submit_service(call)
             parts.append(answer.body.decode())
 
-        code = await self._run_in_entry(entry, read(), SERVICE_SECONDS)
+        code = await self._run_in_entry(entry, read(), SERVICE_DEADLINE_SECONDS)
         self._record_answer(request, code, "".join(parts))
 
     async def _run_in_entry(
@@ -159,12 +159,12 @@
 
         :param limit: deadline of the request, in seconds from now.
         """
-        gate = self.world.gate_of(entry)
+        gate = self.environment.gate_of(entry)
         if gate is None:
             attempt.close()
             return ResultCode.OUTCOME_UNKNOWN
         task = gate.run(attempt)
-        await asyncio.wait([task], timeout=limit + PATIENCE)
+        await asyncio.wait([task], timeout=limit + CALLER_TIMEOUT_MARGIN_SECONDS)
         if not task.done():
             task.cancel()
             return ResultCode.OUTCOME_UNKNOWN
@@ -185,10 +185,10 @@
         Keys from before a restore of the key-value service are not reused: the
         restore loses claims, so the system can't know that these orders ran.
         """
-        if self.restores != self.world.restores:
-            self.restores = self.world.restores
+        if self.restores != self.environment.restores:
+            self.restores = self.environment.restores
             self.keys.clear()
-        if self.keys and self.rng.random() < REPLAYED_SHARE:
+        if self.keys and self.rng.random() < RESENT_ORDER_SHARE:
             return self.rng.choice(self.keys)
         self.keys.append(f"key-{request}")
         return self.keys[-1]
@@ -201,9 +201,9 @@
         text: str,
         key: str = "",
     ) -> None:
-        self.world.history.record(
+        self.environment.history.record(
             RequestSent(
-                at=self.world.now(),
+                at=self.environment.now(),
                 request=request,
                 request_class=request_class,
                 repeatable=repeatable,
@@ -214,9 +214,9 @@
 
     def _record_answer(self, request: str, code: ResultCode, text: str) -> None:
         outcome: Outcome = CODE_INFO[code].outcome
-        self.world.history.record(
+        self.environment.history.record(
             RequestAnswered(
-                at=self.world.now(),
+                at=self.environment.now(),
                 request=request,
                 code=int(code),
                 outcome=outcome.value,
--- a/src/bergamotmast/faults/cli.py
+++ b/src/bergamotmast/faults/cli.py
@@ -42,7 +42,7 @@
     with concurrent.futures.ProcessPoolExecutor(args.processes, context) as pool:
         for result in pool.map(_run_without_logging, seeds):
             broken += not result.holds
-            print(as_text(result, args.log), flush=True)
+            print(format_run(result, args.log), flush=True)
     print(f"{len(seeds)} runs, {broken} with a broken promise")
     return 1 if broken else 0
 
@@ -62,7 +62,7 @@
     return seeds
 
 
-def as_text(result: FaultRun, with_log: bool) -> str:
+def format_run(result: FaultRun, with_log: bool) -> str:
     """Format the result of a run: one line, then its violations and errors.
 
     :param with_log: whether to add the injected faults if the run failed.
--- a/src/bergamotmast/faults/world.py
+++ b/src/bergamotmast/faults/environment.py
@@ -48,15 +48,15 @@
 SERVICES = ("service-1", "service-2")
 ENTRIES = ("entry-1", "entry-2")
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
-CONCURRENCY = 8
+SERVICE_CONCURRENCY = 8
 """Maximum number of concurrent calls of a plain service."""
 
-SERVICE_SECONDS = 0.3
+SERVICE_CALL_SECONDS = 0.3
 """Duration of a call of a plain service."""
-CHANGE_SECONDS = 6.0
-LIST_LAG = 2.0
+ROLE_CHANGE_SECONDS = 6.0
+LIST_LAG_SECONDS = 2.0
 """Delay until a change of the instance list becomes visible."""
-KEY_VALUE_DELAY = 0.004
+KEY_VALUE_DELAY_SECONDS = 0.004
 
 
 def first_configuration() -> Configuration:
@@ -102,7 +102,7 @@
     reachable: bool = True
 
 
-class FaultWorld:
+class FaultEnvironment:
     """The processes and stand-ins of one run.
 
     :param seed: seed of ``rng``.
@@ -117,10 +117,10 @@
         self.rng = random.Random(seed)
         self.history = MemoryHistory()
         self.network = MemoryNetwork()
-        self.kv = KeyValueStandIn(delay=KEY_VALUE_DELAY)
+        self.kv = KeyValueStandIn(delay=KEY_VALUE_DELAY_SECONDS)
         self.cut_from_kv: set[str] = set()
         self.weights = WeightStoreStandIn({f"{MODEL}@1": 20.0, f"{MODEL}@2": 20.0})
-        self.instance_list = InstanceListStandIn(lag=LIST_LAG)
+        self.instance_list = InstanceListStandIn(lag=LIST_LAG_SECONDS)
         self.exchange = KvExchange()
         self.engines: dict[str, EngineStandIn] = {}
         self.services: dict[str, ServiceStandIn] = {}
@@ -130,13 +130,17 @@
         for number, name in enumerate(ENGINES):
             self._add_engine(name, number)
         for number, name in enumerate(SERVICES):
-            self.services[name] = ServiceStandIn(name, SERVICE_SECONDS, self.history)
+            self.services[name] = ServiceStandIn(
+                name, SERVICE_CALL_SECONDS, self.history
+            )
             self._list_instance(name, UpstreamKind.SERVICE, number)
 
     def _add_engine(self, name: str, number: int) -> None:
         self.engines[name] = EngineStandIn(
             name,
-            EngineSpec(change_seconds=CHANGE_SECONDS, honours_fencing=number % 2 == 0),
+            EngineSpec(
+                change_seconds=ROLE_CHANGE_SECONDS, honours_fencing=number % 2 == 0
+            ),
             assignment=Assignment(Role.MIXED, (f"{MODEL}@1",)),
             loader=self.weights.load,
             exchange=self.exchange,
@@ -163,7 +167,7 @@
         self.processes[name] = process
         self.history.record(ProcessStarted(at=self.now(), process=name))
         process.gate.run(body.run())
-        self.note_reach()
+        self.record_reachability()
 
     async def kill(self, name: str) -> None:
         """Kill a process, as with SIGKILL."""
@@ -202,7 +206,7 @@
                 return process.gate
         return None
 
-    def note_reach(self) -> None:
+    def record_reachability(self) -> None:
         """Record the processes that became unreachable or reachable again."""
         for process in self.processes.values():
             reachable = self._is_reachable(process.name)
@@ -261,7 +265,7 @@
         parts = self._parts(name)
         if name in self.engines:
             return engine_side(parts, listener, self.engines[name])
-        return service_side(parts, listener, self.services[name], CONCURRENCY)
+        return service_side(parts, listener, self.services[name], SERVICE_CONCURRENCY)
 
     def now(self) -> float:
         """Return seconds on the clock of the run."""
--- a/src/bergamotmast/faults/gates.py
+++ b/src/bergamotmast/faults/gates.py
@@ -126,7 +126,7 @@
     return task
 
 
-def install(loop: asyncio.AbstractEventLoop) -> None:
+def install_task_factory(loop: asyncio.AbstractEventLoop) -> None:
     """Make a loop assign each new task to the gate that is current on its creation.
 
     Tasks created outside of any gate are ordinary tasks.
--- a/src/bergamotmast/faults/run.py
+++ b/src/bergamotmast/faults/run.py
@@ -15,13 +15,13 @@
 from ..checker import summary
 from ..history import AnyRecord
 from .callers import Callers
-from .gates import install
-from .schedule import Faults
-from .world import FaultWorld
+from .environment import FaultEnvironment
+from .gates import install_task_factory
+from .schedule import FaultInjector
 
 WARM_UP_SECONDS = 10.0
 FAULT_SECONDS = 60.0
-CALM_SECONDS = 30.0
+RECOVERY_SECONDS = 30.0
 """Time without faults at the end of a run.
 
 Long enough for every accepted configuration to come into force.
@@ -55,7 +55,7 @@
     loop = looptime.new_event_loop(noop_cycles=0)
     asyncio.set_event_loop(loop)
     try:
-        install(loop)
+        install_task_factory(loop)
         return loop.run_until_complete(run(seed))
     finally:
         asyncio.set_event_loop(None)
@@ -64,19 +64,19 @@
 
 async def run(seed: int) -> FaultRun:
     """Run a seed on the running event loop."""
-    world = FaultWorld(seed)
-    callers = Callers(world, random.Random(f"callers {seed}"))
-    faults = Faults(world, random.Random(f"faults {seed}"))
-    await world.start()
+    environment = FaultEnvironment(seed)
+    callers = Callers(environment, random.Random(f"callers {seed}"))
+    faults = FaultInjector(environment, random.Random(f"faults {seed}"))
+    await environment.start()
     await asyncio.sleep(WARM_UP_SECONDS)
-    end = world.now() + FAULT_SECONDS
+    end = environment.now() + FAULT_SECONDS
     calling = asyncio.get_running_loop().create_task(callers.run(end))
     await faults.run(end)
     await calling
     await callers.finish()
-    await asyncio.sleep(CALM_SECONDS)
-    records = tuple(world.history.records)
-    await world.stop()
+    await asyncio.sleep(RECOVERY_SECONDS)
+    records = tuple(environment.history.records)
+    await environment.stop()
     return FaultRun(
         seed=seed,
         summary=summary(records),
--- a/src/bergamotmast/faults/schedule.py
+++ b/src/bergamotmast/faults/schedule.py
@@ -22,28 +22,28 @@
 from ..history import PlannedChange
 from ..history import StayingAnnounced
 from ..model import Role
-from .world import ENGINES
-from .world import ENTRIES
-from .world import LIST_LAG
-from .world import SERVICES
-from .world import FaultWorld
+from .environment import ENGINES
+from .environment import ENTRIES
+from .environment import LIST_LAG_SECONDS
+from .environment import SERVICES
+from .environment import FaultEnvironment
 
-EVERY_SECONDS = 2.5
+MEAN_FAULT_INTERVAL_SECONDS = 2.5
 """Mean time between the starts of two faults."""
 
-SPREAD_SECONDS = 3.0
+CONFIG_PROPAGATION_SECONDS = 3.0
 """Time for which the key-value service stays up after it accepted an edit.
 
 An edit that no process could read before an outage can't come into force anywhere.
 """
 
-_Fault: t.TypeAlias = cabc.Callable[["Faults"], t.Coroutine[t.Any, t.Any, None]]
+_Fault: t.TypeAlias = cabc.Callable[["FaultInjector"], t.Coroutine[t.Any, t.Any, None]]
 
 
-class Faults:
+class FaultInjector:
     """Injects the faults of one run.
 
-    :param world: environment that the faults are injected into.
+    :param environment: environment that the faults are injected into.
     :param rng: seeded source of the schedule.
     :param log: time and description of each step, to debug a run.
     :param reserved_names: targets of the faults in progress.
@@ -51,8 +51,8 @@
     :param accepted_at: when the last edit was accepted.
     """
 
-    def __init__(self, world: FaultWorld, rng: random.Random) -> None:
-        self.world = world
+    def __init__(self, environment: FaultEnvironment, rng: random.Random) -> None:
+        self.environment = environment
         self.rng = rng
         self.log: list[str] = []
         self.reserved_names: set[str] = set()
@@ -62,10 +62,10 @@
 
     async def run(self, end_at: float) -> None:
         """Start faults until a point in time, then wait until all are repaired."""
-        kinds = tuple(FAULTS)
-        weights = tuple(FAULTS.values())
-        while self.world.now() < end_at:
-            await asyncio.sleep(self.rng.expovariate(1.0 / EVERY_SECONDS))
+        kinds = tuple(FAULT_WEIGHTS)
+        weights = tuple(FAULT_WEIGHTS.values())
+        while self.environment.now() < end_at:
+            await asyncio.sleep(self.rng.expovariate(1.0 / MEAN_FAULT_INTERVAL_SECONDS))
             (fault,) = self.rng.choices(kinds, weights)
             task = asyncio.get_running_loop().create_task(fault(self))
             self._tasks.add(task)
@@ -73,7 +73,7 @@
         await asyncio.gather(*self._tasks)
 
     @contextlib.contextmanager
-    def holding(
+    def reserve(
         self, kind: str, names: cabc.Iterable[str], exclusive: str = ""
     ) -> cabc.Iterator[str | None]:
         """Reserve a random target that no other fault has reserved.
@@ -86,7 +86,7 @@
             progress; empty for none.
         """
         free = [name for name in names if name not in self.reserved_names]
-        chosen = self.world.pick(free)
+        chosen = self.environment.pick(free)
         if exclusive in self.reserved_names or chosen is None:
             yield None
             return
@@ -101,17 +101,19 @@
 
     def note(self, text: str) -> None:
         """Append a line with the current time to the log."""
-        self.log.append(f"{self.world.now():8.3f} {text}")
+        self.log.append(f"{self.environment.now():8.3f} {text}")
 
-    async def until_spread(self) -> None:
+    async def wait_until_propagated(self) -> None:
         """Wait until every accepted edit has had time to propagate.
 
         Further edits may be accepted during the wait, which prolong it.
         """
-        while (due := self.accepted_at + SPREAD_SECONDS) > self.world.now():
-            await asyncio.sleep(due - self.world.now())
+        while (
+            due := self.accepted_at + CONFIG_PROPAGATION_SECONDS
+        ) > self.environment.now():
+            await asyncio.sleep(due - self.environment.now())
 
-    async def some_time(self, max_seconds: float) -> None:
+    async def random_delay(self, max_seconds: float) -> None:
         """Wait for a random, exponentially distributed time.
 
         :param max_seconds: upper bound; the mean is about a third of it.
@@ -119,178 +121,182 @@
         await asyncio.sleep(min(max_seconds, self.rng.expovariate(3.0 / max_seconds)))
 
 
-async def kill_side(faults: Faults) -> None:
+async def kill_side(faults: FaultInjector) -> None:
     """Kill a side and restart it."""
-    with faults.holding("kill side", (*ENGINES, *SERVICES)) as name:
+    with faults.reserve("kill side", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
-        await faults.world.kill(name)
-        await faults.some_time(15.0)
-        faults.world.start_process(name)
+        await faults.environment.kill(name)
+        await faults.random_delay(15.0)
+        faults.environment.start_process(name)
 
 
-async def kill_entry(faults: Faults) -> None:
+async def kill_entry(faults: FaultInjector) -> None:
     """Kill an entry and restart it; the other entry keeps running."""
-    with faults.holding("kill entry", ENTRIES, "entry") as name:
+    with faults.reserve("kill entry", ENTRIES, "entry") as name:
         if name is None:
             return
-        await faults.world.kill(name)
-        await faults.some_time(15.0)
-        faults.world.start_process(name)
+        await faults.environment.kill(name)
+        await faults.random_delay(15.0)
+        faults.environment.start_process(name)
 
 
-async def pause(faults: Faults) -> None:
+async def pause(faults: FaultInjector) -> None:
     """Pause a process and resume it."""
-    with faults.holding("pause", (*ENGINES, *SERVICES, *ENTRIES)) as name:
+    with faults.reserve("pause", (*ENGINES, *SERVICES, *ENTRIES)) as name:
         if name is None:
             return
-        gate = faults.world.processes[name].gate
+        gate = faults.environment.processes[name].gate
         gate.pause()
-        faults.world.note_reach()
-        await faults.some_time(25.0)
+        faults.environment.record_reachability()
+        await faults.random_delay(25.0)
         gate.resume()
-        faults.world.note_reach()
+        faults.environment.record_reachability()
 
 
-async def partition(faults: Faults) -> None:
+async def partition(faults: FaultInjector) -> None:
     """Partition a side from the entries, and at times from the key-value service."""
-    with faults.holding("partition", (*ENGINES, *SERVICES)) as name:
+    with faults.reserve("partition", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
-        world = faults.world
-        world.network.partition(name)
+        environment = faults.environment
+        environment.network.partition(name)
         from_key_value_too = faults.rng.random() < 0.5
         if from_key_value_too:
-            world.kv.cut(name)
-            world.cut_from_kv.add(name)
-        world.note_reach()
-        await faults.some_time(25.0)
-        world.network.heal(name)
+            environment.kv.cut(name)
+            environment.cut_from_kv.add(name)
+        environment.record_reachability()
+        await faults.random_delay(25.0)
+        environment.network.heal(name)
         if from_key_value_too:
-            world.kv.heal(name)
-            world.cut_from_kv.discard(name)
-        world.note_reach()
+            environment.kv.heal(name)
+            environment.cut_from_kv.discard(name)
+        environment.record_reachability()
 
 
-async def restart_side(faults: Faults) -> None:
+async def restart_side(faults: FaultInjector) -> None:
     """Shut a side down gracefully and restart it."""
-    with faults.holding("restart side", (*ENGINES, *SERVICES)) as name:
+    with faults.reserve("restart side", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
-        world = faults.world
-        world.history.record(
-            PlannedChange(at=world.now(), upstream=name, change="restart")
+        environment = faults.environment
+        environment.history.record(
+            PlannedChange(at=environment.now(), upstream=name, change="restart")
         )
-        await world.stop_gracefully(name)
-        await faults.some_time(3.0)
-        world.start_process(name)
+        await environment.stop_gracefully(name)
+        await faults.random_delay(3.0)
+        environment.start_process(name)
 
 
-async def restart_entry(faults: Faults) -> None:
+async def restart_entry(faults: FaultInjector) -> None:
     """Shut an entry down gracefully and restart it."""
-    with faults.holding("restart entry", ENTRIES, "entry") as name:
+    with faults.reserve("restart entry", ENTRIES, "entry") as name:
         if name is None:
             return
-        await faults.world.stop_gracefully(name)
-        faults.world.start_process(name)
+        await faults.environment.stop_gracefully(name)
+        faults.environment.start_process(name)
 
 
-async def crash_engine(faults: Faults) -> None:
+async def crash_engine(faults: FaultInjector) -> None:
     """Crash an engine, possibly during a role change, and restart it."""
-    with faults.holding("crash engine", (f"upstream {n}" for n in ENGINES)) as reserved:
+    with faults.reserve("crash engine", (f"upstream {n}" for n in ENGINES)) as reserved:
         if reserved is None:
             return
-        engine = faults.world.engines[reserved.removeprefix("upstream ")]
+        engine = faults.environment.engines[reserved.removeprefix("upstream ")]
         engine.crash(faults.rng.random() < 0.5, faults.rng.random() < 0.3)
-        await faults.some_time(15.0)
+        await faults.random_delay(15.0)
         engine.restart()
 
 
-async def crash_service(faults: Faults) -> None:
+async def crash_service(faults: FaultInjector) -> None:
     """Crash a plain service and restart it."""
-    with faults.holding(
+    with faults.reserve(
         "crash service", (f"upstream {n}" for n in SERVICES)
     ) as reserved:
         if reserved is None:
             return
-        service = faults.world.services[reserved.removeprefix("upstream ")]
+        service = faults.environment.services[reserved.removeprefix("upstream ")]
         service.crash()
-        await faults.some_time(8.0)
+        await faults.random_delay(8.0)
         service.restart()
 
 
-async def lose_replies(faults: Faults) -> None:
+async def lose_replies(faults: FaultInjector) -> None:
     """Lose replies of a service, an engine and the key-value service."""
-    world = faults.world
-    world.kv.lose_next_reply(count=faults.rng.randint(0, 2))
-    world.services[faults.rng.choice(SERVICES)].lost_replies += 1
-    engine = world.engines[faults.rng.choice(ENGINES)]
+    environment = faults.environment
+    environment.kv.lose_next_reply(count=faults.rng.randint(0, 2))
+    environment.services[faults.rng.choice(SERVICES)].lost_replies += 1
+    engine = environment.engines[faults.rng.choice(ENGINES)]
     engine.lost_order_replies += 1
     if engine.up and faults.rng.random() < 0.5:
         engine.break_connections()
     faults.note(f"lost replies, {engine.name}")
 
 
-async def key_value_down(faults: Faults) -> None:
+async def key_value_down(faults: FaultInjector) -> None:
     """Take the key-value service down; at times it comes back with older content."""
-    with faults.holding("key-value down", ("key-value",)) as name:
+    with faults.reserve("key-value down", ("key-value",)) as name:
         if name is None:
             return
-        world = faults.world
-        older = world.kv.snapshot()
-        await faults.some_time(10.0)
-        await faults.until_spread()
-        world.kv.down = True
-        world.note_reach()
-        await faults.some_time(30.0)
+        environment = faults.environment
+        older = environment.kv.snapshot()
+        await faults.random_delay(10.0)
+        await faults.wait_until_propagated()
+        environment.kv.down = True
+        environment.record_reachability()
+        await faults.random_delay(30.0)
         if faults.rng.random() < 0.3:
             faults.note("key-value restored")
-            world.kv.restore(older)
-            world.restores += 1
-        world.kv.down = False
-        world.note_reach()
+            environment.kv.restore(older)
+            environment.restores += 1
+        environment.kv.down = False
+        environment.record_reachability()
 
 
-async def silence_watches(faults: Faults) -> None:
+async def silence_watches(faults: FaultInjector) -> None:
     """Stop delivering events to all open watches, without an error."""
     faults.note("watches silent")
-    faults.world.kv.silence_watches()
+    faults.environment.kv.silence_watches()
 
 
-async def instance_list_down(faults: Faults) -> None:
+async def instance_list_down(faults: FaultInjector) -> None:
     """Take the instance list down."""
-    with faults.holding("instance list down", ("instance-list",)) as name:
+    with faults.reserve("instance list down", ("instance-list",)) as name:
         if name is None:
             return
-        faults.world.instance_list.down = True
-        await faults.some_time(20.0)
-        faults.world.instance_list.down = False
+        faults.environment.instance_list.down = True
+        await faults.random_delay(20.0)
+        faults.environment.instance_list.down = False
 
 
-async def leave_by_list(faults: Faults) -> None:
+async def leave_by_list(faults: FaultInjector) -> None:
     """Mark an engine as leaving in the instance list, and withdraw it later."""
-    with faults.holding("leaving", ENGINES, "instance-list") as name:
+    with faults.reserve("leaving", ENGINES, "instance-list") as name:
         if name is None:
             return
-        world = faults.world
-        world.instance_list.set_leaving(name)
+        environment = faults.environment
+        environment.instance_list.set_leaving(name)
         # The list is the only signal here, so no process can know before it shows it.
-        await asyncio.sleep(LIST_LAG)
-        world.history.record(LeavingAnnounced(at=world.now(), upstream=name))
-        await faults.some_time(20.0)
-        world.history.record(StayingAnnounced(at=world.now(), upstream=name))
-        world.instance_list.set_leaving(name, False)
-        await asyncio.sleep(LIST_LAG)
+        await asyncio.sleep(LIST_LAG_SECONDS)
+        environment.history.record(
+            LeavingAnnounced(at=environment.now(), upstream=name)
+        )
+        await faults.random_delay(20.0)
+        environment.history.record(
+            StayingAnnounced(at=environment.now(), upstream=name)
+        )
+        environment.instance_list.set_leaving(name, False)
+        await asyncio.sleep(LIST_LAG_SECONDS)
 
 
-async def drain(faults: Faults) -> None:
+async def drain(faults: FaultInjector) -> None:
     """Drain an engine by changing its label, as operators do, and undo it later."""
-    with faults.holding(
+    with faults.reserve(
         "drain", (f"label {n}" for n in ENGINES), "draining"
     ) as reserved:
         if reserved is None:
             return
-        world = faults.world
+        environment = faults.environment
         name = reserved.removeprefix("label ")
 
         def drained(now: Configuration) -> Configuration:
@@ -301,28 +307,32 @@
 
         if not await edit(faults, drained):
             return
-        world.history.record(LeavingAnnounced(at=world.now(), upstream=name))
-        await faults.some_time(30.0)
+        environment.history.record(
+            LeavingAnnounced(at=environment.now(), upstream=name)
+        )
+        await faults.random_delay(30.0)
         # The guarantee ends with the first attempt: an edit whose reply was lost may
         # have been accepted.
-        world.history.record(StayingAnnounced(at=world.now(), upstream=name))
+        environment.history.record(
+            StayingAnnounced(at=environment.now(), upstream=name)
+        )
         while not await edit(faults, taken_back):
             await asyncio.sleep(1.0)
 
 
-async def change_roles(faults: Faults) -> None:
+async def change_roles(faults: FaultInjector) -> None:
     """Change the minimum number of engines in a role, so that the planner acts."""
     role = faults.rng.choice((Role.PREFILL, Role.DECODE, Role.MIXED))
     least = faults.rng.randint(0, 3)
 
     def changed(now: Configuration) -> Configuration:
         (models,) = (s for s in now.selectors if s.name == "models")
-        return with_selector(now, with_least(models, role, least))
+        return with_selector(now, with_min_engines(models, role, least))
 
     await edit(faults, changed)
 
 
-def with_least(selector: Selector, role: Role, least: int) -> Selector:
+def with_min_engines(selector: Selector, role: Role, least: int) -> Selector:
     """Return a copy of a selector with a minimum number of engines in one role."""
     return Selector(
         name=selector.name,
@@ -334,29 +344,29 @@
 
 
 async def edit(
-    faults: Faults, change: cabc.Callable[[Configuration], Configuration]
+    faults: FaultInjector, change: cabc.Callable[[Configuration], Configuration]
 ) -> bool:
     """Edit the configuration as an entry knows it; return whether it was accepted."""
-    world = faults.world
-    entry = world.entry(faults.rng.choice(ENTRIES))
+    environment = faults.environment
+    entry = environment.entry(faults.rng.choice(ENTRIES))
     if entry is None:
         return False
     before = entry.holder.current
     faults.edits += 1
     nonce = f"edit-{faults.edits}"
     try:
-        accepted = await world.store.propose(
+        accepted = await environment.store.propose(
             change(before), before.generation, "operator", nonce
         )
     except BergamotmastError as error:
         faults.note(f"edit refused: {error.message}")
         return False
-    faults.accepted_at = world.now()
+    faults.accepted_at = environment.now()
     faults.note(f"edit accepted: generation {accepted.generation}")
     return True
 
 
-FAULTS: dict[_Fault, float] = {
+FAULT_WEIGHTS: dict[_Fault, float] = {
     kill_side: 2.0,
     kill_entry: 1.0,
     pause: 3.0,
--- a/src/bergamotmast/standins/engine.py
+++ b/src/bergamotmast/standins/engine.py
@@ -30,8 +30,8 @@
 from .engine_batch import Stream
 from .engine_cache import PrefixCache
 from .engine_orders import Loader
-from .engine_orders import OrderBook
-from .engine_orders import load_nothing
+from .engine_orders import OrderExecutor
+from .engine_orders import load_instantly
 from .engine_spec import EngineSpec
 from .engine_text import Answer
 from .engine_text import answer_to
@@ -107,7 +107,7 @@
         spec: EngineSpec | None = None,
         *,
         assignment: Assignment = DEFAULT_ASSIGNMENT,
-        loader: Loader = load_nothing,
+        loader: Loader = load_instantly,
         exchange: KvExchange | None = None,
         history: HistorySink | None = None,
         boot_prefix: str = "",
@@ -117,11 +117,11 @@
         self.exchange = exchange or KvExchange()
         self.history = history or NullHistory()
         self.boot_prefix = boot_prefix
-        self.boots = 1
+        self.boot_count = 1
         self.up = True
         self.reachable = True
         self.lost_order_replies = 0
-        self.orders = OrderBook(
+        self.orders = OrderExecutor(
             name,
             assignment,
             self.spec.change_seconds,
@@ -136,7 +136,7 @@
     @property
     def boot_id(self) -> str:
         """Identity of the engine since its last start; differs after each restart."""
-        return f"{self.name}-{self.boot_prefix}{self.boots}"
+        return f"{self.name}-{self.boot_prefix}{self.boot_count}"
 
     async def state(self) -> EngineState:
         """Return the engine's assignment, fencing token and capacity.
@@ -180,7 +180,7 @@
         self._check_reachable()
         self.orders.take(order)
         for stream_id, chunk_queue in list(self._chunk_queues.items()):
-            if chunk_queue.stream and not self.orders.carries(
+            if chunk_queue.stream and not self.orders.serves_model(
                 chunk_queue.stream.request.model
             ):
                 self._fail_stream(stream_id, "the engine no longer serves the model")
@@ -238,7 +238,7 @@
 
     def restart(self) -> None:
         """Start again with a new boot id and empty caches."""
-        self.boots += 1
+        self.boot_count += 1
         self.up = True
         self._reset()
 
@@ -303,7 +303,7 @@
 
     def _check_admissible(self, request: GenerateRequest, answer: Answer) -> None:
         self._check_reachable()
-        if not self.orders.carries(request.model):
+        if not self.orders.serves_model(request.model):
             raise NotReachedError(f"{self.name} does not serve {request.model} now")
         kv_tokens = request.prompt_tokens + answer.tokens
         if kv_tokens > self.spec.kv_capacity:
--- a/src/bergamotmast/standins/engine_batch.py
+++ b/src/bergamotmast/standins/engine_batch.py
@@ -23,7 +23,7 @@
 
 NEVER = math.inf
 
-STEP_TOLERANCE = 1e-6
+STEP_TOLERANCE_SHARE = 1e-6
 """Share of a step that counts as zero.
 
 Without it, a stream that joins just as a step ends would wait for one step more or
@@ -282,7 +282,7 @@
             self._chunk_boundary = self.tokens_per_chunk
             self._finishes.clear()
         stream.stage = Stage.DECODING
-        stream.joined_step = math.ceil(self._steps - STEP_TOLERANCE)
+        stream.joined_step = math.ceil(self._steps - STEP_TOLERANCE_SHARE)
         stream.joined_index = stream.next_index
         self.decoding[stream.request.stream_id] = stream
         self._arrivals += 1
--- a/src/bergamotmast/standins/engine_cache.py
+++ b/src/bergamotmast/standins/engine_cache.py
@@ -7,7 +7,7 @@
 
 from ..model import CacheEvent
 
-EVENTS_KEPT = 1024
+MAX_CACHE_EVENTS = 1024
 """Number of recent cache events that can still be read."""
 
 
@@ -35,7 +35,7 @@
         self.sequence = 0
         self._tokens: collections.OrderedDict[str, int] = collections.OrderedDict()
         self._events: collections.deque[_Published] = collections.deque(
-            maxlen=EVENTS_KEPT
+            maxlen=MAX_CACHE_EVENTS
         )
 
     def hit(self, key: str, tokens: int) -> int:
--- a/src/bergamotmast/standins/engine_front.py
+++ b/src/bergamotmast/standins/engine_frontend.py
@@ -16,13 +16,13 @@
 from ..model import GenerateRequest
 from ..model import Order
 from ..model import TokenChunk
-from . import http_front
+from . import http_common
 from .engine import EngineStandIn
 
 _ENCODER = msgspec.json.Encoder()
 
 
-class EngineFront:
+class EngineFrontend:
     """Serves an engine stand-in over HTTP."""
 
     def __init__(self, standin: EngineStandIn) -> None:
@@ -30,7 +30,7 @@
 
     def application(self) -> web.Application:
         """Return the aiohttp application."""
-        app = http_front.application()
+        app = http_common.application()
         router = app.router
         router.add_post("/v1/completions", self._completions)
         router.add_delete("/v1/streams/{stream}", self._cancel)
@@ -43,15 +43,17 @@
 
     def _add_control(self, app: web.Application) -> None:
         standin = self.standin
-        knobs: dict[str, http_front.Knob] = {
+        knobs: dict[str, http_common.Knob] = {
             "crash": standin.crash,
             "restart": standin.restart,
             "break_connections": standin.break_connections,
             "speed": standin.set_speed,
-            "reachable": http_front.attribute(standin, "reachable"),
-            "lost_order_replies": http_front.attribute(standin, "lost_order_replies"),
+            "reachable": http_common.attribute_setter(standin, "reachable"),
+            "lost_order_replies": http_common.attribute_setter(
+                standin, "lost_order_replies"
+            ),
         }
-        http_front.add_control(app, knobs, self._counters)
+        http_common.add_control(app, knobs, self._counters)
 
     def _counters(self) -> dict[str, object]:
         batch = self.standin.batch
@@ -64,7 +66,7 @@
         }
 
     async def _completions(self, request: web.Request) -> web.StreamResponse:
-        wanted = await http_front.read_json(request, GenerateRequest)
+        wanted = await http_common.read_json(request, GenerateRequest)
         chunks = self.standin.generate(wanted)
         async with contextlib.aclosing(chunks):
             # A refusal is raised before the first chunk, when the HTTP status has not
@@ -78,7 +80,7 @@
                 async for chunk in chunks:
                     await response.write(_event(chunk))
             except ReplyLostError:
-                http_front.drop(request)
+                http_common.abort_connection(request)
                 return response
         await response.write(b"data: " + DONE + b"\n\n")
         return response
@@ -88,16 +90,16 @@
         return web.Response(status=204)
 
     async def _state(self, request: web.Request) -> web.Response:
-        return http_front.json_response(await self.standin.state())
+        return http_common.json_response(await self.standin.state())
 
     async def _load(self, request: web.Request) -> web.Response:
         load = await self.standin.load()
         age = asyncio.get_running_loop().time() - load.measured_at
         body = EngineLoadBody(age, load.running, load.waiting, load.kv_used)
-        return http_front.json_response(body)
+        return http_common.json_response(body)
 
     async def _order(self, request: web.Request) -> web.Response:
-        await self.standin.order(await http_front.read_json(request, Order))
+        await self.standin.order(await http_common.read_json(request, Order))
         return web.Response(status=202)
 
     async def _cache_events(self, request: web.Request) -> web.Response:
@@ -105,7 +107,7 @@
             after = int(request.query.get("after", "0"))
         except ValueError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
-        return http_front.json_response(await self.standin.cache_events(after))
+        return http_common.json_response(await self.standin.cache_events(after))
 
 
 def _event(chunk: TokenChunk) -> bytes:
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -19,7 +19,7 @@
 """Loads one model or adapter version and returns once it is loaded."""
 
 
-class OrderBook:
+class OrderExecutor:
     """Holds the engine's assignment and executes at most one order at a time.
 
     :param engine: name in the history.
@@ -29,7 +29,7 @@
     :param honours_fencing: whether an order is refused unless its fencing token is
         higher than the previous one.
     :param loader: loads a version.
-    :param on_settled: called when an order is complete, has failed or was lost in a
+    :param on_order_ended: called when an order is complete, has failed or was lost in a
         crash.
     :param last: fencing token of the last accepted order since the engine started.
     """
@@ -42,7 +42,7 @@
         honours_fencing: bool,
         loader: Loader,
         history: HistorySink,
-        on_settled: cabc.Callable[[], None],
+        on_order_ended: cabc.Callable[[], None],
     ) -> None:
         self.engine = engine
         self.assignment: Assignment | None = assignment
@@ -51,7 +51,7 @@
         self.honours_fencing = honours_fencing
         self.loader = loader
         self.history = history
-        self.on_settled = on_settled
+        self.on_order_ended = on_order_ended
         self.last = NO_TOKEN
         self._order: Order | None = None
         self._task: asyncio.Task[None] | None = None
@@ -68,7 +68,7 @@
         """Token of the last order, or ``NO_TOKEN`` if the engine ignores tokens."""
         return self.last if self.honours_fencing else NO_TOKEN
 
-    def carries(self, model: str) -> bool:
+    def serves_model(self, model: str) -> bool:
         """Return whether a request for this model can be served now.
 
         While an order is in progress the model must be part of both the current and
@@ -100,7 +100,7 @@
                 engine=self.engine,
                 epoch=order.token.epoch,
                 revision=order.token.revision,
-                assignment=describe(order.assignment),
+                assignment=describe_assignment(order.assignment),
             )
         )
         if order.assignment == self.assignment:
@@ -152,14 +152,14 @@
                     completed=completed,
                 )
             )
-        self.on_settled()
+        self.on_order_ended()
 
 
-async def load_nothing(version: str) -> None:
+async def load_instantly(version: str) -> None:
     """Return at once: the loader of engines without a weight store."""
 
 
-def describe(assignment: Assignment) -> str:
+def describe_assignment(assignment: Assignment) -> str:
     """Format an assignment as one line, for the history."""
     models = ",".join(assignment.models)
     adapters = ",".join(assignment.adapters)
--- a/src/bergamotmast/standins/engine_text.py
+++ b/src/bergamotmast/standins/engine_text.py
@@ -14,16 +14,16 @@
 
 import xxhash
 
-TOKEN_WIDTH = 6
+TOKEN_CHARACTERS = 6
 """Characters of each token: five hexadecimal digits and a space."""
 
 TABLE_TOKENS = 1 << 16
 """Number of tokens in the table; answers that reach its end wrap around."""
 
-SHORTEST_HASHED = 16
+MIN_HASHED_TOKENS = 16
 """Minimum length, in tokens, of an answer whose prompt has no ``[out=N]``."""
 
-HASHED_SPREAD = 240
+HASHED_TOKENS_RANGE = 240
 """Number of different lengths of such answers; a hash of the prompt selects one."""
 
 _DIRECTIVE = re.compile(r"\[(out|prefix)=(\d+)\]")
@@ -45,8 +45,10 @@
     def text(self, start: int, end: int) -> str:
         """Return the text of the tokens from ``start`` up to ``end``."""
         first = (self.offset + start) % TABLE_TOKENS
-        head = _table()[first * TOKEN_WIDTH : (first + end - start) * TOKEN_WIDTH]
-        missing = end - start - len(head) // TOKEN_WIDTH
+        head = _table()[
+            first * TOKEN_CHARACTERS : (first + end - start) * TOKEN_CHARACTERS
+        ]
+        missing = end - start - len(head) // TOKEN_CHARACTERS
         if missing <= 0:
             return head
         return head + self.text(end - missing, end)
@@ -61,7 +63,7 @@
     seed = xxhash.xxh3_64_intdigest(f"{model}\0{prompt}".encode())
     wanted = directive(prompt, "out")
     if wanted is None:
-        wanted = SHORTEST_HASHED + (seed >> 32) % HASHED_SPREAD
+        wanted = MIN_HASHED_TOKENS + (seed >> 32) % HASHED_TOKENS_RANGE
     tokens = max(1, min(wanted, max_tokens))
     finish = "stop" if wanted <= max_tokens else "length"
     return Answer(seed % TABLE_TOKENS, tokens, finish)
@@ -84,7 +86,7 @@
 @functools.cache
 def _table() -> str:
     words = (
-        xxhash.xxh3_64_hexdigest(b"%d" % i)[: TOKEN_WIDTH - 1]
+        xxhash.xxh3_64_hexdigest(b"%d" % i)[: TOKEN_CHARACTERS - 1]
         for i in range(TABLE_TOKENS)
     )
     return " ".join(words) + " "
--- a/src/bergamotmast/standins/http_front.py
+++ b/src/bergamotmast/standins/http_common.py
@@ -15,7 +15,7 @@
 from ..errors import OrderRefusedError
 from ..errors import ReplyLostError
 
-MAX_BODY = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 """Maximum size of a request's body."""
 
 Handler = cabc.Callable[[web.Request], cabc.Awaitable[web.StreamResponse]]
@@ -27,7 +27,7 @@
 
 def application() -> web.Application:
     """Return an application that maps the ports' errors to statuses or aborts."""
-    return web.Application(client_max_size=MAX_BODY, middlewares=[_errors])
+    return web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[_errors])
 
 
 @contextlib.asynccontextmanager
@@ -101,7 +101,7 @@
     app.router.add_post("/control/{knob}", set_knob)
 
 
-def attribute(target: object, name: str) -> Knob:
+def attribute_setter(target: object, name: str) -> Knob:
     """Return a knob that sets an attribute of an object to its argument ``value``."""
 
     def set_knob(value: t.Any) -> None:
@@ -110,7 +110,7 @@
     return set_knob
 
 
-def drop(request: web.Request) -> web.Response:
+def abort_connection(request: web.Request) -> web.Response:
     """Abort the client's connection without a response."""
     if request.transport is not None:
         request.transport.abort()
@@ -122,7 +122,7 @@
     try:
         return await handler(request)
     except (ReplyLostError, KeyValueOutcomeUnknownError):
-        return drop(request)
+        return abort_connection(request)
     except LeaseLapsedError as error:
         return _error(error, 404)
     except OrderRefusedError as error:
--- a/src/bergamotmast/standins/key_value.py
+++ b/src/bergamotmast/standins/key_value.py
@@ -27,7 +27,7 @@
 from .key_value_store import KeyValueStore
 from .key_value_store import Snapshot
 
-SIGN_OF_LIFE = 1.0
+PROGRESS_INTERVAL_SECONDS = 1.0
 """Time without an event after which a watch yields ``None``."""
 
 _T = t.TypeVar("_T")
@@ -237,7 +237,7 @@
         """Yield the events of all keys with a prefix.
 
         Yields ``None`` as a progress notification after each
-        :data:`SIGN_OF_LIFE` without an event.
+        :data:`PROGRESS_INTERVAL_SECONDS` without an event.
 
         :param from_revision: first revision of interest; 0 for future events only.
         :raises KeyValueUnavailableError: if the service is down or goes down, or if
@@ -320,7 +320,7 @@
 
 async def _next_event(watch: _Watch) -> WatchEvent | None:
     try:
-        async with asyncio.timeout(SIGN_OF_LIFE):
+        async with asyncio.timeout(PROGRESS_INTERVAL_SECONDS):
             event = await watch.queue.get()
     except TimeoutError:
         event = None
@@ -352,7 +352,8 @@
         """Return every key with a prefix, in order."""
         store = self.standin.store
         return await self.standin.read(
-            self.name, lambda: RangeResult(store.below(prefix), store.revision)
+            self.name,
+            lambda: RangeResult(store.items_with_prefix(prefix), store.revision),
         )
 
     async def txn(
--- a/src/bergamotmast/standins/key_value_front.py
+++ b/src/bergamotmast/standins/key_value_frontend.py
@@ -23,13 +23,13 @@
 from ..ports import KeyValue
 from ..ports import Put
 from ..ports import WatchEvent
-from . import http_front
+from . import http_common
 from .key_value import KeyValueClient
 from .key_value import KeyValueStandIn
 from .key_value_store import Snapshot
 
 
-class KeyValueFront:
+class KeyValueFrontend:
     """Serves a key-value stand-in over HTTP.
 
     :param saved: snapshot taken by the control path ``save``, for ``restore``.
@@ -41,7 +41,7 @@
 
     def application(self) -> web.Application:
         """Return the aiohttp application."""
-        app = http_front.application()
+        app = http_common.application()
         router = app.router
         router.add_post("/v3/kv/range", self._range)
         router.add_post("/v3/kv/txn", self._txn)
@@ -55,9 +55,9 @@
 
     def _add_control(self, app: web.Application) -> None:
         standin = self.standin
-        knobs: dict[str, http_front.Knob] = {
-            "down": http_front.attribute(standin, "down"),
-            "delay": http_front.attribute(standin, "delay"),
+        knobs: dict[str, http_common.Knob] = {
+            "down": http_common.attribute_setter(standin, "down"),
+            "delay": http_common.attribute_setter(standin, "delay"),
             "cut": standin.cut,
             "heal": standin.heal,
             "lose_next_reply": standin.lose_next_reply,
@@ -66,7 +66,7 @@
             "save": self._save,
             "restore": self._restore,
         }
-        http_front.add_control(app, knobs, self._counters)
+        http_common.add_control(app, knobs, self._counters)
 
     def _counters(self) -> dict[str, object]:
         standin = self.standin
@@ -115,7 +115,7 @@
         body = await _json_body(request)
         alive = await self._client(request).keep_alive(int(body["ID"]))
         result = {"ID": body["ID"]} | ({"TTL": "1"} if alive else {})
-        return http_front.json_response({"result": result})
+        return http_common.json_response({"result": result})
 
     async def _revoke(self, request: web.Request) -> web.Response:
         body = await _json_body(request)
@@ -160,7 +160,7 @@
         return self.standin.client(request.headers.get(CLIENT_HEADER, ""))
 
 
-_json_body = functools.partial(http_front.read_json, kind=JsonObject)
+_json_body = functools.partial(http_common.read_json, kind=JsonObject)
 
 
 def _prefix(body: JsonObject) -> str:
@@ -202,4 +202,4 @@
 
 def _response(revision: int, **fields: t.Any) -> web.Response:
     header = {"revision": str(revision)}
-    return http_front.json_response({"header": header, **fields})
+    return http_common.json_response({"header": header, **fields})
--- a/src/bergamotmast/standins/key_value_store.py
+++ b/src/bergamotmast/standins/key_value_store.py
@@ -15,10 +15,10 @@
 from ..ports import TxnResult
 from ..ports import WatchEvent
 
-HISTORY_LIMIT = 20_000
+MAX_EVENTS = 20_000
 """Maximum number of events; above it the older half is compacted."""
 
-VALUE_LIMIT = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Maximum size of a value."""
 
 
@@ -60,13 +60,15 @@
         :raises PortError: for a value that is too large.
         """
         for write in writes:
-            if isinstance(write, Put) and len(write.value) > VALUE_LIMIT:
-                raise PortError(f"the value of {write.key} is over {VALUE_LIMIT} bytes")
+            if isinstance(write, Put) and len(write.value) > MAX_VALUE_BYTES:
+                raise PortError(
+                    f"the value of {write.key} is over {MAX_VALUE_BYTES} bytes"
+                )
         if not all(self._condition_holds(compare) for compare in compares):
             return TxnResult(False, self.revision), []
         return self._apply(writes)
 
-    def below(self, prefix: str) -> tuple[KeyValue, ...]:
+    def items_with_prefix(self, prefix: str) -> tuple[KeyValue, ...]:
         """Return every item whose key has a prefix, in order of keys."""
         found = [item for key, item in self.items.items() if key.startswith(prefix)]
         return tuple(sorted(found, key=operator.attrgetter("key")))
@@ -112,8 +114,8 @@
 
     def _append_events(self, events: list[WatchEvent]) -> None:
         self.events.extend(events)
-        if len(self.events) > HISTORY_LIMIT:
-            self.compact(self.events[HISTORY_LIMIT // 2].mod_revision)
+        if len(self.events) > MAX_EVENTS:
+            self.compact(self.events[MAX_EVENTS // 2].mod_revision)
 
 
 def _revision_of(event: WatchEvent) -> int:
--- a/src/bergamotmast/standins/kv_exchange.py
+++ b/src/bergamotmast/standins/kv_exchange.py
@@ -5,19 +5,19 @@
 import collections
 import itertools
 
-EXPORTS_KEPT = 4096
+MAX_EXPORTS = 4096
 """Maximum number of exports; the oldest is dropped first."""
 
 
 class KvExchange:
     """Exported KV caches by handle, shared by the engines of one process.
 
-    :param trusts_handles: accept a handle of an engine in another process without a
-        check; the transfer then succeeds even if that engine has crashed.
+    :param accepts_unknown_handles: accept a handle of an engine in another process
+        without a check; the transfer then succeeds even if that engine has crashed.
     """
 
-    def __init__(self, trusts_handles: bool = False) -> None:
-        self.trusts_handles = trusts_handles
+    def __init__(self, accepts_unknown_handles: bool = False) -> None:
+        self.accepts_unknown_handles = accepts_unknown_handles
         self._tokens: collections.OrderedDict[str, int] = collections.OrderedDict()
         self._numbers = itertools.count(1)
 
@@ -28,7 +28,7 @@
         """
         handle = f"{boot_id}/{next(self._numbers)}/{tokens}"
         self._tokens[handle] = tokens
-        if len(self._tokens) > EXPORTS_KEPT:
+        if len(self._tokens) > MAX_EXPORTS:
             self._tokens.popitem(last=False)
         return handle
 
@@ -38,7 +38,7 @@
         Return ``None`` if the handle is unknown, for instance after a crash.
         """
         tokens = self._tokens.pop(handle, None)
-        if tokens is None and self.trusts_handles:
+        if tokens is None and self.accepts_unknown_handles:
             last = handle.rpartition("/")[2]
             return int(last) if last.isdecimal() else None
         return tokens
--- a/src/bergamotmast/standins/run.py
+++ b/src/bergamotmast/standins/run.py
@@ -21,18 +21,18 @@
 from ..model import InstanceInfo
 from .engine import DEFAULT_ASSIGNMENT
 from .engine import EngineStandIn
-from .engine_front import EngineFront
-from .engine_orders import load_nothing
+from .engine_frontend import EngineFrontend
+from .engine_orders import load_instantly
 from .engine_spec import EngineSpec
-from .http_front import serving
+from .http_common import serving
 from .instance_list import InstanceListStandIn
 from .key_value import KeyValueStandIn
-from .key_value_front import KeyValueFront
+from .key_value_frontend import KeyValueFrontend
 from .kv_exchange import KvExchange
 from .service import ServiceStandIn
-from .small_fronts import instance_list_application
-from .small_fronts import service_application
-from .small_fronts import weight_store_application
+from .small_frontends import instance_list_application
+from .small_frontends import service_application
+from .small_frontends import weight_store_application
 from .weights import WeightStoreStandIn
 
 
@@ -120,7 +120,7 @@
 ) -> web.Application:
     match kind:
         case StandInKind.KEY_VALUE:
-            return KeyValueFront(KeyValueStandIn()).application()
+            return KeyValueFrontend(KeyValueStandIn()).application()
         case StandInKind.ENGINE:
             return await _engine(options, history, stack)
         case StandInKind.SERVICE:
@@ -137,7 +137,7 @@
 async def _engine(
     options: StandInOptions, history: HistorySink, stack: contextlib.AsyncExitStack
 ) -> web.Application:
-    loader = load_nothing
+    loader = load_instantly
     if options.weight_store_url:
         session = await stack.enter_async_context(client_session())
         loader = HttpWeightStore(session, options.weight_store_url).load
@@ -146,8 +146,8 @@
         options.spec,
         assignment=options.assignment,
         loader=loader,
-        exchange=KvExchange(trusts_handles=True),
+        exchange=KvExchange(accepts_unknown_handles=True),
         history=history,
         boot_prefix=f"{os.urandom(4).hex()}-",
     )
-    return EngineFront(engine).application()
+    return EngineFrontend(engine).application()
--- a/src/bergamotmast/standins/small_fronts.py
+++ b/src/bergamotmast/standins/small_frontends.py
@@ -14,12 +14,12 @@
 from ..model import InstanceInfo
 from ..model import Priority
 from ..model import ServiceCall
-from . import http_front
+from . import http_common
 from .instance_list import InstanceListStandIn
 from .service import ServiceStandIn
 from .weights import WeightStoreStandIn
 
-CALL_BUDGET = 3600.0
+CALL_TIMEOUT_SECONDS = 3600.0
 """Deadline of each call: long enough that the service stand-in never hits it."""
 
 
@@ -34,21 +34,21 @@
         try:
             answer = await standin.call(await _service_call(request))
         except NotReachedError:
-            return http_front.drop(request)
+            return http_common.abort_connection(request)
         response = web.Response(status=answer.status, body=answer.body)
         response.headers["Content-Type"] = answer.content_type
         return response
 
-    app = http_front.application()
-    knobs: dict[str, http_front.Knob] = {
+    app = http_common.application()
+    knobs: dict[str, http_common.Knob] = {
         "crash": standin.crash,
         "restart": standin.restart,
-        "seconds": http_front.attribute(standin, "seconds"),
-        "status": http_front.attribute(standin, "status"),
-        "reachable": http_front.attribute(standin, "reachable"),
-        "lost_replies": http_front.attribute(standin, "lost_replies"),
+        "seconds": http_common.attribute_setter(standin, "seconds"),
+        "status": http_common.attribute_setter(standin, "status"),
+        "reachable": http_common.attribute_setter(standin, "reachable"),
+        "lost_replies": http_common.attribute_setter(standin, "lost_replies"),
     }
-    http_front.add_control(
+    http_common.add_control(
         app, knobs, lambda: {"executions": dict(standin.executions), "up": standin.up}
     )
     app.router.add_route("*", "/{path:.*}", call)
@@ -56,7 +56,7 @@
 
 
 async def _service_call(request: web.Request) -> ServiceCall:
-    deadline = asyncio.get_running_loop().time() + CALL_BUDGET
+    deadline = asyncio.get_running_loop().time() + CALL_TIMEOUT_SECONDS
     return ServiceCall(
         request_id=request.headers.get(REQUEST_ID_HEADER, ""),
         tenant="",
@@ -77,21 +77,21 @@
     """Return an application that serves the instance list at ``/instances``."""
 
     async def instances(request: web.Request) -> web.Response:
-        return http_front.json_response(await standin.instances())
+        return http_common.json_response(await standin.instances())
 
     def put(**fields: object) -> None:
         standin.put(msgspec.convert(fields, InstanceInfo))
 
-    app = http_front.application()
+    app = http_common.application()
     app.router.add_get("/instances", instances)
-    knobs: dict[str, http_front.Knob] = {
+    knobs: dict[str, http_common.Knob] = {
         "put": put,
         "remove": standin.remove,
         "leaving": standin.set_leaving,
-        "down": http_front.attribute(standin, "down"),
-        "lag": http_front.attribute(standin, "lag"),
+        "down": http_common.attribute_setter(standin, "down"),
+        "lag": http_common.attribute_setter(standin, "lag"),
     }
-    http_front.add_control(app, knobs, lambda: {"reads": standin.reads})
+    http_common.add_control(app, knobs, lambda: {"reads": standin.reads})
     return app
 
 
@@ -104,18 +104,18 @@
 
     async def store(request: web.Request) -> web.Response:
         body = WeightStoreBody(await standin.sizes(), await standin.rate())
-        return http_front.json_response(body)
+        return http_common.json_response(body)
 
     async def load(request: web.Request) -> web.Response:
         await standin.load(request.match_info["version"])
         return web.Response()
 
-    app = http_front.application()
+    app = http_common.application()
     app.router.add_get("/store", store)
     app.router.add_post("/loads/{version}", load)
-    knobs: dict[str, http_front.Knob] = {
-        "down": http_front.attribute(standin, "down"),
-        "rate": http_front.attribute(standin, "gigabytes_per_second"),
+    knobs: dict[str, http_common.Knob] = {
+        "down": http_common.attribute_setter(standin, "down"),
+        "rate": http_common.attribute_setter(standin, "gigabytes_per_second"),
     }
-    http_front.add_control(app, knobs, lambda: {"loads": standin.loads})
+    http_common.add_control(app, knobs, lambda: {"loads": standin.loads})
     return app
--- a/tests/kept_callers.py
+++ b/tests/keep_alive_callers.py
@@ -31,7 +31,7 @@
     outcome: str
 
 
-class KeptCallers:
+class KeepAliveCallers:
     """So many callers of one entry, until the body ends or nobody listens.
 
     :param calls: how each call ended.
@@ -94,7 +94,7 @@
         return Call(request_id, status, kept, outcome), closes
 
     @property
-    def cut(self) -> list[Call]:
+    def closed_unanswered(self) -> list[Call]:
         """Calls that were neither answered nor refused."""
         return [call for call in self.calls if not call.status]
 
--- a/tests/series_callers.py
+++ b/tests/series_callers.py
@@ -11,23 +11,23 @@
 from direct_support import Answer
 from direct_support import read_answer
 from direct_support import request
-from series_checks import Life
-from series_checks import Sent
+from series_checks import EntryIncarnation
+from series_checks import SentRequest
 from series_fleet import SeriesFleet
-from series_plan import STILL_TAKING_SECONDS
+from series_plan import ADMISSION_SECONDS
 from series_plan import Stop
 
-ANSWER_SECONDS = 15.0
+ANSWER_TIMEOUT_SECONDS = 15.0
 """Longest wait of a caller; no answer of a series takes so long."""
 
-ENDLESS = "/talk/x?ms=200&events=60"
+ENDLESS_TARGET = "/talk/x?ms=200&events=60"
 
 
 @dataclasses.dataclass
 class Connection:
     """A caller's connection to one life of an entry."""
 
-    life: Life
+    incarnation: EntryIncarnation
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
@@ -36,58 +36,58 @@
     """Sends requests and notes what became of them.
 
     :param refused: when no entry took a connection.
-    :param taken: when one did.
+    :param accepted: when one did.
     """
 
     def __init__(self, fleet: SeriesFleet, rng: random.Random) -> None:
         self.fleet = fleet
         self.rng = rng
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.refused: list[float] = []
-        self.taken: list[float] = []
-        self.over = asyncio.Event()
+        self.accepted: list[float] = []
+        self.stopping = asyncio.Event()
 
-    async def keep(self) -> None:
+    async def send_continuously(self) -> None:
         """Use connections to any entry, each until it is closed."""
         pause = self.rng.choice((0.001, 0.01, 0.2))
-        while not self.over.is_set():
+        while not self.stopping.is_set():
             connection = await self._connect_anywhere()
             if connection is None:
                 await asyncio.sleep(0.02)
                 continue
             while await self._ask(connection, self._target()):
                 await asyncio.sleep(self.rng.uniform(0.0, 2 * pause))
-                if self.over.is_set():
+                if self.stopping.is_set():
                     break
             connection.writer.close()
 
-    async def outlast(self, stop: Stop) -> None:
+    async def open_endless_stream(self, stop: Stop) -> None:
         """Ask for a stream that goes on past the entry's end."""
-        await self._on_new_connection(stop, ENDLESS)
+        await self._on_new_connection(stop, ENDLESS_TARGET)
 
-    async def aim(self, stop: Stop, told_after: float) -> None:
+    async def send_at_admission_end(self, stop: Stop, sigterm_delay: float) -> None:
         """Keep a connection idle and send just around the end of taking."""
-        life = self.fleet.current[stop.entry]
-        connection = await self._connect(life)
+        incarnation = self.fleet.current[stop.entry]
+        connection = await self._connect(incarnation)
         if connection is None:
             return
         if await self._ask(connection, "/read/x?ms=1"):
-            around = stop.still_seconds if stop.still_at else 0.05
-            after = STILL_TAKING_SECONDS + self.rng.uniform(-0.05, around)
-            await asyncio.sleep(told_after + after)
+            around = stop.stall_seconds if stop.stall_at else 0.05
+            after = ADMISSION_SECONDS + self.rng.uniform(-0.05, around)
+            await asyncio.sleep(sigterm_delay + after)
             await self._ask(connection, self._target())
         connection.writer.close()
 
-    async def open_late(self, stop: Stop) -> None:
+    async def connect_at_admission_end(self, stop: Stop) -> None:
         """Open a connection around the end of taking, and send on it."""
-        await asyncio.sleep(STILL_TAKING_SECONDS + self.rng.uniform(-0.1, 0.3))
+        await asyncio.sleep(ADMISSION_SECONDS + self.rng.uniform(-0.1, 0.3))
         await self._on_new_connection(stop, self._target())
 
-    async def follow(self, stop: Stop) -> None:
+    async def send_until_exit(self, stop: Stop) -> None:
         """Connect and send, with pauses, until the process is gone."""
-        life = self.fleet.current[stop.entry]
-        while life.process.returncode is None:
-            connection = await self._connect(life)
+        incarnation = self.fleet.current[stop.entry]
+        while incarnation.process.returncode is None:
+            connection = await self._connect(incarnation)
             if connection is None:
                 await asyncio.sleep(0.005)
                 continue
@@ -100,7 +100,7 @@
         """Return the longest time from a refusal to the next connection taken."""
         waits = [0.0]
         for at in self.refused:
-            waits.append(min((t for t in self.taken if t > at), default=at) - at)
+            waits.append(min((t for t in self.accepted if t > at), default=at) - at)
         return max(waits)
 
     async def _on_new_connection(self, stop: Stop, target: str) -> None:
@@ -111,23 +111,23 @@
             connection.writer.close()
 
     async def _connect_anywhere(self) -> Connection | None:
-        lives = list(self.fleet.current.values())
-        self.rng.shuffle(lives)
-        for life in lives:
-            connection = await self._connect(life)
+        incarnations = list(self.fleet.current.values())
+        self.rng.shuffle(incarnations)
+        for incarnation in incarnations:
+            connection = await self._connect(incarnation)
             if connection is not None:
                 return connection
         self.refused.append(time.monotonic())
         return None
 
-    async def _connect(self, life: Life) -> Connection | None:
-        port = self.fleet.entry_ports[life.entry]
+    async def _connect(self, incarnation: EntryIncarnation) -> Connection | None:
+        port = self.fleet.entry_ports[incarnation.entry]
         try:
             streams = await asyncio.open_connection("127.0.0.1", port)
         except ConnectionError:
             return None
-        self.taken.append(time.monotonic())
-        return Connection(self.fleet.current[life.entry], *streams)
+        self.accepted.append(time.monotonic())
+        return Connection(self.fleet.current[incarnation.entry], *streams)
 
     def _target(self) -> str:
         kind = self.rng.choice(("/order/", "/read/", "/talk/", "/long/"))
@@ -138,7 +138,7 @@
 
     async def _ask(self, connection: Connection, target: str) -> bool:
         """Send one request and return whether another one may follow."""
-        sent = Sent(f"q-{len(self.sent)}", target, connection.life)
+        sent = SentRequest(f"q-{len(self.sent)}", target, connection.incarnation)
         self.sent.append(sent)
         data = request(target, request_id=sent.request_id, X_Deadline_Ms="14000")
         got = None
@@ -156,4 +156,6 @@
             connection.writer.write(data[:cut])
             await asyncio.sleep(self.rng.uniform(0.0, 0.06))
         connection.writer.write(data[cut:])
-        return await asyncio.wait_for(read_answer(connection.reader), ANSWER_SECONDS)
+        return await asyncio.wait_for(
+            read_answer(connection.reader), ANSWER_TIMEOUT_SECONDS
+        )
--- a/tests/series_checks.py
+++ b/tests/series_checks.py
@@ -10,20 +10,20 @@
 
 from series_plan import Plan
 
-KILL_SECONDS = 8.0
+KILL_TIMEOUT_SECONDS = 8.0
 """When the platform kills an entry that was told to end."""
 
-LONGEST_ANSWER_SECONDS = 6.9
+MAX_ANSWER_SECONDS = 6.9
 """An answer that takes longer than this after SIGTERM may be cut off."""
 
-NOT_RUN = frozenset({408, 421, 429, 503})
-LOST_AT_REPLICA = frozenset({502, 504})
-STREAMS = ("/talk/", "/long/")
-AT_MOST_ONCE = ("/order/", "/talk/")
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+FAILED_AT_REPLICA_STATUSES = frozenset({502, 504})
+STREAM_PATHS = ("/talk/", "/long/")
+AT_MOST_ONCE_PATHS = ("/order/", "/talk/")
 
 
 @dataclasses.dataclass
-class Life:
+class EntryIncarnation:
     """One process of an entry, as the platform sees it; 0.0 is not yet.
 
     :param handle: descriptor that stands for the process.
@@ -35,7 +35,7 @@
     handle: int
     signals: set[int] = dataclasses.field(default_factory=set)
     ready_at: float = 0.0
-    told_at: float = 0.0
+    sigterm_at: float = 0.0
     killed_at: float = 0.0
     ended_at: float = 0.0
 
@@ -44,10 +44,10 @@
         code = self.process.returncode
         if code is None or self.killed_at:
             return ""
-        if not self.told_at:
+        if not self.sigterm_at:
             return f"entry-{self.entry} ended by itself with {code}"
-        seconds = self.ended_at - self.told_at
-        if seconds > KILL_SECONDS:
+        seconds = self.ended_at - self.sigterm_at
+        if seconds > KILL_TIMEOUT_SECONDS:
             return f"entry-{self.entry} ended {seconds:.2f} s after SIGTERM"
         # By then, or as yet, no request is with it.
         if code == 0 or -code in self.signals or not self.ready_at:
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentRequest:
     """A request as its caller knows it.
 
     :param status: 0 without a whole answer.
@@ -65,7 +65,7 @@
 
     request_id: str
     target: str
-    life: Life
+    incarnation: EntryIncarnation
     status: int = 0
     complete: bool = False
     body: bytes = b""
@@ -77,39 +77,39 @@
 
         :param runs: how often a replica received it.
         """
-        if runs > 1 and self.target.startswith(AT_MOST_ONCE):
+        if runs > 1 and self.target.startswith(AT_MOST_ONCE_PATHS):
             return "ran twice"
         if self.status == 0:
             return "cut off" if runs and not self._may_be_lost() else ""
-        if self.status in NOT_RUN:
+        if self.status in NOT_RUN_STATUSES:
             return "not run, it was told" if runs else ""
-        if self.status in LOST_AT_REPLICA:
-            replicas_close = plan.leaves or plan.replica_idle < 1.0
+        if self.status in FAILED_AT_REPLICA_STATUSES:
+            replicas_close = plan.replica_restarts or plan.replica_idle < 1.0
             return "" if replicas_close else "lost without a cause"
         if self.status != 200:
             return "no answer to this request"
         return self._answer_fault()
 
-    def show(self, fault: str, runs: int) -> str:
+    def describe(self, fault: str, runs: int) -> str:
         """Return a fault with all that is known of the request."""
-        told = self.life.told_at
+        told = self.incarnation.sigterm_at
         began, ended = self.began_at - told, self.ended_at - told
         after = f"{began:.3f} to {ended:.3f} s after SIGTERM" if told else "no SIGTERM"
         return (
-            f"{fault}: {self.request_id} {self.target} at entry-{self.life.entry}, "
-            f"status {self.status}, {runs} runs, {after}"
+            f"{fault}: {self.request_id} {self.target} at "
+            f"entry-{self.incarnation.entry}, status {self.status}, {runs} runs, {after}"
         )
 
     def _may_be_lost(self) -> bool:
         """Return whether it was in flight as its entry was killed, or out of time."""
-        life = self.life
-        if life.killed_at:
-            return self.ended_at >= life.killed_at
-        too_late = self.ended_at - life.told_at > LONGEST_ANSWER_SECONDS
-        return bool(life.told_at) and too_late
+        incarnation = self.incarnation
+        if incarnation.killed_at:
+            return self.ended_at >= incarnation.killed_at
+        too_late = self.ended_at - incarnation.sigterm_at > MAX_ANSWER_SECONDS
+        return bool(incarnation.sigterm_at) and too_late
 
     def _answer_fault(self) -> str:
-        if not self.target.startswith(STREAMS):
+        if not self.target.startswith(STREAM_PATHS):
             fine = self.body == f"fine {self.request_id}".encode()
             return "" if fine else "another body"
         last = int(self.target.rpartition("=")[2])
@@ -122,29 +122,33 @@
 
 
 @dataclasses.dataclass
-class Report:
+class SeriesReport:
     """What a series showed.
 
-    :param refused: attempts to connect at which no entry listened.
-    :param no_taker: longest time from such an attempt to a connection, in seconds.
-    :param none_ready: time in which no entry said that it is ready, in seconds.
+    :param refused: number of attempts to connect while no entry listened.
+    :param longest_refusal_seconds: longest time from such an attempt to the next
+        connection.
+    :param none_ready_seconds: total time in which no entry reported itself ready.
     """
 
     faults: list[str]
     statuses: dict[int, int]
     refused: int
-    no_taker: float
-    none_ready: float
+    longest_refusal_seconds: float
+    none_ready_seconds: float
 
 
 def find_faults(
-    plan: Plan, sent: list[Sent], lives: list[Life], received: list[str]
+    plan: Plan,
+    sent: list[SentRequest],
+    incarnations: list[EntryIncarnation],
+    received: list[str],
 ) -> list[str]:
     """Return all that must not be, one line each."""
     runs = collections.Counter(received)
     faults = ["" if received else "no request reached a replica"]
-    faults += [life.fault() for life in lives]
+    faults += [incarnation.fault() for incarnation in incarnations]
     for each in sent:
         fault = each.fault(runs[each.request_id], plan)
-        faults.append(fault and each.show(fault, runs[each.request_id]))
+        faults.append(fault and each.describe(fault, runs[each.request_id]))
     return [fault for fault in faults if fault]
--- a/tests/series_fleet.py
+++ b/tests/series_fleet.py
@@ -19,8 +19,8 @@
 from direct_support import config
 from direct_support import route
 from platform_standin import Store
-from series_checks import KILL_SECONDS
-from series_checks import Life
+from series_checks import KILL_TIMEOUT_SECONDS
+from series_checks import EntryIncarnation
 from series_plan import Plan
 
 TESTS = pathlib.Path(__file__).resolve().parent
@@ -72,8 +72,8 @@
         self.entry_ports = [base + 1 + 3 * n for n in range(plan.entries)]
         self.replica_ports = [base + 100 + n for n in range(plan.replicas)]
         self.replicas: dict[int, asyncio.subprocess.Process] = {}
-        self.lives: list[Life] = []
-        self.current: dict[int, Life] = {}
+        self.incarnations: list[EntryIncarnation] = []
+        self.current: dict[int, EntryIncarnation] = {}
         self.watches: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> SeriesFleet:
@@ -89,17 +89,17 @@
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        for life in self.lives:
-            if life.process.returncode is None:
-                life.killed_at = life.killed_at or time.monotonic()
-                life.process.kill()
+        for incarnation in self.incarnations:
+            if incarnation.process.returncode is None:
+                incarnation.killed_at = incarnation.killed_at or time.monotonic()
+                incarnation.process.kill()
         for replica in self.replicas.values():
             if replica.returncode is None:
                 replica.kill()
             await replica.wait()
         await asyncio.gather(*self.watches)
-        for life in self.lives:
-            os.close(life.handle)
+        for incarnation in self.incarnations:
+            os.close(incarnation.handle)
         await self.store.__aexit__()
         self.block.close()
 
@@ -140,19 +140,19 @@
                 await asyncio.sleep(0.02)
         entry = {"address": f"127.0.0.1:{port}", "zone": "zone-a", "version": "v1"}
         state = {"state": "ready", "cold-remaining-ms": 0, "sequence": 4, "slots": 64}
-        self.store.put(f"servers/i-{number}", entry | self.kind(number) | state)
+        self.store.put(f"servers/i-{number}", entry | self.registration(number) | state)
 
     def arguments(self, number: int) -> tuple[str, ...]:
         """Return what a replica's process is told beside the usual."""
         return ()
 
-    def kind(self, number: int) -> dict[str, object]:
+    def registration(self, number: int) -> dict[str, object]:
         """Return what a replica registers as."""
         if number < self.plan.plain:
             return {"service": "plain"}
         return {"service": "llm", "stage": "decode"}
 
-    async def leave(self, number: int) -> None:
+    async def restart_replica(self, number: int) -> None:
         """End a replica, known before or only after, and bring it back."""
         process, key = self.replicas[number], f"servers/i-{number}"
         known_before = self.rng.random() < 0.5
@@ -180,22 +180,22 @@
             BERGAMOTMAST_LISTEN_ADDRESS=listen,
             BERGAMOTMAST_READY_ADDRESS=ready,
             BERGAMOTMAST_PEER_ADDRESS=peer,
-            BERGAMOTMAST_SHUTDOWN_SECONDS=str(KILL_SECONDS),
+            BERGAMOTMAST_SHUTDOWN_SECONDS=str(KILL_TIMEOUT_SECONDS),
         )
-        life = Life(number, process, os.pidfd_open(process.pid))
-        self.lives.append(life)
-        self.current[number] = life
-        self.watches.append(asyncio.create_task(_watch_end(life)))
+        incarnation = EntryIncarnation(number, process, os.pidfd_open(process.pid))
+        self.incarnations.append(incarnation)
+        self.current[number] = incarnation
+        self.watches.append(asyncio.create_task(_watch_end(incarnation)))
         while process.returncode is None and not await self.is_ready(number):
             await asyncio.sleep(0.02)
-        life.ready_at = time.monotonic() if process.returncode is None else 0.0
+        incarnation.ready_at = time.monotonic() if process.returncode is None else 0.0
 
     async def restart_entry(self, number: int) -> None:
         """Kill an entry, start it anew and wait until it is ready."""
-        life = self.current.pop(number)
-        life.killed_at = time.monotonic()
-        life.process.kill()
-        await life.process.wait()
+        incarnation = self.current.pop(number)
+        incarnation.killed_at = time.monotonic()
+        incarnation.process.kill()
+        await incarnation.process.wait()
         await self.start_entry(number)
 
     async def _spawn(
@@ -216,32 +216,36 @@
         return self.folder / "received"
 
 
-async def until_loading(life: Life) -> None:
+async def wait_until_loading(incarnation: EntryIncarnation) -> None:
     """Wait until a process loads its libraries; no program hears a signal before."""
-    maps = pathlib.Path(f"/proc/{life.process.pid}/maps")
+    maps = pathlib.Path(f"/proc/{incarnation.process.pid}/maps")
     with contextlib.suppress(FileNotFoundError, ProcessLookupError):
-        while life.process.returncode is None and "msgspec" not in maps.read_text():
+        while (
+            incarnation.process.returncode is None and "msgspec" not in maps.read_text()
+        ):
             await asyncio.sleep(0.002)
 
 
-async def send_signal(life: Life, number: signal.Signals, after: float) -> None:
+async def send_signal(
+    incarnation: EntryIncarnation, number: signal.Signals, after: float
+) -> None:
     """Send a signal after a while to a process that still runs then."""
     await asyncio.sleep(after)
     with contextlib.suppress(ProcessLookupError):
         # The library's own way would take the exit code from whoever waits for it.
-        signal.pidfd_send_signal(life.handle, number)
-        life.signals.add(number)
+        signal.pidfd_send_signal(incarnation.handle, number)
+        incarnation.signals.add(number)
 
 
-async def _watch_end(life: Life) -> None:
+async def _watch_end(incarnation: EntryIncarnation) -> None:
     """Note when a process ends, without the way through a waiting thread."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
-    loop.add_reader(life.handle, ended.set)
+    loop.add_reader(incarnation.handle, ended.set)
     await ended.wait()
-    life.ended_at = time.monotonic()
-    loop.remove_reader(life.handle)
-    await life.process.wait()
+    incarnation.ended_at = time.monotonic()
+    loop.remove_reader(incarnation.handle)
+    await incarnation.process.wait()
 
 
 async def _listens(port: int) -> bool:
--- a/tests/size_series.py
+++ b/tests/size_series.py
@@ -30,17 +30,17 @@
 from prompt_load import Load
 from prompt_load import Prompt
 from prompt_load import shares_of
-from series_checks import Life
+from series_checks import EntryIncarnation
 from series_fleet import SeriesFleet
 from series_fleet import send_signal
 from series_plan import Plan
 
-PATIENCE_SECONDS = {"/report/x": 3.2, "/check/x": 2.0}
+CALLER_TIMEOUT_SECONDS = {"/report/x": 3.2, "/check/x": 2.0}
 """When callers leave without an answer."""
 
-ANSWER_SECONDS = 8.0
-ANSWERING = 2
-MOST_AT_ONCE = 5
+REQUEST_DEADLINE_SECONDS = 8.0
+DECODE_ENGINES = 2
+MAX_PARALLEL_SERIES = 5
 
 
 @dataclasses.dataclass(frozen=True)
@@ -49,45 +49,45 @@
 
     :param kills: when which entry is killed; it starts again at once.
     :param pauses: when which entry stands still, and for how long.
-    :param leaves: when which reading engine ends; it is back a second later.
+    :param replica_restarts: when which reading engine ends; it is back a second later.
     """
 
     entries: int
-    readers: int
+    prefill_engines: int
     load: Load
     kills: tuple[tuple[float, int], ...]
     pauses: tuple[tuple[float, int, float], ...]
-    leaves: tuple[tuple[float, int], ...]
+    replica_restarts: tuple[tuple[float, int], ...]
 
     @property
     def engines(self) -> int:
         """Number of engines in both roles."""
-        return self.readers + ANSWERING
+        return self.prefill_engines + DECODE_ENGINES
 
 
 def draw_plan(seed: int, most_entries: int = 4) -> SizePlan:
     """Return the series of a seed."""
     rng = random.Random(seed)
     entries = rng.randint(2, most_entries)
-    readers = rng.randint(3, 5)
+    prefill_engines = rng.randint(3, 5)
 
     def times(most: int) -> list[float]:
         return sorted(rng.uniform(2.0, 12.0) for _ in range(rng.randint(0, most)))
 
     return SizePlan(
         entries,
-        readers,
+        prefill_engines,
         Load(
             seconds=14.0,
-            reports=3.0 * readers,
-            checks=4.0 * readers,
+            reports=3.0 * prefill_engines,
+            checks=4.0 * prefill_engines,
             peak=(2.0, 12.0),
             factor=rng.uniform(2.5, 5.0),
             spread=rng.uniform(0.7, 0.9),
         ),
         tuple((at, rng.randrange(entries)) for at in times(1)),
         tuple((at, rng.randrange(entries), rng.uniform(0.1, 0.8)) for at in times(2)),
-        tuple((at, rng.randrange(1, readers)) for at in times(1)),
+        tuple((at, rng.randrange(1, prefill_engines)) for at in times(1)),
     )
 
 
@@ -97,18 +97,18 @@
     replica_script = "size_replica.py"
     routes = ROUTES
 
-    def kind(self, number: int) -> dict[str, object]:
+    def registration(self, number: int) -> dict[str, object]:
         """Return what a replica registers as: the last ones answer."""
-        stage = "decode" if number >= self.plan.engines - ANSWERING else "prefill"
+        stage = "decode" if number >= self.plan.engines - DECODE_ENGINES else "prefill"
         return {"service": "llm", "stage": stage}
 
     def arguments(self, number: int) -> tuple[str, ...]:
         """Return what the replica's process is told beside the usual."""
-        return (str(self.kind(number)["stage"]),)
+        return (str(self.registration(number)["stage"]),)
 
 
 @dataclasses.dataclass
-class Try:
+class PromptAttempt:
     """One try of a prompt's caller.
 
     :param status: 0 without a whole answer.
@@ -116,7 +116,7 @@
     """
 
     prompt: Prompt
-    life: Life
+    incarnation: EntryIncarnation
     status: int = 0
     left: bool = False
     retry_after: float = 0.0
@@ -125,7 +125,7 @@
     @property
     def was_cut(self) -> bool:
         """Whether its entry was killed before it ended."""
-        return bool(self.life.killed_at) and not self.status and not self.left
+        return bool(self.incarnation.killed_at) and not self.status and not self.left
 
     def fault(self) -> str:
         """Return what must not be, if anything."""
@@ -151,8 +151,8 @@
         self.rng = random.Random(f"callers-{seed}")
         processes = Plan(plan.entries, 0, plan.engines, 0, ())
         self.fleet = SizeFleet(processes, folder, self.rng)
-        self.tries: list[Try] = []
-        self.begin = 0.0
+        self.attempts: list[PromptAttempt] = []
+        self.started_at = 0.0
 
     async def run(self) -> SizeReport:
         """Play the series and check what callers saw."""
@@ -160,7 +160,7 @@
         async with self.fleet:
             # Each entry has heard of all engines by then.
             await asyncio.sleep(1.0)
-            self.begin = time.monotonic()
+            self.started_at = time.monotonic()
             async with asyncio.TaskGroup() as group:
                 for prompt in prompts:
                     group.create_task(self._call(prompt))
@@ -168,22 +168,22 @@
                     group.create_task(self._kill(at, entry))
                 for at, entry, seconds in self.plan.pauses:
                     group.create_task(self._pause(at, entry, seconds))
-                for at, number in self.plan.leaves:
+                for at, number in self.plan.replica_restarts:
                     group.create_task(self._leave(at, number))
         return self._report(prompts)
 
     def _report(self, prompts: list[Prompt]) -> SizeReport:
-        served = {each.prompt.name for each in self.tries if each.status == 200}
-        cut = {each.prompt.name for each in self.tries if each.was_cut} - served
+        served = {each.prompt.name for each in self.attempts if each.status == 200}
+        cut = {each.prompt.name for each in self.attempts if each.was_cut} - served
         reports = [p for p in prompts if p.target == "/report/x" and p.name not in cut]
         shares = shares_of(reports, served)
-        faults = [fault for each in self.tries if (fault := each.fault())]
+        faults = [fault for each in self.attempts if (fault := each.fault())]
         if shares.least_ratio < LEAST_RATIO:
             faults.append(f"large prompts are served too seldom: {shares}")
         return SizeReport(shares, faults)
 
     async def _until(self, at: float) -> None:
-        await asyncio.sleep(self.begin + at - time.monotonic())
+        await asyncio.sleep(self.started_at + at - time.monotonic())
 
     async def _kill(self, at: float, entry: int) -> None:
         await self._until(at)
@@ -192,66 +192,70 @@
 
     async def _pause(self, at: float, entry: int, seconds: float) -> None:
         await self._until(at)
-        life = self.fleet.current.get(entry)
-        if life is not None:
-            await send_signal(life, signal.SIGSTOP, 0.0)
-            await send_signal(life, signal.SIGCONT, seconds)
+        incarnation = self.fleet.current.get(entry)
+        if incarnation is not None:
+            await send_signal(incarnation, signal.SIGSTOP, 0.0)
+            await send_signal(incarnation, signal.SIGCONT, seconds)
 
     async def _leave(self, at: float, number: int) -> None:
         await self._until(at)
-        await self.fleet.leave(number)
+        await self.fleet.restart_replica(number)
 
     async def _call(self, prompt: Prompt) -> None:
         await self._until(prompt.at)
         for number in range(2):
-            tried = await self._try(prompt, f"{prompt.name}-{number}")
-            if tried is None or tried.status != 503:
+            attempt = await self._try(prompt, f"{prompt.name}-{number}")
+            if attempt is None or attempt.status != 503:
                 return
-            await asyncio.sleep(tried.retry_after)
-
-    async def _try(self, prompt: Prompt, request_id: str) -> Try | None:
-        ready = [life for life in self.fleet.current.values() if life.ready_at]
+            await asyncio.sleep(attempt.retry_after)
+
+    async def _try(self, prompt: Prompt, request_id: str) -> PromptAttempt | None:
+        ready = [
+            incarnation
+            for incarnation in self.fleet.current.values()
+            if incarnation.ready_at
+        ]
         if not ready:
             return None
-        tried = Try(prompt, self.rng.choice(ready))
+        attempt = PromptAttempt(prompt, self.rng.choice(ready))
         try:
             streams = await asyncio.open_connection(
-                "127.0.0.1", self.fleet.entry_ports[tried.life.entry]
+                "127.0.0.1", self.fleet.entry_ports[attempt.incarnation.entry]
             )
         except ConnectionError:
             return None
-        self.tries.append(tried)
+        self.attempts.append(attempt)
         try:
-            await self._exchange(tried, request_id, *streams)
+            await self._exchange(attempt, request_id, *streams)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         except TimeoutError:
-            tried.left = True
+            attempt.left = True
         finally:
             streams[1].close()
-        return tried
+        return attempt
 
     async def _exchange(
         self,
-        tried: Try,
+        attempt: PromptAttempt,
         request_id: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        prompt = tried.prompt
+        prompt = attempt.prompt
         data = request(
             prompt.target,
             request_id=request_id,
-            X_Deadline_Ms=str(int(ANSWER_SECONDS * 1e3)),
+            X_Deadline_Ms=str(int(REQUEST_DEADLINE_SECONDS * 1e3)),
             X_Token_Count=f"{prompt.size},30",
             X_Prompt_Prefix=f"{prompt.name}:{prompt.size}",
         )
         writer.write(data)
-        async with asyncio.timeout(PATIENCE_SECONDS[prompt.target]):
+        async with asyncio.timeout(CALLER_TIMEOUT_SECONDS[prompt.target]):
             answer: Answer = await read_answer(reader)
         if answer.complete:
-            tried.status = answer.status
-            tried.retry_after = float(answer.headers.get("retry-after", "0"))
+            attempt.status = answer.status
+            attempt.retry_after = float(answer.headers.get("retry-after", "0"))
 
 
 async def run_plan(plan: SizePlan, seed: int) -> SizeReport:
@@ -291,7 +295,7 @@
     parser.add_argument("--first", type=int, default=2000)
     parser.add_argument("--count", type=int, default=50)
     parser.add_argument("--most", type=int, default=4, help="entries")
-    parser.add_argument("--at-once", type=int, default=MOST_AT_ONCE)
+    parser.add_argument("--at-once", type=int, default=MAX_PARALLEL_SERIES)
     arguments = parser.parse_args()
     seeds = list(range(arguments.first, arguments.first + arguments.count))
     with contextlib.suppress(KeyboardInterrupt):
--- a/tests/stop_series.py
+++ b/tests/stop_series.py
@@ -17,27 +17,27 @@
 import time
 
 from series_callers import SeriesCallers
-from series_checks import Report
+from series_checks import SeriesReport
 from series_checks import find_faults
 from series_fleet import SeriesFleet
 from series_fleet import send_signal
-from series_fleet import until_loading
+from series_fleet import wait_until_loading
 from series_plan import Plan
 from series_plan import Stop
 from series_plan import draw_plan
 
-SERIES_SECONDS = 90.0
+SERIES_TIMEOUT_SECONDS = 90.0
 """A series that takes longer hangs."""
 
-BEFORE_SIGTERM_SECONDS = 0.2
+SIGTERM_DELAY_SECONDS = 0.2
 """Callers that keep a connection idle have theirs by then."""
 
-NEXT_STOP_SECONDS = 4.0
+MAX_START_WAIT_SECONDS = 4.0
 """Most time that a new start is waited for before the same entry is stopped again."""
 
-PROBE_SECONDS = 0.05
+PROBE_INTERVAL_SECONDS = 0.05
 
-KEPT = {
+KNOWN_BROKEN_SEEDS = {
     100: "ends too late: a stream goes on for long",
     101: "ends too late, and by SIGHUP: as 100 and 123",
     103: "ends too late: as 100",
@@ -77,32 +77,32 @@
         rng = random.Random(f"callers-{seed}")
         self.fleet = SeriesFleet(plan, folder, rng)
         self.callers = SeriesCallers(self.fleet, rng)
-        self.none_ready = 0.0
-        self.begin = 0.0
+        self.none_ready_seconds = 0.0
+        self.started_at = 0.0
 
-    async def run(self) -> Report:
+    async def run(self) -> SeriesReport:
         """Play the plan and check what callers and replicas saw."""
-        async with asyncio.timeout(SERIES_SECONDS), self.fleet:
-            self.begin = time.monotonic()
+        async with asyncio.timeout(SERIES_TIMEOUT_SECONDS), self.fleet:
+            self.started_at = time.monotonic()
             async with asyncio.TaskGroup() as group:
-                for _ in range(self.plan.keepers):
-                    group.create_task(self.callers.keep())
+                for _ in range(self.plan.continuous_callers):
+                    group.create_task(self.callers.send_continuously())
                 group.create_task(self._watch_readiness())
                 await self._play()
-                self.callers.over.set()
-        sent, lives = self.callers.sent, self.fleet.lives
-        return Report(
-            find_faults(self.plan, sent, lives, self.fleet.received()),
+                self.callers.stopping.set()
+        sent, incarnations = self.callers.sent, self.fleet.incarnations
+        return SeriesReport(
+            find_faults(self.plan, sent, incarnations, self.fleet.received()),
             dict(collections.Counter(each.status for each in sent)),
             len(self.callers.refused),
             self.callers.longest_refusal(),
-            self.none_ready,
+            self.none_ready_seconds,
         )
 
     async def _play(self) -> None:
         async with asyncio.TaskGroup() as group:
             group.create_task(self._store_fault())
-            for at, number in self.plan.leaves:
+            for at, number in self.plan.replica_restarts:
                 group.create_task(self._leave(at, number))
             for at, entry in self.plan.reloads:
                 group.create_task(self._reload(at, entry))
@@ -110,17 +110,17 @@
                 group.create_task(self._stop_and_start(entry))
 
     async def _until(self, at: float) -> None:
-        await asyncio.sleep(self.begin + at - time.monotonic())
+        await asyncio.sleep(self.started_at + at - time.monotonic())
 
     async def _leave(self, at: float, number: int) -> None:
         await self._until(at)
-        await self.fleet.leave(number)
+        await self.fleet.restart_replica(number)
 
     async def _reload(self, at: float, entry: int) -> None:
         await self._until(at)
-        life = self.fleet.current[entry]
-        await until_loading(life)
-        await send_signal(life, signal.SIGHUP, 0.0)
+        incarnation = self.fleet.current[entry]
+        await wait_until_loading(incarnation)
+        await send_signal(incarnation, signal.SIGHUP, 0.0)
 
     async def _store_fault(self) -> None:
         if not self.plan.store_fault:
@@ -133,13 +133,13 @@
 
     async def _watch_readiness(self) -> None:
         before = time.monotonic()
-        while not self.callers.over.is_set():
+        while not self.callers.stopping.is_set():
             probes = map(self.fleet.is_ready, range(self.plan.entries))
             ready = await asyncio.gather(*probes)
             now = time.monotonic()
-            self.none_ready += 0.0 if any(ready) else now - before
+            self.none_ready_seconds += 0.0 if any(ready) else now - before
             before = now
-            await asyncio.sleep(PROBE_SECONDS)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def _stop_and_start(self, entry: int) -> None:
         for stop in (s for s in self.plan.stops if s.entry == entry):
@@ -149,44 +149,46 @@
                 return
             await asyncio.sleep(stop.restart)
             start = asyncio.create_task(self.fleet.start_entry(entry))
-            await asyncio.wait({start}, timeout=NEXT_STOP_SECONDS)
+            await asyncio.wait({start}, timeout=MAX_START_WAIT_SECONDS)
 
     async def _end(self, stop: Stop) -> None:
-        life = self.fleet.current[stop.entry]
+        incarnation = self.fleet.current[stop.entry]
         if stop.killed:
-            life.killed_at = time.monotonic()
-            life.process.kill()
-            await life.process.wait()
+            incarnation.killed_at = time.monotonic()
+            incarnation.process.kill()
+            await incarnation.process.wait()
             return
         async with asyncio.TaskGroup() as group:
-            for _ in range(stop.endless):
-                group.create_task(self.callers.outlast(stop))
-            for _ in range(stop.aimed):
-                group.create_task(self.callers.aim(stop, BEFORE_SIGTERM_SECONDS))
-            await asyncio.sleep(BEFORE_SIGTERM_SECONDS)
-            life.told_at = time.monotonic()
-            await send_signal(life, signal.SIGTERM, 0.0)
-            for _ in range(stop.opened):
-                group.create_task(self.callers.open_late(stop))
-            for after, number in stop.again:
-                group.create_task(send_signal(life, number, after))
-            for _ in range(stop.dogged):
-                group.create_task(self.callers.follow(stop))
-            for after in stop.halts:
-                group.create_task(send_signal(life, signal.SIGUSR2, after))
-            if stop.still_at:
+            for _ in range(stop.endless_streams):
+                group.create_task(self.callers.open_endless_stream(stop))
+            for _ in range(stop.idle_connections):
+                group.create_task(
+                    self.callers.send_at_admission_end(stop, SIGTERM_DELAY_SECONDS)
+                )
+            await asyncio.sleep(SIGTERM_DELAY_SECONDS)
+            incarnation.sigterm_at = time.monotonic()
+            await send_signal(incarnation, signal.SIGTERM, 0.0)
+            for _ in range(stop.late_connections):
+                group.create_task(self.callers.connect_at_admission_end(stop))
+            for after, number in stop.further_signals:
+                group.create_task(send_signal(incarnation, number, after))
+            for _ in range(stop.persistent_callers):
+                group.create_task(self.callers.send_until_exit(stop))
+            for after in stop.loop_stalls:
+                group.create_task(send_signal(incarnation, signal.SIGUSR2, after))
+            if stop.stall_at:
                 group.create_task(self._hold(stop))
-            await life.process.wait()
+            await incarnation.process.wait()
 
     async def _hold(self, stop: Stop) -> None:
         """Make a process, or its event loop alone, stand still for a while."""
-        life = self.fleet.current[stop.entry]
-        await send_signal(life, stop.still_by, stop.still_at)
-        if stop.still_by == signal.SIGSTOP:
-            await send_signal(life, signal.SIGCONT, stop.still_seconds)
+        incarnation = self.fleet.current[stop.entry]
+        await send_signal(incarnation, stop.stall_signal, stop.stall_at)
+        if stop.stall_signal == signal.SIGSTOP:
+            await send_signal(incarnation, signal.SIGCONT, stop.stall_seconds)
 
 
-async def run_plan(plan: Plan, seed: int) -> Report:
+async def run_plan(plan: Plan, seed: int) -> SeriesReport:
     """Play a plan; what was logged stays where something broke."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"series-{seed}-"))
     report = await Series(plan, folder, seed).run()
@@ -207,14 +209,15 @@
     arguments = parser.parse_args()
     seeds = list(range(arguments.first, arguments.first + arguments.count))
     if arguments.kept:
-        seeds = list(KEPT)
+        seeds = list(KNOWN_BROKEN_SEEDS)
     broken = 0
     for seed in seeds:
         report = asyncio.run(run_plan(draw_plan(seed, arguments.most), seed))
         broken += bool(report.faults)
         print(
             f"seed {seed}: {report.statuses}, refused {report.refused}, longest "
-            f"{report.no_taker:.2f} s, none ready {report.none_ready:.2f} s, "
+            f"{report.longest_refusal_seconds:.2f} s, none ready "
+            f"{report.none_ready_seconds:.2f} s, "
             f"faults {len(report.faults)}",
             *report.faults[:20],
             sep="\n  ",
--- a/tests/test_bench_sockets.py
+++ b/tests/test_bench_sockets.py
@@ -20,7 +20,7 @@
 from bergamotmast.bench.sockets_report import cost_of
 from bergamotmast.bench.sockets_report import latency_of
 from bergamotmast.bench.sockets_report import report_of
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 
 SHARED = {"side-engine-1": 0.5, "side-engine-2": 0.5, "entry": 2.0, "passthrough": 0.0}
 FLOOR = {"side-engine-1": 0.0, "side-engine-2": 0.0, "entry": 0.0, "passthrough": 0.5}
--- a/tests/test_config_over_http.py
+++ b/tests/test_config_over_http.py
@@ -14,9 +14,9 @@
 from bergamotmast.config.watch import ConfigWatcher
 from bergamotmast.errors import KeyValueUnavailableError
 from bergamotmast.history import NullHistory
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 from bergamotmast.standins.key_value import KeyValueStandIn
-from bergamotmast.standins.key_value_front import KeyValueFront
+from bergamotmast.standins.key_value_frontend import KeyValueFrontend
 
 EXAMPLE = pathlib.Path(__file__).parent.parent / "examples/trindade/config.yaml"
 
@@ -48,7 +48,7 @@
     # stops, restarts at the same address, and is edited again. Each edit must be in
     # force within seconds.
     standin = KeyValueStandIn()
-    server = serving(KeyValueFront(standin).application())
+    server = serving(KeyValueFrontend(standin).application())
     url = await server.__aenter__()
     monkeypatch.setenv("BERGAMOTMAST_KEY_VALUE_URL", url)
     async with watching(url, "entry-1") as holder:
@@ -61,7 +61,7 @@
         with pytest.raises(KeyValueUnavailableError):
             await run("label", "engine-3", "state=active")
         port = int(url.rpartition(":")[2])
-        async with serving(KeyValueFront(standin).application(), port=port):
+        async with serving(KeyValueFrontend(standin).application(), port=port):
             async with asyncio.timeout(MAX_DELIVERY_SECONDS):
                 await run("label", "engine-3", "state=active")
                 await holder.wait_for_newer(2)
--- a/tests/test_daemon_stopping.py
+++ b/tests/test_daemon_stopping.py
@@ -15,7 +15,7 @@
 from bergamotmast.load import LoadDriver
 from bergamotmast.load import plan_model_call
 from bergamotmast.standins.engine_text import expected_text
-from kept_callers import KeptCallers
+from keep_alive_callers import KeepAliveCallers
 from process_fleet import process_fleet
 from support import MODEL
 
@@ -60,13 +60,13 @@
     # is told to end. It may answer a call or refuse it; a connection that is closed
     # without a word leaves the caller to guess whether its order was placed.
     async with process_fleet(tmp_path, engines=0, entries=1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal("entry-1", signal.SIGTERM)
             assert await ended(f, "entry-1") == 0
     assert callers.statuses[200] > CALLERS
-    assert callers.cut == []
+    assert callers.closed_unanswered == []
 
 
 async def replace_side(f, name):
@@ -82,7 +82,7 @@
     # ended and started again. There is always another one, so everything is answered
     # whole: an order that never reached its service must not end as "unknown".
     async with process_fleet(tmp_path, entries=1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS), streaming(f, "entry-1", 12.0):
             for name in f.sides:
                 await replace_side(f, name)
@@ -96,7 +96,7 @@
     # A side of each kind and one of two entries are told to end within 0.2 s. What
     # the other entry was sent is answered whole, the ending one answers or refuses.
     async with process_fleet(tmp_path) as f:
-        leaving, staying = (KeptCallers(f.urls[f"entry-{n}"]) for n in (1, 2))
+        leaving, staying = (KeepAliveCallers(f.urls[f"entry-{n}"]) for n in (1, 2))
         async with (
             leaving.sending(CALLERS),
             staying.sending(CALLERS),
@@ -112,7 +112,7 @@
         records = f.records()
     counts = summary(records)
     assert (staying.unanswered, len(staying.ran(records))) == ({}, 0)
-    assert leaving.cut == []
+    assert leaving.closed_unanswered == []
     assert "unknown" not in leaving.outcomes
     assert counts.answered_whole == counts.sent
 
@@ -125,7 +125,7 @@
     async with process_fleet(
         tmp_path, 1, 1, 1, side_flags=flags, entry_flags=flags
     ) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS), streaming(f, "entry-1", 2.0):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal(name, signal.SIGHUP)
@@ -144,7 +144,7 @@
     # The platform says SIGTERM twice, or a person adds Ctrl-C. The process is ending
     # already, and goes on ending as if told once.
     async with process_fleet(tmp_path, engines=0, entries=1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal(name, signal.SIGTERM)
@@ -153,7 +153,10 @@
                 with contextlib.suppress(ProcessLookupError):
                     f.signal(name, again)
             assert await ended(f, name) == 0
-    assert (callers.cut, callers.outcomes - {"", "not_run"}) == ([], set())
+    assert (callers.closed_unanswered, callers.outcomes - {"", "not_run"}) == (
+        [],
+        set(),
+    )
 
 
 SLOW_SECONDS = 30.0
@@ -232,7 +235,7 @@
     # still. ZeroMQ drops what the entry has not read when the connection closes, and
     # orders that ran would end as "unknown": the side waits until it hears the entry.
     async with process_fleet(tmp_path, 0, 2, 1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal("side-service-1", signal.SIGTERM)
@@ -268,12 +271,15 @@
         await f.kill("entry-1")
         await f.launch("entry-1", f.commands["entry-1"], ("-c", program))
         await f.until_serving("entry-1", 2)
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             assert await ended(f, "entry-1") != 0
         log = (tmp_path / "entry-1.log").read_text()
     assert callers.statuses[200] > CALLERS
-    assert (callers.cut, callers.outcomes - {"", "not_run"}) == ([], set())
+    assert (callers.closed_unanswered, callers.outcomes - {"", "not_run"}) == (
+        [],
+        set(),
+    )
     assert "a fault of ours" in log
 
 
@@ -287,7 +293,7 @@
         assert await ended(f, "side-service-1") == 0
         await f.launch("side-service-1", f.commands["side-service-1"], ("-c", program))
         await f.until_serving("entry-1", 2)
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             assert await ended(f, "side-service-1") != 0
     assert callers.statuses[200] > CALLERS
--- a/tests/test_engine_port.py
+++ b/tests/test_engine_port.py
@@ -19,10 +19,10 @@
 from bergamotmast.model import Priority
 from bergamotmast.model import Role
 from bergamotmast.standins.engine import EngineStandIn
-from bergamotmast.standins.engine_front import EngineFront
+from bergamotmast.standins.engine_frontend import EngineFrontend
 from bergamotmast.standins.engine_spec import EngineSpec
 from bergamotmast.standins.engine_text import expected_text
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 
 SPEC = EngineSpec(change_seconds=0.05, load_lag=0.2, cache_event_lag=0.0)
 
@@ -37,7 +37,7 @@
     if request.param == "in process":
         yield standin
         return
-    async with serving(EngineFront(standin).application()) as url:
+    async with serving(EngineFrontend(standin).application()) as url:
         async with client_session() as session:
             yield HttpEngine(session, url)
 
@@ -141,7 +141,7 @@
 
 async def test_unreachable_engine():
     async with client_session() as session:
-        async with serving(EngineFront(EngineStandIn("e")).application()) as url:
+        async with serving(EngineFrontend(EngineStandIn("e")).application()) as url:
             engine = HttpEngine(session, url)
         with pytest.raises(NotReachedError):
             await anext(engine.generate(request("a")))
--- a/tests/test_fault_runs.py
+++ b/tests/test_fault_runs.py
@@ -6,18 +6,18 @@
 
 from bergamotmast.checker import check
 from bergamotmast.errors import SettingError
-from bergamotmast.faults.cli import as_text
+from bergamotmast.faults.cli import format_run
 from bergamotmast.faults.cli import parse_seeds
-from bergamotmast.faults.gates import install
+from bergamotmast.faults.environment import ENTRIES
+from bergamotmast.faults.environment import FaultEnvironment
+from bergamotmast.faults.gates import install_task_factory
 from bergamotmast.faults.run import run_seed
-from bergamotmast.faults.world import ENTRIES
-from bergamotmast.faults.world import FaultWorld
 from bergamotmast.history import OrderTaken
 from bergamotmast.history import PlanWritten
 
 SEEDS = range(1, 17)
 
-FAULTS_FOUND = {
+REGRESSION_SEEDS = {
     62: "a planner's epoch was given out again after a restore of the service",
     43: "an entry that started during an outage of the service talked to no side",
     320: "a side of a drained engine, replaced in an outage, heard from no entry",
@@ -29,14 +29,14 @@
 """Seeds that once showed a fault, and what it was."""
 
 
-@pytest.mark.parametrize("seed", [*SEEDS, *FAULTS_FOUND])
+@pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS])
 def test_every_promise_holds_under_the_faults_of_a_seed(seed):
     # Callers send for a minute while processes are killed, paused, cut off, replaced
     # and shut down, engines crash in mid-change, replies are lost, the key-value
     # service goes down and comes back older, and operators edit and drain. What
     # callers were told is then compared with what upstreams ran.
     result = run_seed(seed)
-    assert result.holds, as_text(result, with_log=True)
+    assert result.holds, format_run(result, with_log=True)
     assert result.summary.sent > 100
     assert result.summary.lost == 0
 
@@ -52,18 +52,18 @@
     # The key-value service is down; an entry is replaced and knows no group, so no
     # side that it should talk to. Callers would be refused there until the service
     # is back, although every side could tell it what is in force.
-    install(asyncio.get_running_loop())
-    world = FaultWorld(1)
-    await world.start()
+    install_task_factory(asyncio.get_running_loop())
+    environment = FaultEnvironment(1)
+    await environment.start()
     await asyncio.sleep(10.0)
-    world.kv.down = True
-    await world.kill("entry-1")
-    world.start_process("entry-1")
+    environment.kv.down = True
+    await environment.kill("entry-1")
+    environment.start_process("entry-1")
     await asyncio.sleep(10.0)
-    entry = world.entry("entry-1")
+    entry = environment.entry("entry-1")
     assert entry is not None
     assert entry.holder.generation == 1
-    await world.stop()
+    await environment.stop()
 
 
 @pytest.mark.looptime
@@ -71,22 +71,22 @@
     # The service loses the plan of an epoch, and every planner that knew the epoch
     # is replaced. A new one takes over; engines that ignore tokens would be given
     # two orders under one number, and sides could not tell which is newer.
-    install(asyncio.get_running_loop())
-    world = FaultWorld(1)
-    before = world.kv.snapshot()
-    await world.start()
+    install_task_factory(asyncio.get_running_loop())
+    environment = FaultEnvironment(1)
+    before = environment.kv.snapshot()
+    await environment.start()
     await asyncio.sleep(30.0)
-    written = [r for r in world.history.records if isinstance(r, PlanWritten)]
+    written = [r for r in environment.history.records if isinstance(r, PlanWritten)]
     for name in ENTRIES:
-        await world.kill(name)
-    world.kv.restore(before)
+        await environment.kill(name)
+    environment.kv.restore(before)
     for name in ENTRIES:
-        world.start_process(name)
+        environment.start_process(name)
     await asyncio.sleep(30.0)
-    records = [r for r in world.history.records if isinstance(r, PlanWritten)]
+    records = [r for r in environment.history.records if isinstance(r, PlanWritten)]
     assert len(records) > len(written) > 0
     assert check(records) == []
-    await world.stop()
+    await environment.stop()
 
 
 def test_a_range_of_seeds_is_read():
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -5,14 +5,14 @@
 import pytest
 
 from bergamotmast.faults.gates import Gate
-from bergamotmast.faults.gates import install
+from bergamotmast.faults.gates import install_task_factory
 
 
 @pytest.mark.looptime
 async def test_a_paused_process_takes_no_step_and_its_timers_fall_due():
     # A process ticks each second and is stopped for ten: nothing of it moves, then it
     # wakes and sees that a timeout of its own has passed meanwhile.
-    install(asyncio.get_running_loop())
+    install_task_factory(asyncio.get_running_loop())
     loop = asyncio.get_running_loop()
     gate = Gate()
     ticks = []
@@ -50,7 +50,7 @@
 
 @pytest.mark.looptime
 async def test_a_killed_process_ends_with_all_its_tasks_also_while_paused():
-    install(asyncio.get_running_loop())
+    install_task_factory(asyncio.get_running_loop())
     gate = Gate()
     ended = []
 
--- a/tests/test_key_value_port.py
+++ b/tests/test_key_value_port.py
@@ -16,9 +16,9 @@
 from bergamotmast.ports import Delete
 from bergamotmast.ports import Put
 from bergamotmast.ports import WatchEvent
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 from bergamotmast.standins.key_value import KeyValueStandIn
-from bergamotmast.standins.key_value_front import KeyValueFront
+from bergamotmast.standins.key_value_frontend import KeyValueFrontend
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
     if request.param == "in process":
         yield standin.client("a")
         return
-    async with serving(KeyValueFront(standin).application()) as url:
+    async with serving(KeyValueFrontend(standin).application()) as url:
         async with client_session() as session:
             yield HttpKeyValueService(session, url, "a")
 
@@ -136,7 +136,7 @@
     monkeypatch.setattr(key_value_http, "CALL_SECONDS", 0.5)
     standin = KeyValueStandIn(delay=2.0)
     async with client_session() as session:
-        async with serving(KeyValueFront(standin).application()) as url:
+        async with serving(KeyValueFrontend(standin).application()) as url:
             client = HttpKeyValueService(session, url, "a")
             with pytest.raises(KeyValueUnavailableError):
                 await client.get("k")
--- a/tests/test_size_series.py
+++ b/tests/test_size_series.py
@@ -8,8 +8,8 @@
 import pytest
 
 from prompt_load import Prompt
-from series_checks import Life
-from size_series import Try
+from series_checks import EntryIncarnation
+from size_series import PromptAttempt
 from size_series import draw_plan
 from size_series import run_plan
 
@@ -34,6 +34,6 @@
     ],
 )
 def test_checks_name_tries_without_an_answer(status, left, killed_at, fault):
-    life = Life(entry=0, process=None, handle=0, killed_at=killed_at)
+    incarnation = EntryIncarnation(entry=0, process=None, handle=0, killed_at=killed_at)
     prompt = Prompt("report-1", "/report/x", 0.0, 900)
-    assert Try(prompt, life, status, left).fault() == fault
+    assert PromptAttempt(prompt, incarnation, status, left).fault() == fault
--- a/tests/test_small_ports.py
+++ b/tests/test_small_ports.py
@@ -19,13 +19,13 @@
 from bergamotmast.model import Priority
 from bergamotmast.model import ServiceCall
 from bergamotmast.model import UpstreamKind
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 from bergamotmast.standins.instance_list import InstanceListStandIn
 from bergamotmast.standins.service import ServiceStandIn
 from bergamotmast.standins.service import expected_body
-from bergamotmast.standins.small_fronts import instance_list_application
-from bergamotmast.standins.small_fronts import service_application
-from bergamotmast.standins.small_fronts import weight_store_application
+from bergamotmast.standins.small_frontends import instance_list_application
+from bergamotmast.standins.small_frontends import service_application
+from bergamotmast.standins.small_frontends import weight_store_application
 from bergamotmast.standins.weights import WeightStoreStandIn
 
 INFO = InstanceInfo(
--- a/tests/test_stop_series.py
+++ b/tests/test_stop_series.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from series_checks import Life
-from series_checks import Sent
+from series_checks import EntryIncarnation
+from series_checks import SentRequest
 from series_fleet import SeriesFleet
 from series_fleet import send_signal
-from series_fleet import until_loading
+from series_fleet import wait_until_loading
 from series_plan import Plan
 from series_plan import Stop
 from series_plan import draw_plan
@@ -28,8 +28,8 @@
     entries=1,
     plain=2,
     engines=2,
-    keepers=0,
-    stops=(Stop(entry=0, at=3.0, aimed=1, endless=1),),
+    continuous_callers=0,
+    stops=(Stop(entry=0, at=3.0, idle_connections=1, endless_streams=1),),
     store_fault_at=2.5,
     store_fault=9.0,
     store_delay=30.0,
@@ -63,17 +63,17 @@
 
     The process ends by the signal, and nothing serves at its address.
     """
-    plan = Plan(entries=1, plain=0, engines=0, keepers=0, stops=())
+    plan = Plan(entries=1, plain=0, engines=0, continuous_callers=0, stops=())
     async with SeriesFleet(plan, tmp_path, random.Random(0)) as fleet:
         before = fleet.current[0]
         start = asyncio.create_task(fleet.restart_entry(0))
         while fleet.current.get(0) in (None, before):
             await asyncio.sleep(0.001)
-        life = fleet.current[0]
-        await until_loading(life)
-        await send_signal(life, signal.SIGHUP, 0.0)
+        incarnation = fleet.current[0]
+        await wait_until_loading(incarnation)
+        await send_signal(incarnation, signal.SIGHUP, 0.0)
         await start
-        assert life.process.returncode is None
+        assert incarnation.process.returncode is None
 
 
 @pytest.mark.parametrize(
@@ -95,8 +95,8 @@
     ],
 )
 def test_checks_name_what_must_not_be(target, status, body, complete, runs, fault):
-    life = Life(entry=0, process=None, handle=0, told_at=100.0)
-    sent = Sent("q-1", target, life, status, complete, body, 101.0, 102.0)
+    incarnation = EntryIncarnation(entry=0, process=None, handle=0, sigterm_at=100.0)
+    sent = SentRequest("q-1", target, incarnation, status, complete, body, 101.0, 102.0)
     assert sent.fault(runs, STORE_HANGS) == fault
 
 
@@ -110,6 +110,10 @@
     ],
 )
 def test_only_what_was_in_flight_may_be_lost(killed_at, ended_at, fault):
-    life = Life(entry=0, process=None, handle=0, told_at=100.0, killed_at=killed_at)
-    sent = Sent("q-1", "/read/x?ms=1", life, began_at=101.0, ended_at=ended_at)
+    incarnation = EntryIncarnation(
+        entry=0, process=None, handle=0, sigterm_at=100.0, killed_at=killed_at
+    )
+    sent = SentRequest(
+        "q-1", "/read/x?ms=1", incarnation, began_at=101.0, ended_at=ended_at
+    )
     assert sent.fault(1, STORE_HANGS) == fault
