--- a/tests/series_checks.py
+++ b/tests/series_checks.py
@@ -97,7 +97,8 @@
         after = f"{began:.3f} to {ended:.3f} s after SIGTERM" if told else "no SIGTERM"
         return (
             f"{fault}: {self.request_id} {self.target} at "
-            f"entry-{self.incarnation.entry}, status {self.status}, {runs} runs, {after}"
+            f"entry-{self.incarnation.entry}, status {self.status}, {runs} runs, "
+            f"{after}"
         )
 
     def _may_be_lost(self) -> bool:
