--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -1,7 +1,7 @@
 """Load simulation: direct entries and simulated engines with prompts of all sizes.
 
 Only the engines and the callers are simulated; the entries run the production code.
-With a simulated event loop clock, one second of load takes some tenths of a second.
+With a simulated event loop clock, seconds of load take tenths of a second.
 """
 
 from __future__ import annotations
@@ -146,7 +146,7 @@
             yield SimulatedReply(reply, event(1))
 
 
-class SoundEngines:
+class LiveEngines:
     """A liveness probe that succeeds for every engine."""
 
     async def probe(self, engine) -> bool:
@@ -164,12 +164,12 @@
     """Receives the response to one attempt.
 
     :param status: HTTP status; 0 before the response starts.
-    :param heard: set when the response starts.
+    :param response_started: set when the response starts.
     """
 
     def __init__(self) -> None:
         self.status = 0
-        self.heard = asyncio.Event()
+        self.response_started = asyncio.Event()
         self.retry_after = 0.0
 
     @property
@@ -182,7 +182,7 @@
 
     async def start(self, status, headers) -> None:
         self.status = status
-        self.heard.set()
+        self.response_started.set()
 
     async def write(self, data) -> None:
         pass
@@ -295,7 +295,7 @@
             placer,
             rng,
             retry_budget,
-            liveness_probe=SoundEngines(),
+            liveness_probe=LiveEngines(),
         )
         address = (name, 1)
         context.notices = NoticeExchange(
@@ -317,14 +317,14 @@
     async def _call(self, prompt: Prompt) -> None:
         await asyncio.sleep(prompt.at)
         for number in range(2):
-            caller = await self._try(prompt, f"{prompt.name}-{number}")
+            caller = await self._attempt(prompt, f"{prompt.name}-{number}")
             if caller.status == 200:
                 self.served.add(prompt.name)
             if caller.status != 503:
                 return
             await asyncio.sleep(caller.retry_after)
 
-    async def _try(self, prompt: Prompt, request_id: str) -> SimulatedCaller:
+    async def _attempt(self, prompt: Prompt, request_id: str) -> SimulatedCaller:
         loop = asyncio.get_running_loop()
         core = self.rng.choice(self.cores)
         caller = SimulatedCaller()
@@ -347,7 +347,7 @@
         handling = asyncio.create_task(core.handle(request, caller))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(found.patience):
-                await caller.heard.wait()
+                await caller.response_started.wait()
         if not caller.started:
             handling.cancel()
         with contextlib.suppress(asyncio.CancelledError):
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -281,13 +281,13 @@
 
 async def test_refused_connection_does_not_count_as_an_attempt():
     """If a connection is refused, nothing was sent: an order may be sent elsewhere."""
-    gone, sound = Replica("i-1", answer()), Replica("i-2", answer())
-    async with serving(gone, sound) as entry:
+    gone, healthy = Replica("i-1", answer()), Replica("i-2", answer())
+    async with serving(gone, healthy) as entry:
         gone.server.close()
         await gone.server.wait_closed()
         results = [await entry.ask("/order/x", request_id=f"id-{n}") for n in range(6)]
     assert {got.status for got in results} == {200}
-    assert len(sound.received) == 6
+    assert len(healthy.received) == 6
 
 
 async def test_failed_idempotent_request_is_retried_elsewhere():
@@ -315,13 +315,13 @@
     Another replica responds in time, and the connection to the first one is closed to
     cancel the request.
     """
-    stuck, sound = Replica("i-1", hang()), Replica("i-2", answer())
-    async with serving(stuck, sound) as entry:
+    hanging, healthy = Replica("i-1", hang()), Replica("i-2", answer())
+    async with serving(hanging, healthy) as entry:
         began = time.monotonic()
         results = await asyncio.gather(
             *(entry.ask("/read/x", request_id=f"id-{n}") for n in range(6))
         )
-        await until(lambda: len(stuck.closed) == len(stuck.received))
+        await until(lambda: len(hanging.closed) == len(hanging.received))
     assert {got.status for got in results} == {200}
     assert time.monotonic() - began < 1.0
 
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -64,7 +64,7 @@
 
 
 @contextlib.asynccontextmanager
-async def following(pause=no_pause):
+async def watched_store(pause=no_pause):
     """Yield a store, a fleet that is kept up to date with it, and their adapter."""
     async with Store() as store, store_session() as session:
         fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
@@ -98,7 +98,7 @@
 
 
 async def test_entry_is_ready_with_configuration_and_upstreams():
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         await until(lambda: fleet.upstreams_loaded)
         assert not fleet.ready
         store.put("op/config", config())
@@ -108,7 +108,7 @@
 
 async def test_full_read_makes_one_store_call():
     """Guards against exceeding the store's call limit when a whole fleet starts."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.page_size = 500
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
@@ -121,7 +121,7 @@
 
 
 async def test_leaving_and_removed_upstreams_are_not_members():
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config())
         for number in range(3):
             store.put(f"servers/i-{number}", entry())
@@ -147,7 +147,7 @@
 )
 async def test_undecodable_registration_is_ignored(value):
     """An undecodable registration is ignored and does not affect the others."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config())
         store.put("servers/i-1", entry())
         store.put("servers/i-2", value)
@@ -157,7 +157,7 @@
 
 async def test_restarted_upstream_gets_a_new_load_tracker():
     """Guards against keeping the load of an upstream that restarted under its name."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config())
         store.put("servers/i-1", entry(born=1000))
         await until(lambda: names(fleet) == {"i-1"})
@@ -171,7 +171,7 @@
 
 async def test_configuration_never_goes_back():
     """A delayed reply holds an older version than the one in force."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
         store.put("op/config", config(5))
@@ -181,7 +181,7 @@
 
 
 async def test_invalid_configuration_is_ignored():
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
         store.put("op/config", b"{]")
@@ -192,7 +192,7 @@
 
 async def test_outage_of_the_store_keeps_the_last_known_state():
     """While the store is down, the last configuration and members are used."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
         await until(lambda: names(fleet) == {"i-1"})
@@ -211,7 +211,7 @@
     Leases expire during an outage of some seconds although the replicas are alive. A
     replica that has not registered again after two seconds is removed.
     """
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
         store.put("servers/i-2", entry())
@@ -232,7 +232,7 @@
 
 async def test_compacted_history_leads_to_a_full_read():
     """The store has compacted the revision that the watch would resume from (410)."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config(7))
         store.put("servers/i-1", entry())
         await until(lambda: names(fleet) == {"i-1"})
@@ -250,7 +250,7 @@
 
     The watch's timeout ends it, and all keys are read again.
     """
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
         store.silent = True
@@ -261,7 +261,7 @@
 
 async def test_configuration_applies_within_recovery_time_after_connections_go_silent():
     """The read after a failed watch must not wait on another dead connection."""
-    async with following() as (store, fleet, adapter):
+    async with watched_store() as (store, fleet, adapter):
         store.put("op/config", config(7))
         await until(lambda: fleet.generation == 7)
         await adapter.get("op/config")
@@ -272,7 +272,7 @@
 
 async def test_engine_that_changes_its_role_is_not_a_member():
     """Guards against sending work to an engine that is changing its role."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         now = 0.0
         fleet.clock = lambda: now
         store.put("op/config", config())
@@ -289,7 +289,7 @@
 
 
 async def test_entries_are_registered_under_a_lease():
-    async with following() as (store, fleet, adapter):
+    async with watched_store() as (store, fleet, adapter):
         presence = Presence(adapter, "entry-9", "10.0.0.9:7380", random.Random(1))
         task = asyncio.create_task(presence.run())
         key = PRESENCE_PREFIX + "entry-9"
@@ -302,7 +302,7 @@
 async def test_changes_in_quick_succession_are_received_in_few_watch_calls():
     """Guards against one watch call per registration while a fleet starts."""
     pause = 0.4
-    async with following(lambda: pause) as (store, fleet, _):
+    async with watched_store(lambda: pause) as (store, fleet, _):
         await until(lambda: fleet.upstreams_loaded)
         store.calls.clear()
         started_at = time.monotonic()
@@ -328,7 +328,7 @@
 
 async def test_removal_missed_by_watch_is_notified_on_next_full_read():
     """Without the callback, no candidate would try to acquire a lapsed lease."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         notifications = []
         fleet.on_removal["holder"] = lambda: notifications.append("gone")
         store.put("holder", b"entry-9")
@@ -343,7 +343,7 @@
 
 async def test_failing_watches_are_retried_with_backoff():
     """Guards against reads without backoff if only watches fail."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         store.compacted = 1_000_000
         await until(lambda: fleet.upstreams_loaded)
         store.calls.clear()
@@ -356,7 +356,7 @@
 
 async def test_entry_whose_removal_was_missed_is_removed():
     """The removal of its key was compacted before the watch could deliver it."""
-    async with following() as (store, fleet, _):
+    async with watched_store() as (store, fleet, _):
         key = PRESENCE_PREFIX + "entry-9"
         store.put(key, b"10.0.0.9:7380")
         await until(lambda: key in fleet.entries)
@@ -370,7 +370,7 @@
 
 
 async def test_store_reads_all_pages():
-    async with following() as (store, _, adapter):
+    async with watched_store() as (store, _, adapter):
         for number in range(7):
             store.put(f"many/{number}", {"n": number})
         found = await adapter.range("many/")
@@ -378,7 +378,7 @@
 
 
 async def test_store_transaction_and_its_failures():
-    async with following() as (store, _, adapter):
+    async with watched_store() as (store, _, adapter):
         made = await adapter.txn([Compare("k", 0)], [Put("k", b"\x00v")])
         assert made.succeeded
         read = await adapter.get("k")
@@ -393,7 +393,7 @@
 
 async def test_lost_reply_to_a_write_is_of_unknown_outcome():
     """Guards against reporting a write as not done if only its reply was lost."""
-    async with following() as (store, _, adapter):
+    async with watched_store() as (store, _, adapter):
         store.lose_replies = 1
         with pytest.raises(KeyValueOutcomeUnknownError):
             await adapter.txn([], [Put("k", b"v")])
--- a/tests/test_direct_last_callers.py
+++ b/tests/test_direct_last_callers.py
@@ -21,7 +21,7 @@
 from platform_standin import answer
 
 
-async def stopping(entry, turns):
+async def stop_accepting_after(entry, turns):
     """Connect a caller, and stop accepting after so many event loop iterations."""
     raw = socket.create_connection(("127.0.0.1", entry.port))
     raw.setblocking(False)
@@ -36,7 +36,7 @@
 async def test_connection_accepted_as_the_entry_stops_accepting_is_closed(turns):
     """Without a request, the connection is closed soon or was never accepted."""
     async with serving(Replica("i-1", answer())) as entry:
-        raw = await stopping(entry, turns)
+        raw = await stop_accepting_after(entry, turns)
         with raw, contextlib.suppress(ConnectionError):
             loop = asyncio.get_running_loop()
             assert await asyncio.wait_for(loop.sock_recv(raw, 1), 0.5) == b""
@@ -56,7 +56,7 @@
 
     replica = Replica("i-1", slow)
     async with serving(replica) as entry:
-        raw = await stopping(entry, turns)
+        raw = await stop_accepting_after(entry, turns)
         status = 0
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             reader, writer = await asyncio.open_connection(sock=raw)
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -53,8 +53,8 @@
 
 async def test_long_prompt_is_prefilled_at_a_prefill_engine():
     """A prefill engine runs the prompt, and a decode engine imports its KV cache."""
-    reader, answerer = EngineScript(), EngineScript()
-    one, two = engine("i-1", reader, "prefill"), engine("i-2", answerer)
+    prefill_script, decode_script = EngineScript(), EngineScript()
+    one, two = engine("i-1", prefill_script, "prefill"), engine("i-2", decode_script)
     async with serving(one, two) as entry:
         got = await entry.ask("/talk/x", **LONG)
     assert got.complete
@@ -62,7 +62,7 @@
     assert one.received[0].headers["x-stage"] == "prefill"
     assert two.received[0].headers["x-kv-source"] == f"{one.address}/h0"
     assert "x-stage" not in two.received[0].headers
-    assert reader.freed == []
+    assert prefill_script.freed == []
 
 
 async def test_events_are_forwarded_without_delay():
@@ -84,8 +84,8 @@
     headers of the first engine.
     """
     breaking = EngineScript(last=6, break_after=2, pause=0.05)
-    sound = EngineScript(last=6)
-    one, two = engine("i-1", breaking), engine("i-2", sound)
+    healthy = EngineScript(last=6)
+    one, two = engine("i-1", breaking), engine("i-2", healthy)
     async with serving(one, two) as entry:
         got = await ask_first(entry, "/long/x", one, two)
     assert got.complete
@@ -190,9 +190,9 @@
     gets no other prompt during its cool-down.
     """
     dead = engine("i-1", hang(), "prefill")
-    sound = engine("i-2", EngineScript(), "prefill")
-    answerer = engine("i-3", EngineScript())
-    async with serving(dead, sound, answerer) as entry:
+    healthy = engine("i-2", EngineScript(), "prefill")
+    decoder = engine("i-3", EngineScript())
+    async with serving(dead, healthy, decoder) as entry:
         began = time.monotonic()
         results = [
             await entry.ask("/talk/x", request_id=f"id-{n}", **LONG) for n in range(4)
@@ -232,8 +232,8 @@
 
     The first request is refused as not run; the next ones go to another engine.
     """
-    wrong, sound = engine("i-1", not_run(421)), engine("i-2", EngineScript())
-    async with serving(wrong, sound) as entry:
+    wrong, healthy = engine("i-1", not_run(421)), engine("i-2", EngineScript())
+    async with serving(wrong, healthy) as entry:
         statuses = [
             (await entry.ask("/talk/x", request_id=f"id-{n}", **SHORT)).status
             for n in range(5)
@@ -422,11 +422,11 @@
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
             placer.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
-        told = []
+        retry_afters = []
         for number in range(8):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **LONG)
-            told.append(float(got.headers["retry-after"]))
-    assert max(told) - min(told) > 0.1
+            retry_afters.append(float(got.headers["retry-after"]))
+    assert max(retry_afters) - min(retry_afters) > 0.1
 
 
 def plan(entry: Entry, name: str, role: str) -> None:
@@ -463,17 +463,17 @@
     Guards against a burst of retries: each caller gets another Retry-After.
     """
     one = engine("i-1", EngineScript(), "prefill")
-    told = set()
+    retry_afters = set()
     async with serving(one) as entry:
         plan(entry, "i-1", "decode")
         for number in range(5):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **SHORT)
             assert got.status == 503
-            told.add(float(got.headers["retry-after"]))
+            retry_afters.add(float(got.headers["retry-after"]))
     assert one.received == []
-    assert min(told) > TYPICAL_ROLE_CHANGE_SECONDS - 0.5
-    assert max(told) < TYPICAL_ROLE_CHANGE_SECONDS + 0.5
-    assert len(told) == 5
+    assert min(retry_afters) > TYPICAL_ROLE_CHANGE_SECONDS - 0.5
+    assert max(retry_afters) < TYPICAL_ROLE_CHANGE_SECONDS + 0.5
+    assert len(retry_afters) == 5
 
 
 async def test_stream_does_not_wait_for_a_change_that_never_ends(monkeypatch):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -225,10 +225,10 @@
         reader, writer = await send(entry, request("/order/x", **CALLER))
         await until(lambda: bool(replica.received))
         loop = asyncio.get_running_loop()
-        told_at = loop.time()
+        signalled_at = loop.time()
         got = await answer_at_the_end(entry, reader)
         await entry.process.wait()
-        seconds = loop.time() - told_at
+        seconds = loop.time() - signalled_at
         writer.close()
     assert got is not None, "the connection was closed without an answer"
     assert got.status in (502, 504)
--- a/tests/test_second_sends.py
+++ b/tests/test_second_sends.py
@@ -51,8 +51,8 @@
         await entry.ask("/read/2")
     lines = [line for line in caplog.records if "second send" in line.message]
     assert [line.message for line in lines] == ["second send", "second send is refused"]
-    told = [(line.group, line.requests, line.repeats, line.room) for line in lines]
-    assert told == [("plain", 1, 0, 1.0), ("plain", 2, 1, 0.0)]
+    logged = [(line.group, line.requests, line.repeats, line.room) for line in lines]
+    assert logged == [("plain", 1, 0, 1.0), ("plain", 2, 1, 0.0)]
     exposed = metrics.exposition().decode()
     for allowed in ("true", "false"):
         series = f'second_sends_total{{allowed="{allowed}",group="plain"}} 1.0'
@@ -239,8 +239,12 @@
     """
     gone = [engine(f"i-{n}", closes_unanswered(), "prefill") for n in range(40)]
     last = engine("i-last", EngineScript())
-    patient = route("/talk/", "streaming", "llm", **{"target-latency-ms": 700})
-    async with serving(*gone, last, document=config(routes=[patient])) as entry:
+    route_with_timeout = route(
+        "/talk/", "streaming", "llm", **{"target-latency-ms": 700}
+    )
+    async with serving(
+        *gone, last, document=config(routes=[route_with_timeout])
+    ) as entry:
         context = entry.core.context
         context.retry_budget.limits = limits = RetryLimits(0.2, 8.0)
         for number in range(entries):
@@ -257,8 +261,8 @@
     """Guards against a dead engine that attracts requests because it looks idle."""
     gone = engine("i-1", closes_unanswered())
     busy = engine("i-2", EngineScript(pause=0.2))
-    patient = route("/long/", "streaming", "llm", **{"timeout-ms": 20_000})
-    document = config(routes=[patient | {"resumable": True}])
+    route_with_timeout = route("/long/", "streaming", "llm", **{"timeout-ms": 20_000})
+    document = config(routes=[route_with_timeout | {"resumable": True}])
     async with serving(gone, busy, document=document) as entry:
         entry.register(gone, state="draining")
         asked = []
--- a/tests/test_silent_engines.py
+++ b/tests/test_silent_engines.py
@@ -30,7 +30,7 @@
 PATIENT = route("/talk/", "streaming", "llm", **{"target-latency-ms": 700})
 
 
-class Check:
+class FixedProbe:
     """A liveness probe with a fixed result."""
 
     def __init__(self, lives: bool) -> None:
@@ -52,13 +52,13 @@
     """
     busy = engine("i-1", EngineScript(prefill_seconds=1.2), "prefill")
     idle = engine("i-2", EngineScript(), "prefill")
-    check = Check(lives=True)
+    liveness_probe = FixedProbe(lives=True)
     async with serving(
         busy,
         idle,
         engine("i-3", EngineScript()),
         document=config(routes=[PATIENT]),
-        liveness_probe=check,
+        liveness_probe=liveness_probe,
     ) as entry:
         entry.register(idle, state="draining")
         short = asyncio.create_task(entry.ask("/talk/x", **LONG))
@@ -71,35 +71,35 @@
         got = await asked
         await short
     assert got.complete
-    assert set(check.asked) == {"i-1"}
+    assert set(liveness_probe.asked) == {"i-1"}
     assert "long" not in [received.request_id for received in idle.received]
 
 
 async def test_prompt_that_a_live_engine_never_prefills_is_moved():
     """Guards against waiting for an engine that is alive but never runs a prompt."""
-    mute = engine("i-2", hang(), "prefill")
-    sound = engine("i-1", EngineScript(), "prefill")
+    hanging = engine("i-2", hang(), "prefill")
+    healthy = engine("i-1", EngineScript(), "prefill")
     async with serving(
-        mute,
-        sound,
+        hanging,
+        healthy,
         engine("i-3", EngineScript()),
         document=config(routes=[PATIENT]),
-        liveness_probe=Check(lives=True),
+        liveness_probe=FixedProbe(lives=True),
     ) as entry:
-        entry.register(sound, state="draining")
+        entry.register(healthy, state="draining")
         began = time.monotonic()
         asked = asyncio.create_task(entry.ask("/talk/x", **LONG))
-        await until(lambda: bool(mute.received))
-        entry.register(sound)
+        await until(lambda: bool(hanging.received))
+        entry.register(healthy)
         got = await asked
         seconds = time.monotonic() - began
     assert got.complete
-    assert len(mute.received) == 1
+    assert len(hanging.received) == 1
     assert seconds < 2.0
 
 
 @contextlib.asynccontextmanager
-async def stream_sent_to_engine(script, check):
+async def stream_sent_to_engine(script, liveness_probe):
     """Yield a stream pending at an engine that runs the script, and another engine."""
     first = engine("i-2", script)
     other = engine("i-3", EngineScript())
@@ -108,7 +108,7 @@
         first,
         other,
         document=config(routes=[route("/long/", "streaming", "llm", resumable=True)]),
-        liveness_probe=check,
+        liveness_probe=liveness_probe,
     ) as entry:
         entry.register(other, state="draining")
         asked = asyncio.create_task(entry.ask("/long/x", **LONG))
@@ -120,7 +120,7 @@
 async def test_stream_moves_from_unresponsive_answering_engine():
     """Guards against waiting for a dead engine until the caller disconnects."""
     began = time.monotonic()
-    async with stream_sent_to_engine(hang(), Check(lives=False)) as (asked, other):
+    async with stream_sent_to_engine(hang(), FixedProbe(lives=False)) as (asked, other):
         got = await asked
         seconds = time.monotonic() - began
     assert got.complete
@@ -136,33 +136,33 @@
         await asyncio.sleep(1.5)
         await stream(replica, received, writer)
 
-    check = Check(lives=True)
-    async with stream_sent_to_engine(delayed_reply, check) as (asked, other):
+    liveness_probe = FixedProbe(lives=True)
+    async with stream_sent_to_engine(delayed_reply, liveness_probe) as (asked, other):
         got = await asked
     assert got.complete
-    assert check.asked
+    assert liveness_probe.asked
     assert other.received == []
 
 
 async def test_one_question_serves_all_that_wait():
     """Guards against one probe per waiting prompt: a dozen wait at a dead engine."""
     dead = engine("i-1", hang(), "prefill")
-    sound = engine("i-2", EngineScript(), "prefill")
-    check = Check(lives=False)
+    healthy = engine("i-2", EngineScript(), "prefill")
+    liveness_probe = FixedProbe(lives=False)
     async with serving(
-        dead, sound, engine("i-3", EngineScript()), liveness_probe=check
+        dead, healthy, engine("i-3", EngineScript()), liveness_probe=liveness_probe
     ) as entry:
         entry.frontend.core.context.retry_budget.limits = RetryLimits(1.0, 100.0)
-        entry.register(sound, state="draining")
+        entry.register(healthy, state="draining")
         asked = [
             asyncio.create_task(entry.ask("/talk/x", request_id=f"id-{n}", **LONG))
             for n in range(12)
         ]
         await asyncio.sleep(0.2)
-        entry.register(sound)
+        entry.register(healthy)
         answers = await asyncio.gather(*asked)
     assert [got.status for got in answers] == [200] * 12
-    assert len(check.asked) < 6
+    assert len(liveness_probe.asked) < 6
 
 
 @pytest.mark.parametrize(
