--- a/src/bergamotmast/checker/fleet.py
+++ b/src/bergamotmast/checker/fleet.py
@@ -24,7 +24,7 @@
 from ..history import ProcessStopped
 from ..history import ProcessUnreachable
 from ..history import StayingAnnounced
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import FencingToken
 from .rules import Check
 from .rules import Limits
@@ -79,7 +79,7 @@
     records: cabc.Sequence[AnyRecord], limits: Limits
 ) -> cabc.Iterator[Violation]:
     """Find accepted plans whose fencing token is not higher than the previous one."""
-    last = NO_TOKEN
+    last = NO_FENCING_TOKEN
     for record in records:
         if not isinstance(record, PlanWritten):
             continue
--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -102,7 +102,7 @@
             prompt_tokens=self.rng.randint(1, 2000),
             max_tokens=MAX_OUTPUT_TOKENS,
             prefix_key=self.rng.choice(("", "p", "q")),
-            first_token_by=now + MODEL_DEADLINE_SECONDS / 2,
+            first_token_deadline=now + MODEL_DEADLINE_SECONDS / 2,
             deadline=now + MODEL_DEADLINE_SECONDS,
         )
         text = expected_text(call.model, call.prompt, call.max_tokens)
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -10,7 +10,7 @@
 from ..history import HistorySink
 from ..history import OrderEnded
 from ..history import OrderTaken
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Assignment
 from ..model import FencingToken
 from ..model import Order
@@ -52,7 +52,7 @@
         self.loader = loader
         self.history = history
         self.on_order_ended = on_order_ended
-        self.last = NO_TOKEN
+        self.last = NO_FENCING_TOKEN
         self._order: Order | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -65,8 +65,8 @@
 
     @property
     def token(self) -> FencingToken:
-        """Token of the last order, or ``NO_TOKEN`` if the engine ignores tokens."""
-        return self.last if self.honours_fencing else NO_TOKEN
+        """Token of the last order; ``NO_FENCING_TOKEN`` if tokens are ignored."""
+        return self.last if self.honours_fencing else NO_FENCING_TOKEN
 
     def serves_model(self, model: str) -> bool:
         """Return whether a request for this model can be served now.
@@ -120,7 +120,7 @@
             self._finish(self.target if change_done else self.assignment, change_done)
         if incomplete:
             self.assignment = None
-        self.last = NO_TOKEN
+        self.last = NO_FENCING_TOKEN
 
     async def _execute(self, order: Order) -> None:
         wanted = order.assignment
