--- a/src/bergamotmast/standins/engine_batch.py
+++ b/src/bergamotmast/standins/engine_batch.py
@@ -1,10 +1,10 @@
-"""Continuous batching as a model in time, without a loop of its own.
+"""Discrete-event model of continuous batching, driven from outside.
 
-Between two events the rates are constant: each decode step takes as long as the
-number of streams and a prefill under way make it take, and one prefill at a time goes
-at the role's rate. Streams join the batch at the end of a step. Whoever drives the
-batch calls :meth:`Batch.advance` at the time that :meth:`Batch.next_event` names, so
-the whole batch costs one event for each step or chunk.
+Between two events all rates are constant. The duration of a decode step depends on
+the number of decoding streams and on whether a prefill runs; one prefill runs at a
+time, at the role's rate. Streams join the batch at the end of a step. The driver calls
+:meth:`Batch.advance` at the time that :meth:`Batch.next_event` returns, so the whole
+batch costs one event for each step or chunk.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 NEVER = math.inf
 
-STEP_TOLERANCE = 1e-6
-"""Share of a step that counts as none.
+STEP_TOLERANCE_SHARE = 1e-6
+"""Share of a step that counts as zero.
 
-A stream that joins just as a step ends would else wait for one step more or less,
-depending on how the rounding errors of the steps before it add up.
+Without it, a stream that joins just as a step ends would wait for one step more or
+less, depending on the accumulated rounding errors of the steps before.
 """
 
 
 class Stage(enum.Enum):
-    """Where a stream stands."""
+    """Stage of a stream's life cycle."""
 
     WAITING = "waiting"
     IMPORTING = "importing"
@@ -43,16 +43,19 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Stream:
-    """One answer being made.
-
-    :param answer: the whole answer, known from the start.
-    :param prefix_tokens: leading prompt tokens that the prefix key stands for.
-    :param emit: takes each chunk.
-    :param next_index: position of the next token to give out.
-    :param kv_tokens: KV memory it holds from admission to its end.
-    :param importing: whether a KV cache is imported in place of a prefill.
-    :param prefill_left: tokens still to prefill; negative before prefill began.
-    :param joined_step: step of the batch at which its position was ``joined_index``.
+    """One request that the engine answers.
+
+    :param answer: the whole answer, which is known from the start.
+    :param prefix_tokens: leading prompt tokens covered by the prefix key.
+    :param emit: called with each chunk.
+    :param next_index: position of the next token to emit.
+    :param kv_tokens: KV memory reserved from admission to the end, in tokens.
+    :param importing: whether a KV cache is imported instead of a prefill.
+    :param prefill_left: tokens left to prefill; negative before the prefill begins.
+    :param cached_tokens: prompt tokens found in the prefix cache, until the first
+        chunk has reported them.
+    :param joined_step: batch step at which the stream began to decode.
+    :param joined_index: position of its next token at that step.
     """
 
     request: GenerateRequest
@@ -70,25 +73,30 @@
 
     @property
     def last_step(self) -> int:
-        """Step of the batch at which its last token is made."""
+        """Batch step that generates the last token."""
         return self.joined_step + self.answer.tokens - self.joined_index
 
 
 _Queue = list[tuple[int, int, Stream]]
+"""Heap of streams; an entry's first two items are its sort key."""
 
 
 class Batch:
     """All streams of one engine.
 
-    :param rates: speed in the engine's present role.
-    :param kv_capacity: tokens of KV memory.
-    :param tokens_per_chunk: steps between chunks.
-    :param export: names the KV cache of a stream that ends after its prefill.
-    :param on_admitted: called when a stream that imports a KV cache may begin to.
-    :param speed: 1 for as specified, less for a slow engine, 0 for a stuck one.
-    :param kv_used: tokens of KV memory held.
-    :param prefilled: prompt tokens prefilled, so far.
-    :param decoded: output tokens made, so far.
+    :param rates: rates of the engine's current role.
+    :param kv_capacity: size of the KV memory, in tokens.
+    :param tokens_per_chunk: decode steps between chunks.
+    :param export: exports the KV cache of a stream that ends after its prefill, and
+        returns its handle.
+    :param on_admitted: called on the admission of a stream that imports a KV cache;
+        the import may start.
+    :param speed: multiple of the rates; 0 for an engine that hangs.
+    :param kv_used: KV memory reserved by admitted streams, in tokens.
+    :param prefilled: prompt tokens prefilled so far.
+    :param decoded: output tokens generated so far.
+    :param admitted: number of admitted streams that have not ended.
+    :param waiting: number of streams that wait for admission.
     """
 
     def __init__(
@@ -118,11 +126,11 @@
         self._prefills: _Queue = []
         self._finishes: _Queue = []
         self._steps = 0.0
-        self._boundary = tokens_per_chunk
+        self._chunk_boundary = tokens_per_chunk
         self._updated_at = 0.0
 
     def add(self, stream: Stream) -> None:
-        """Take a stream; :meth:`advance` must have been called for now."""
+        """Enqueue a stream; :meth:`advance` must have been called for this moment."""
         self._arrivals += 1
         self.waiting += 1
         key = (int(stream.request.priority), self._arrivals, stream)
@@ -135,81 +143,90 @@
         self._admit()
 
     def imported(self, stream: Stream) -> None:
-        """Let a stream join whose KV cache has arrived."""
+        """Start to decode a stream whose KV cache has been imported."""
         if stream.stage is Stage.IMPORTING:
-            self._join(stream)
+            self._start_decoding(stream)
 
     def advance(self, now: float) -> None:
-        """Let the time up to now pass and give out what was made in it."""
+        """Advance to a point in time and emit the chunks that are complete by then."""
         while (event := self.next_event()) <= now:
-            self._happen(event)
+            self._process_event(event)
         if now > self._updated_at:
-            self._pass(now - self._updated_at)
+            self._elapse(now - self._updated_at)
             self._updated_at = now
 
     def next_event(self) -> float:
         """Return the time of the next event, or infinity."""
-        return self._updated_at + min(self._until_step(), self._until_prefilled())
+        return self._updated_at + min(
+            self._seconds_until_step(), self._seconds_until_prefilled()
+        )
 
-    def _until_step(self) -> float:
+    def _seconds_until_step(self) -> float:
         if not self.decoding:
             return NEVER
-        return _quotient(
+        return _duration(
             (self._target_step() - self._steps) * self._step_seconds(), self.speed
         )
 
-    def _until_prefilled(self) -> float:
-        stream = self._prefill()
+    def _seconds_until_prefilled(self) -> float:
+        stream = self._current_prefill()
         if stream is None:
             return NEVER
-        return _quotient(stream.prefill_left, self._prefill_rate())
+        return _duration(stream.prefill_left, self._prefill_rate())
 
-    def _happen(self, event: float) -> None:
-        until_step = self._until_step()
-        until_prefilled = self._until_prefilled()
-        self._pass(event - self._updated_at)
+    def _process_event(self, event: float) -> None:
+        seconds_until_step = self._seconds_until_step()
+        seconds_until_prefilled = self._seconds_until_prefilled()
+        self._elapse(event - self._updated_at)
         self._updated_at = event
-        if until_step <= until_prefilled:
-            self._reach(self._target_step())
+        if seconds_until_step <= seconds_until_prefilled:
+            self._complete_step(self._target_step())
         else:
             self._finish_prefill()
 
-    def _pass(self, seconds: float) -> None:
+    def _elapse(self, seconds: float) -> None:
         if self.decoding:
             steps = self._steps + seconds * self.speed / self._step_seconds()
             self._steps = min(steps, self._target_step())
-        stream = self._prefill()
+        stream = self._current_prefill()
         if stream is not None:
             done = min(stream.prefill_left, seconds * self._prefill_rate())
             stream.prefill_left -= done
             self.prefilled += done
 
     def _step_seconds(self) -> float:
-        return self.rates.step_seconds(len(self.decoding), self._prefill() is not None)
+        return self.rates.step_seconds(
+            len(self.decoding), self._current_prefill() is not None
+        )
 
     def _prefill_rate(self) -> float:
         share = self.rates.prefill_share if self.decoding else 1.0
         return self.rates.prefill_rate * share * self.speed
 
     def _target_step(self) -> int:
+        """Return the next step at which a stream ends or a chunk is due."""
         while self._finishes[0][2].stage is not Stage.DECODING:
             heapq.heappop(self._finishes)
-        return min(self._finishes[0][0], self._boundary)
+        return min(self._finishes[0][0], self._chunk_boundary)
+
+    def _complete_step(self, step: int) -> None:
+        """Emit the chunks that a step completes.
 
-    def _reach(self, step: int) -> None:
-        """Give out what a step completes; all streams at a chunk's boundary."""
+        At a chunk boundary these are the chunks of all decoding streams, else those
+        of the streams that end with this step.
+        """
         self._steps = float(step)
-        if step == self._boundary:
-            self._boundary += self.tokens_per_chunk
+        if step == self._chunk_boundary:
+            self._chunk_boundary += self.tokens_per_chunk
             for stream in list(self.decoding.values()):
-                self._give(stream, step)
+                self._emit_up_to_step(stream, step)
         while self._finishes and self._finishes[0][0] <= step:
             stream = heapq.heappop(self._finishes)[2]
             if stream.stage is Stage.DECODING:
-                self._give(stream, step)
+                self._emit_up_to_step(stream, step)
         self._admit()
 
-    def _give(self, stream: Stream, step: int) -> None:
+    def _emit_up_to_step(self, stream: Stream, step: int) -> None:
         end = min(stream.joined_index + step - stream.joined_step, stream.answer.tokens)
         if end > stream.next_index:
             self._emit(stream, end)
@@ -228,8 +245,8 @@
         text = stream.answer.text(start, end)
         stream.emit(TokenChunk(start, end - start, text, finish, cached, handle))
 
-    def _prefill(self) -> Stream | None:
-        """Return the stream to prefill now: by priority, then by arrival."""
+    def _current_prefill(self) -> Stream | None:
+        """Return the stream to prefill now: the first by priority, then by arrival."""
         while self._prefills and self._prefills[0][2].stage is not Stage.PREFILLING:
             heapq.heappop(self._prefills)
         if not self._prefills:
@@ -256,16 +273,16 @@
             handle = self.export(stream)
         self._emit(stream, end, handle)
         if stream.stage is not Stage.ENDED:
-            self._join(stream)
+            self._start_decoding(stream)
         self._admit()
 
-    def _join(self, stream: Stream) -> None:
+    def _start_decoding(self, stream: Stream) -> None:
         if not self.decoding:
             self._steps = 0.0
-            self._boundary = self.tokens_per_chunk
+            self._chunk_boundary = self.tokens_per_chunk
             self._finishes.clear()
         stream.stage = Stage.DECODING
-        stream.joined_step = math.ceil(self._steps - STEP_TOLERANCE)
+        stream.joined_step = math.ceil(self._steps - STEP_TOLERANCE_SHARE)
         stream.joined_index = stream.next_index
         self.decoding[stream.request.stream_id] = stream
         self._arrivals += 1
@@ -278,13 +295,13 @@
                 return
             key = heapq.heappop(self._queue)
             if stream.stage is Stage.WAITING:
-                self._start(key)
+                self._start_admitted(key)
 
     def _fits(self, stream: Stream) -> bool:
         free = self.kv_capacity - self.kv_used
         return self.admitted < self.rates.max_streams and stream.kv_tokens <= free
 
-    def _start(self, key: tuple[int, int, Stream]) -> None:
+    def _start_admitted(self, key: tuple[int, int, Stream]) -> None:
         stream = key[2]
         self.waiting -= 1
         self.admitted += 1
@@ -308,5 +325,5 @@
         self.decoding.pop(stream.request.stream_id, None)
 
 
-def _quotient(amount: float, rate: float) -> float:
+def _duration(amount: float, rate: float) -> float:
     return amount / rate if rate > 0 else NEVER
--- a/tests/test_daemon_stopping.py
+++ b/tests/test_daemon_stopping.py
@@ -15,7 +15,7 @@
 from bergamotmast.load import LoadDriver
 from bergamotmast.load import plan_model_call
 from bergamotmast.standins.engine_text import expected_text
-from kept_callers import KeptCallers
+from keep_alive_callers import KeepAliveCallers
 from process_fleet import process_fleet
 from support import MODEL
 
@@ -62,13 +62,13 @@
     # SIGTERM. It may answer a call or refuse it. If it closed a connection without a
     # response, the caller couldn't know whether its order was placed.
     async with process_fleet(tmp_path, engines=0, entries=1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal("entry-1", signal.SIGTERM)
             assert await exit_status(f, "entry-1") == 0
     assert callers.statuses[200] > CALLERS
-    assert callers.cut == []
+    assert callers.closed_unanswered == []
 
 
 async def replace_side(f, name):
@@ -84,7 +84,7 @@
     # down and started again. Another side is always available, so every response is
     # complete: an order that never reached its service must not end as "unknown".
     async with process_fleet(tmp_path, entries=1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS), streaming(f, "entry-1", 12.0):
             for name in f.sides:
                 await replace_side(f, name)
@@ -98,7 +98,7 @@
     # A side of each kind and one of two entries receive SIGTERM within 0.2 s. Requests
     # to the other entry are answered completely; the first entry answers or refuses.
     async with process_fleet(tmp_path) as f:
-        leaving, staying = (KeptCallers(f.urls[f"entry-{n}"]) for n in (1, 2))
+        leaving, staying = (KeepAliveCallers(f.urls[f"entry-{n}"]) for n in (1, 2))
         async with (
             leaving.sending(CALLERS),
             staying.sending(CALLERS),
@@ -114,7 +114,7 @@
         records = f.records()
     counts = summary(records)
     assert (staying.unanswered, len(staying.ran(records))) == ({}, 0)
-    assert leaving.cut == []
+    assert leaving.closed_unanswered == []
     assert "unknown" not in leaving.outcomes
     assert counts.answered_whole == counts.sent
 
@@ -128,7 +128,7 @@
     async with process_fleet(
         tmp_path, 1, 1, 1, side_flags=flags, entry_flags=flags
     ) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS), streaming(f, "entry-1", 2.0):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal(name, signal.SIGHUP)
@@ -147,7 +147,7 @@
     # The platform sends SIGTERM twice, or a person adds Ctrl-C. The shutdown has
     # already begun and continues unchanged.
     async with process_fleet(tmp_path, engines=0, entries=1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal(name, signal.SIGTERM)
@@ -156,7 +156,10 @@
                 with contextlib.suppress(ProcessLookupError):
                     f.signal(name, again)
             assert await exit_status(f, name) == 0
-    assert (callers.cut, callers.outcomes - {"", "not_run"}) == ([], set())
+    assert (callers.closed_unanswered, callers.outcomes - {"", "not_run"}) == (
+        [],
+        set(),
+    )
 
 
 SLOW_SECONDS = 30.0
@@ -237,7 +240,7 @@
     # that ran would end as "unknown". The side therefore waits for heartbeats of the
     # entry.
     async with process_fleet(tmp_path, 0, 2, 1) as f:
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             await asyncio.sleep(LOAD_SECONDS)
             f.signal("side-service-1", signal.SIGTERM)
@@ -273,12 +276,15 @@
         await f.kill("entry-1")
         await f.launch("entry-1", f.commands["entry-1"], ("-c", program))
         await f.until_serving("entry-1", 2)
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             assert await exit_status(f, "entry-1") != 0
         log = (tmp_path / "entry-1.log").read_text()
     assert callers.statuses[200] > CALLERS
-    assert (callers.cut, callers.outcomes - {"", "not_run"}) == ([], set())
+    assert (callers.closed_unanswered, callers.outcomes - {"", "not_run"}) == (
+        [],
+        set(),
+    )
     assert "a fault of ours" in log
 
 
@@ -292,7 +298,7 @@
         assert await exit_status(f, "side-service-1") == 0
         await f.launch("side-service-1", f.commands["side-service-1"], ("-c", program))
         await f.until_serving("entry-1", 2)
-        callers = KeptCallers(f.urls["entry-1"])
+        callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             assert await exit_status(f, "side-service-1") != 0
     assert callers.statuses[200] > CALLERS
