--- a/src/bergamotmast/policy/affinity.py
+++ b/src/bergamotmast/policy/affinity.py
@@ -92,7 +92,7 @@
 def rendezvous(key: str, names: list[str]) -> str:
     """Return the name with the highest rank for a key (rendezvous hashing).
 
-    All processes choose the same name, and adding or removing other names doesn't
-    change the choice.
+    All processes choose the same name without coordination, and a change of the other
+    names rarely changes the choice.
     """
     return max(names, key=lambda name: rendezvous_rank(key, name))
--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -28,12 +28,11 @@
 prompt crosses it twice."""
 
 CROSS_ZONE_PENALTY_DECODES = 4.0
-"""Additional decodes at an engine in the entry's zone at which one elsewhere is equal.
-"""
+"""Running decodes added to the load of an engine in another zone."""
 
 LONG_PROMPT_SHARE = 0.33
-"""A prompt is long if its prefill takes this share of the group's tightest objective.
-"""
+"""A prompt is long, and kept away from engines free of long ones, if its prefill takes
+this share of the group's tightest objective."""
 
 PACKING_LIMIT_SHARE = 0.45
 """Share of the objective within which a packed prompt must have its first token.
--- a/src/bergamotmast/policy/direct_roles.py
+++ b/src/bergamotmast/policy/direct_roles.py
@@ -61,9 +61,9 @@
     def observe(self, prompt_tokens: float, output_tokens: float, now: float) -> None:
         """Add an admitted request."""
         if self.at is not None:
-            fade = math.exp(-max(0.0, now - self.at) / MIX_TIME_CONSTANT_SECONDS)
-            self.prefill *= fade
-            self.decode *= fade
+            decay = math.exp(-max(0.0, now - self.at) / MIX_TIME_CONSTANT_SECONDS)
+            self.prefill *= decay
+            self.decode *= decay
         self.at = now
         self.prefill += prompt_tokens / PREFILL_TOKENS_PER_SECOND
         self.decode += output_tokens / DECODE_TOKENS_PER_SECOND
--- a/src/bergamotmast/policy/engine_load.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -109,16 +109,16 @@
 
     def add(self, priority: int, seconds: float, now: float) -> None:
         """Add a prompt that takes some seconds to prefill."""
-        self._fade(now)
+        self._decay(now)
         self.seconds[priority] = self.seconds.get(priority, 0.0) + seconds
 
     def share(self, priority: int, now: float) -> float:
         """Return the share of engine time that more urgent prompts take."""
-        self._fade(now)
+        self._decay(now)
         urgent = sum(s for known, s in self.seconds.items() if known < priority)
         return min(MAX_URGENT_SHARE, urgent / URGENT_LOAD_SECONDS)
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         factor = math.exp(-max(0.0, now - self.at) / URGENT_LOAD_SECONDS)
         self.at = now
         self.seconds = {known: s * factor for known, s in self.seconds.items()}
