--- a/src/bergamotmast/faults/run.py
+++ b/src/bergamotmast/faults/run.py
@@ -1,4 +1,4 @@
-"""One run under the faults of a seed, checked for every promise."""
+"""Runs one seed of the fault injection and checks every guarantee on its history."""
 
 from __future__ import annotations
 
@@ -15,23 +15,26 @@
 from ..checker import summary
 from ..history import AnyRecord
 from .callers import Callers
-from .gates import install
-from .schedule import Faults
-from .world import FaultWorld
+from .environment import FaultEnvironment
+from .gates import install_task_factory
+from .schedule import FaultInjector
 
 WARM_UP_SECONDS = 10.0
 FAULT_SECONDS = 60.0
-CALM_SECONDS = 30.0
-"""After the last fault: long enough for what was accepted to be in force."""
+RECOVERY_SECONDS = 30.0
+"""Time without faults at the end of a run.
+
+Long enough for every accepted configuration to come into force.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FaultRun:
-    """What a seed's run showed.
+    """Result of the run of one seed.
 
-    :param violations: promises broken.
-    :param errors: what entries raised at callers beside the errors they should.
-    :param log: the faults, a line each.
+    :param violations: violated guarantees.
+    :param errors: tracebacks of unexpected exceptions that entries raised to callers.
+    :param log: the injected faults, a line each.
     """
 
     seed: int
@@ -43,16 +46,16 @@
 
     @property
     def holds(self) -> bool:
-        """Whether every promise held and nothing else went wrong."""
+        """Whether no guarantee was violated and no entry raised an unexpected error."""
         return not self.violations and not self.errors
 
 
 def run_seed(seed: int) -> FaultRun:
-    """Make the run of a seed in virtual time, on a loop of its own."""
+    """Run a seed on a new event loop with a simulated clock."""
     loop = looptime.new_event_loop(noop_cycles=0)
     asyncio.set_event_loop(loop)
     try:
-        install(loop)
+        install_task_factory(loop)
         return loop.run_until_complete(run(seed))
     finally:
         asyncio.set_event_loop(None)
@@ -60,20 +63,20 @@
 
 
 async def run(seed: int) -> FaultRun:
-    """Make the run of a seed on the running loop."""
-    world = FaultWorld(seed)
-    callers = Callers(world, random.Random(f"callers {seed}"))
-    faults = Faults(world, random.Random(f"faults {seed}"))
-    await world.start()
+    """Run a seed on the running event loop."""
+    environment = FaultEnvironment(seed)
+    callers = Callers(environment, random.Random(f"callers {seed}"))
+    faults = FaultInjector(environment, random.Random(f"faults {seed}"))
+    await environment.start()
     await asyncio.sleep(WARM_UP_SECONDS)
-    end = world.now() + FAULT_SECONDS
+    end = environment.now() + FAULT_SECONDS
     calling = asyncio.get_running_loop().create_task(callers.run(end))
     await faults.run(end)
     await calling
     await callers.finish()
-    await asyncio.sleep(CALM_SECONDS)
-    records = tuple(world.history.records)
-    await world.stop()
+    await asyncio.sleep(RECOVERY_SECONDS)
+    records = tuple(environment.history.records)
+    await environment.stop()
     return FaultRun(
         seed=seed,
         summary=summary(records),
