--- a/src/bergamotmast/commands/config.py
+++ b/src/bergamotmast/commands/config.py
@@ -79,7 +79,7 @@
 
 def _add_show(actions: _Actions) -> None:
     parser = _add_action(actions, "show", show, "print the current configuration")
-    _add_json(parser)
+    _add_json_flag(parser)
     parser.add_argument(
         "--generation", type=int, help="print an earlier generation from the history"
     )
@@ -99,7 +99,7 @@
         metavar="OLDER",
         help="the older file; the current configuration by default",
     )
-    _add_json(parser)
+    _add_json_flag(parser)
 
 
 def _add_apply(actions: _Actions) -> None:
@@ -121,7 +121,7 @@
     parser.add_argument(
         "--dry-run", action="store_true", help="print the changes without applying them"
     )
-    _add_author(parser)
+    _add_author_flag(parser)
 
 
 def _add_label(actions: _Actions) -> None:
@@ -133,7 +133,7 @@
         metavar="LABEL",
         help="label=value sets a label, label- removes it",
     )
-    _add_author(parser)
+    _add_author_flag(parser)
 
 
 def _add_history(actions: _Actions) -> None:
@@ -141,14 +141,14 @@
     parser.add_argument(
         "--limit", type=int, default=20, help="maximum number of edits [20]"
     )
-    _add_json(parser)
+    _add_json_flag(parser)
 
 
-def _add_json(parser: argparse.ArgumentParser) -> None:
+def _add_json_flag(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--json", action="store_true", help="print JSON")
 
 
-def _add_author(parser: argparse.ArgumentParser) -> None:
+def _add_author_flag(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         "--author", default=None, help="author in the history [name of the user]"
     )
@@ -197,7 +197,7 @@
     proposed = load_configuration(arguments.file)
     async with _open_store(arguments) as store:
         current = (await store.read()).configuration
-        against = _against(arguments, proposed, current)
+        against = _base_generation(arguments, proposed, current)
         _print_diff(current, proposed, False)
         if arguments.dry_run:
             return 0
@@ -248,7 +248,7 @@
     against: int,
     arguments: argparse.Namespace,
 ) -> Configuration:
-    author = arguments.author or _user()
+    author = arguments.author or _current_user()
     return await store.propose(proposed, against, author, secrets.token_hex(16))
 
 
@@ -259,7 +259,7 @@
     return record.configuration
 
 
-def _against(
+def _base_generation(
     arguments: argparse.Namespace, proposed: Configuration, current: Configuration
 ) -> int:
     if arguments.latest:
@@ -275,7 +275,7 @@
     )
 
 
-def _user() -> str:
+def _current_user() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/src/bergamotmast/serving.py
+++ b/src/bergamotmast/serving.py
@@ -113,7 +113,7 @@
         for connection, transport in self._without_handler().items():
             until = connection.header_deadline
             if until is not None:
-                loop.call_at(until, self._close_within_head, connection, transport)
+                loop.call_at(until, self._close_incomplete, connection, transport)
 
     async def close_idle_connections(self) -> None:
         """Close all idle connections except those that were opened a moment ago.
@@ -199,10 +199,10 @@
         """Return whether no request is running and no headers are partly received."""
         return connection not in self.busy and not connection.is_receiving_headers(now)
 
-    def _close_within_head(
+    def _close_incomplete(
         self, connection: Connection, transport: asyncio.Transport
     ) -> None:
-        """Close a connection unless its headers have been completed."""
+        """Close a connection unless its partly received headers are now complete."""
         if connection.header_deadline is not None and not transport.is_closing():
             self._close(transport)
 
@@ -221,7 +221,7 @@
     def _without_handler(
         self, among: cabc.Container[asyncio.BaseProtocol] | None = None
     ) -> dict[Connection, asyncio.Transport]:
-        """Return the open connections on which no handler is running."""
+        """Return the open connections on which no handler is running (yet)."""
         return {
             connection: connection.transport
             for connection in self.server.connections
--- a/src/bergamotmast/settings.py
+++ b/src/bergamotmast/settings.py
@@ -282,18 +282,18 @@
 
 def load_settings(
     settings: type[_S],
-    given: argparse.Namespace,
+    flags: argparse.Namespace,
     environment: cabc.Mapping[str, str] | None = None,
 ) -> _S:
     """Load and validate settings from flags, environment variables and defaults.
 
-    :param given: parsed flags; a flag that was not given is ``None`` or absent.
+    :param flags: parsed flags; a flag that was not given is ``None`` or absent.
     :param environment: environment variables; those of the process by default.
     :raises SettingError: for the first missing or invalid value.
     """
     environment = os.environ if environment is None else environment
     values = {
-        declaration.field: _value(declaration, given, environment)
+        declaration.field: _value(declaration, flags, environment)
         for declaration in declarations(t.cast("type[AnySettings]", settings))
     }
     loaded = settings(**values)
@@ -311,11 +311,11 @@
 
 def _value(
     declaration: Declaration,
-    given: argparse.Namespace,
+    flags: argparse.Namespace,
     environment: cabc.Mapping[str, str],
 ) -> t.Any:
     source = declaration.flag
-    text: str | None = getattr(given, declaration.field, None)
+    text: str | None = getattr(flags, declaration.field, None)
     if text is None:
         source = declaration.variable
         text = environment.get(declaration.variable)
@@ -332,12 +332,12 @@
 
 def _check_combinations(settings: AnySettings) -> None:
     if isinstance(settings, EntrySettings):
-        _both_or_none(settings, "tls_certificate_file", "tls_key_file")
+        _require_both_or_none(settings, "tls_certificate_file", "tls_key_file")
     if isinstance(settings, SharedSettings):
-        _both_or_none(settings, "curve_secret_file", "curve_peers_file")
+        _require_both_or_none(settings, "curve_secret_file", "curve_peers_file")
 
 
-def _both_or_none(settings: KeyValueSettings, first: str, second: str) -> None:
+def _require_both_or_none(settings: KeyValueSettings, first: str, second: str) -> None:
     by_field = {found.field: found for found in declarations(type(settings))}
     for present, absent in ((first, second), (second, first)):
         if getattr(settings, present) and not getattr(settings, absent):
--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -64,7 +64,7 @@
         entry_names = [f"entry-{i + 1}" for i in range(entries)]
         await asyncio.gather(*(self.start_entry(name) for name in entry_names))
         for name in entry_names:
-            await self.until_serving(name, len(names))
+            await self.wait_until_serving(name, len(names))
 
     async def _start_upstream(self, name: str) -> None:
         kind = name.partition("-")[0]
@@ -176,7 +176,7 @@
     async def relaunch(self, name: str) -> None:
         await self.launch(name, self.commands[name])
 
-    async def until_serving(self, entry: str, upstreams: int) -> None:
+    async def wait_until_serving(self, entry: str, upstreams: int) -> None:
         """Wait until an entry has sessions with at least ``upstreams`` sides."""
         url = self.urls[entry] + "/health/sides"
         async with aiohttp.ClientSession() as session:
--- a/tests/test_daemon_stopping.py
+++ b/tests/test_daemon_stopping.py
@@ -76,7 +76,7 @@
     f.signal(f"side-{name}", signal.SIGTERM)
     assert await exit_status(f, f"side-{name}") == 0
     await f.relaunch(f"side-{name}")
-    await f.until_serving("entry-1", len(f.sides))
+    await f.wait_until_serving("entry-1", len(f.sides))
 
 
 async def test_sides_replaced_in_turn_lose_no_request(tmp_path):
@@ -275,7 +275,7 @@
     async with process_fleet(tmp_path, 0, 2, 1) as f:
         await f.kill("entry-1")
         await f.launch("entry-1", f.commands["entry-1"], ("-c", program))
-        await f.until_serving("entry-1", 2)
+        await f.wait_until_serving("entry-1", 2)
         callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             assert await exit_status(f, "entry-1") != 0
@@ -297,7 +297,7 @@
         f.signal("side-service-1", signal.SIGTERM)
         assert await exit_status(f, "side-service-1") == 0
         await f.launch("side-service-1", f.commands["side-service-1"], ("-c", program))
-        await f.until_serving("entry-1", 2)
+        await f.wait_until_serving("entry-1", 2)
         callers = KeepAliveCallers(f.urls["entry-1"])
         async with callers.sending(CALLERS):
             assert await exit_status(f, "side-service-1") != 0
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -39,56 +39,56 @@
 
 
 def connect(listening):
-    raw = socket.create_connection(listening.runner.addresses[0])
-    raw.setblocking(False)
-    return raw
+    caller = socket.create_connection(listening.runner.addresses[0])
+    caller.setblocking(False)
+    return caller
 
 
-async def read(raw, seconds=2.0):
+async def read(caller, seconds=2.0):
     """Return all data received until the connection is closed."""
-    reader, writer = await asyncio.open_connection(sock=raw)
+    reader, writer = await asyncio.open_connection(sock=caller)
     try:
         return await asyncio.wait_for(reader.read(), seconds)
     finally:
         writer.close()
 
 
-@pytest.mark.parametrize("turns", range(9))
-async def test_a_request_in_the_receive_buffer_is_answered(turns):
+@pytest.mark.parametrize("iterations", range(9))
+async def test_a_request_in_the_receive_buffer_is_answered(iterations):
     # The next request on a keep-alive connection has arrived, but the process hasn't
     # read it when the shutdown begins. Closing the connection would reset it.
     frontend = Frontend()
     listening = await frontend.listen()
-    raw = connect(listening)
-    raw.send(REQUEST)
+    caller = connect(listening)
+    caller.send(REQUEST)
     while not frontend.answered:
         await asyncio.sleep(0.01)
-    raw.send(REQUEST)
-    for _ in range(turns):
+    caller.send(REQUEST)
+    for _ in range(iterations):
         await asyncio.sleep(0)
     await listening.stop_accepting_requests()
     assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
-    assert (await read(raw)).count(b"200 OK") == frontend.answered == 2
+    assert (await read(caller)).count(b"200 OK") == frontend.answered == 2
     await listening.close()
 
 
-@pytest.mark.parametrize("turns", range(9))
-async def test_a_connection_in_the_backlog_is_served(turns):
+@pytest.mark.parametrize("iterations", range(9))
+async def test_a_connection_in_the_backlog_is_served(iterations):
     # Callers have connected and sent a request, but the process hasn't accepted the
     # connections when it closes its address. An immediate close would reset them.
     frontend = Frontend()
     listening = await frontend.listen()
-    raws = []
+    callers = []
     for number in range(20):
-        raws.append(connect(listening))
-        raws[-1].send(REQUEST)
-        if number < turns:
+        callers.append(connect(listening))
+        callers[-1].send(REQUEST)
+        if number < iterations:
             await asyncio.sleep(0)
     await listening.stop_accepting_requests()
-    answers = await asyncio.gather(*map(read, raws))
+    answers = await asyncio.gather(*map(read, callers))
     assert [answer.count(b"200 OK") for answer in answers] == [1] * 20
     with pytest.raises(OSError):
-        connect_again = socket.create_connection(raws[0].getpeername())
+        connect_again = socket.create_connection(callers[0].getpeername())
         connect_again.close()
     await listening.close()
 
@@ -99,12 +99,12 @@
     # whether its request was read.
     frontend = Frontend()
     listening = await frontend.listen()
-    raw = connect(listening)
+    caller = connect(listening)
     now = asyncio.get_running_loop().time()
     draining = asyncio.create_task(listening.drain(now, now + 5))
     await asyncio.sleep(0.1)
-    raw.send(REQUEST)
-    assert (await read(raw)).count(b"200 OK") == 1
+    caller.send(REQUEST)
+    assert (await read(caller)).count(b"200 OK") == 1
     assert await draining
     await listening.close()
 
@@ -114,12 +114,12 @@
     # connection is left open.
     frontend = Frontend(pace=0.2)
     listening = await frontend.listen()
-    raw = connect(listening)
-    raw.send(REQUEST)
+    caller = connect(listening)
+    caller.send(REQUEST)
     await asyncio.sleep(0.05)
     await listening.stop_accepting_requests()
     assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
-    assert (await read(raw)).count(b"200 OK") == 1
+    assert (await read(caller)).count(b"200 OK") == 1
     await listening.close()
 
 
@@ -129,8 +129,8 @@
     size = 20_000_000
     frontend = Frontend(size=size)
     listening = await frontend.listen()
-    raw = connect(listening)
-    raw.send(REQUEST)
+    caller = connect(listening)
+    caller.send(REQUEST)
     while not frontend.answered:
         await asyncio.sleep(0.01)
     await listening.stop_accepting_requests()
@@ -139,7 +139,7 @@
     wait_until_closed = asyncio.create_task(
         listening.wait_until_closed(loop.time() + 10)
     )
-    answer = await read(raw, 10.0)
+    answer = await read(caller, 10.0)
     assert answer.count(b"x") == size
     assert await wait_until_closed
     await listening.close()
@@ -150,13 +150,13 @@
     # data. Its connection is closed after a bounded number of passes.
     frontend = Frontend()
     listening = await frontend.listen()
-    raw = connect(listening)
-    raw.send(REQUEST[:4])
+    caller = connect(listening)
+    caller.send(REQUEST[:4])
 
     async def drip():
         while True:
             await asyncio.sleep(0)
-            raw.send(b"x")
+            caller.send(b"x")
 
     dripping = asyncio.create_task(drip())
     await asyncio.sleep(0.05)
@@ -164,5 +164,5 @@
         await listening.stop_accepting_requests()
     await asyncio.wait({dripping}, timeout=2)
     assert isinstance(dripping.exception(), OSError)
-    raw.close()
+    caller.close()
     await listening.close()
