--- a/tests/keep_alive_callers.py
+++ b/tests/keep_alive_callers.py
@@ -1,4 +1,4 @@
-"""Callers on kept connections that send one call after the other without rest."""
+"""Callers that send calls continuously on persistent HTTP connections."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """How one call ended.
+    """Result of one call.
 
-    :param status: 0 if the connection was closed without any answer.
-    :param kept: whether an earlier answer had left the connection open.
-    :param outcome: what a refusal says: ``not_run``, ``ran`` or ``unknown``.
+    :param status: HTTP status; 0 if the connection was closed without a response.
+    :param kept: whether the connection had carried an earlier call.
+    :param outcome: outcome in the body of an error: ``not_run``, ``ran`` or
+        ``unknown``.
     """
 
     request_id: str
@@ -32,9 +33,11 @@
 
 
 class KeepAliveCallers:
-    """So many callers of one entry, until the body ends or nobody listens.
+    """Callers of one entry, each on a persistent connection of its own.
 
-    :param calls: how each call ended.
+    A caller reconnects when its connection is closed, and ends when nothing listens.
+
+    :param calls: results of all calls so far.
     """
 
     def __init__(self, url: str, path: str = "/services/orders") -> None:
@@ -47,6 +50,7 @@
 
     @contextlib.asynccontextmanager
     async def sending(self, count):
+        """Run ``count`` callers within an ``async with``."""
         tasks = [asyncio.create_task(self._caller()) for _ in range(count)]
         try:
             yield self
@@ -95,7 +99,7 @@
 
     @property
     def closed_unanswered(self) -> list[Call]:
-        """Calls that were neither answered nor refused."""
+        """Calls whose connection was closed without a response."""
         return [call for call in self.calls if not call.status]
 
     @property
@@ -104,12 +108,12 @@
 
     @property
     def unanswered(self) -> dict[str, int]:
-        """How often each status other than 200 came, with what it says."""
+        """Number of responses by status and outcome, other than status 200."""
         ends = [f"{c.status} {c.outcome}" for c in self.calls if c.status != 200]
         return dict(collections.Counter(ends))
 
     def ran(self, records) -> list[Call]:
-        """Calls without their answer that their service ran."""
+        """Calls without a 200 response that the service executed."""
         began = {r.request for r in records if isinstance(r, Execution)}
         return [c for c in self.calls if c.status != 200 and c.request_id in began]
 
--- a/tests/series_callers.py
+++ b/tests/series_callers.py
@@ -1,4 +1,7 @@
-"""Callers of a series of stops: without rest, and just as an entry stops taking."""
+"""Callers of a series of stops.
+
+Some send continuously, others just as an entry stops accepting requests.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,14 @@
 from series_plan import Stop
 
 ANSWER_TIMEOUT_SECONDS = 15.0
-"""Longest wait of a caller; no answer of a series takes so long."""
+"""How long a caller waits for an answer; no answer of a series takes as long."""
 
 ENDLESS_TARGET = "/talk/x?ms=200&events=60"
 
 
 @dataclasses.dataclass
 class Connection:
-    """A caller's connection to one life of an entry."""
+    """A caller's connection to one incarnation of an entry."""
 
     incarnation: EntryIncarnation
     reader: asyncio.StreamReader
@@ -33,10 +36,11 @@
 
 
 class SeriesCallers:
-    """Sends requests and notes what became of them.
+    """Sends requests and records their results.
 
-    :param refused: when no entry took a connection.
-    :param accepted: when one did.
+    :param sent: all requests so far.
+    :param refused: when an attempt to connect found no entry that listens.
+    :param accepted: when a connection was accepted.
     """
 
     def __init__(self, fleet: SeriesFleet, rng: random.Random) -> None:
@@ -48,7 +52,7 @@
         self.stopping = asyncio.Event()
 
     async def send_continuously(self) -> None:
-        """Use connections to any entry, each until it is closed."""
+        """Send requests to any entry, on each connection until it is closed."""
         pause = self.rng.choice((0.001, 0.01, 0.2))
         while not self.stopping.is_set():
             connection = await self._connect_anywhere()
@@ -62,11 +66,14 @@
             connection.writer.close()
 
     async def open_endless_stream(self, stop: Stop) -> None:
-        """Ask for a stream that goes on past the entry's end."""
+        """Open a stream that is longer than the entry's shutdown."""
         await self._on_new_connection(stop, ENDLESS_TARGET)
 
     async def send_at_admission_end(self, stop: Stop, sigterm_delay: float) -> None:
-        """Keep a connection idle and send just around the end of taking."""
+        """Send on an idle connection around the moment when admission ends.
+
+        :param sigterm_delay: seconds from now until the entry receives SIGTERM.
+        """
         incarnation = self.fleet.current[stop.entry]
         connection = await self._connect(incarnation)
         if connection is None:
@@ -79,12 +86,12 @@
         connection.writer.close()
 
     async def connect_at_admission_end(self, stop: Stop) -> None:
-        """Open a connection around the end of taking, and send on it."""
+        """Open a connection around the moment when admission ends, and send on it."""
         await asyncio.sleep(ADMISSION_SECONDS + self.rng.uniform(-0.1, 0.3))
         await self._on_new_connection(stop, self._target())
 
     async def send_until_exit(self, stop: Stop) -> None:
-        """Connect and send, with pauses, until the process is gone."""
+        """Connect and send, with pauses, until the process has exited."""
         incarnation = self.fleet.current[stop.entry]
         while incarnation.process.returncode is None:
             connection = await self._connect(incarnation)
@@ -97,7 +104,7 @@
             connection.writer.close()
 
     def longest_refusal(self) -> float:
-        """Return the longest time from a refusal to the next connection taken."""
+        """Return the longest time from a refusal to the next accepted connection."""
         waits = [0.0]
         for at in self.refused:
             waits.append(min((t for t in self.accepted if t > at), default=at) - at)
@@ -137,7 +144,7 @@
         return f"{kind}x?ms={pause}&events={events}"
 
     async def _ask(self, connection: Connection, target: str) -> bool:
-        """Send one request and return whether another one may follow."""
+        """Send one request; return whether the connection can carry another one."""
         sent = SentRequest(f"q-{len(self.sent)}", target, connection.incarnation)
         self.sent.append(sent)
         data = request(target, request_id=sent.request_id, X_Deadline_Ms="14000")
--- a/tests/series_checks.py
+++ b/tests/series_checks.py
@@ -1,4 +1,4 @@
-"""What callers and replicas saw of a series of stops, and what must hold of it."""
+"""Results of a series of stops as callers and replicas see them, and their checks."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from series_plan import Plan
 
 KILL_TIMEOUT_SECONDS = 8.0
-"""When the platform kills an entry that was told to end."""
+"""Time from SIGTERM until the platform kills an entry."""
 
 MAX_ANSWER_SECONDS = 6.9
-"""An answer that takes longer than this after SIGTERM may be cut off."""
+"""Time from SIGTERM after which an answer may be cut off."""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 FAILED_AT_REPLICA_STATUSES = frozenset({502, 504})
@@ -24,10 +24,13 @@
 
 @dataclasses.dataclass
 class EntryIncarnation:
-    """One process of an entry, as the platform sees it; 0.0 is not yet.
+    """One process of an entry, as the platform sees it.
 
-    :param handle: descriptor that stands for the process.
-    :param signals: what it was sent beside the first SIGTERM.
+    Its points in time are 0.0 until they are known.
+
+    :param entry: number of the entry.
+    :param handle: pidfd of the process.
+    :param signals: signals sent to the process.
     """
 
     entry: int
@@ -40,7 +43,7 @@
     ended_at: float = 0.0
 
     def fault(self) -> str:
-        """Return what is wrong with its end, if anything."""
+        """Return what is wrong with the end of the process, or an empty string."""
         code = self.process.returncode
         if code is None or self.killed_at:
             return ""
@@ -49,7 +52,8 @@
         seconds = self.ended_at - self.sigterm_at
         if seconds > KILL_TIMEOUT_SECONDS:
             return f"entry-{self.entry} ended {seconds:.2f} s after SIGTERM"
-        # By then, or as yet, no request is with it.
+        # A signal ends the process by default before its handlers are installed and
+        # after they are removed, and the process has no requests then.
         if code == 0 or -code in self.signals or not self.ready_at:
             return ""
         return f"entry-{self.entry} ended with {code}"
@@ -57,10 +61,10 @@
 
 @dataclasses.dataclass
 class SentRequest:
-    """A request as its caller knows it.
+    """A request and its result, as its caller knows them.
 
-    :param status: 0 without a whole answer.
-    :param complete: whether the answer's end came as HTTP has it.
+    :param status: HTTP status; 0 if the response is missing or incomplete.
+    :param complete: whether the response was complete according to HTTP.
     """
 
     request_id: str
@@ -73,9 +77,9 @@
     ended_at: float = 0.0
 
     def fault(self, runs: int, plan: Plan) -> str:
-        """Return what is wrong with its end, if anything.
+        """Return what is wrong with the result, or an empty string.
 
-        :param runs: how often a replica received it.
+        :param runs: how often replicas received the request.
         """
         if runs > 1 and self.target.startswith(AT_MOST_ONCE_PATHS):
             return "ran twice"
@@ -91,7 +95,7 @@
         return self._answer_fault()
 
     def describe(self, fault: str, runs: int) -> str:
-        """Return a fault with all that is known of the request."""
+        """Format a fault with everything that is known about the request."""
         told = self.incarnation.sigterm_at
         began, ended = self.began_at - told, self.ended_at - told
         after = f"{began:.3f} to {ended:.3f} s after SIGTERM" if told else "no SIGTERM"
@@ -102,7 +106,11 @@
         )
 
     def _may_be_lost(self) -> bool:
-        """Return whether it was in flight as its entry was killed, or out of time."""
+        """Return whether the request may be lost.
+
+        It may if it was in flight when its entry was killed, or if it ended too long
+        after SIGTERM.
+        """
         incarnation = self.incarnation
         if incarnation.killed_at:
             return self.ended_at >= incarnation.killed_at
@@ -124,8 +132,10 @@
 
 @dataclasses.dataclass
 class SeriesReport:
-    """What a series showed.
+    """Result of a series.
 
+    :param faults: descriptions of everything that must not happen.
+    :param statuses: number of requests by status.
     :param refused: number of attempts to connect while no entry listened.
     :param longest_refusal_seconds: longest time from such an attempt to the next
         connection.
@@ -145,7 +155,10 @@
     incarnations: list[EntryIncarnation],
     received: list[str],
 ) -> list[str]:
-    """Return all that must not be, one line each."""
+    """Return descriptions of everything that must not happen, one line each.
+
+    :param received: ids of the requests that replicas received.
+    """
     runs = collections.Counter(received)
     faults = ["" if received else "no request reached a replica"]
     faults += [incarnation.fault() for incarnation in incarnations]
--- a/tests/series_entry.py
+++ b/tests/series_entry.py
@@ -1,7 +1,8 @@
-"""A direct entry as ``serve.py`` starts it; its event loop stands still on SIGUSR2.
+"""A direct entry, started as by ``serve.py``, whose event loop stalls on SIGUSR2.
 
-A collection of garbage does the same. A process that is stopped and goes on does not:
-where it waits for input, it finds what is due first and the input one turn later.
+A garbage collection stalls the loop in the same way. SIGSTOP and SIGCONT have another
+effect: a process that was stopped while it waited for input handles expired timers
+first, and the input one iteration of the loop later.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def run_with_stalls(loop: asyncio.SelectorEventLoop) -> None:
-    """Run as ever, but stand still within a turn when told to."""
+    """Run the event loop; SIGUSR2 blocks it within an iteration."""
     loop.add_signal_handler(signal.SIGUSR2, time.sleep, STALL_SECONDS)
     run_forever(loop)
 
--- a/tests/series_fleet.py
+++ b/tests/series_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a series of stops: entries, replicas, and the store before them."""
+"""The processes of a series of stops: entries, replicas and the platform's store."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 TESTS = pathlib.Path(__file__).resolve().parent
 
 PORT_BLOCKS = range(5_000, 11_800, 200)
-"""Below those of other tests, and of the system's own choice."""
+"""First ports of blocks below the ports of other tests and the ephemeral ports."""
 
 START_SECONDS = 20.0
 
@@ -40,9 +40,9 @@
 
 
 class SeriesStore(Store):
-    """The platform's store, which may be slow.
+    """The platform's store, which can be slow.
 
-    :param delay: seconds that each call takes before anything is done.
+    :param delay: seconds before a call takes effect.
     """
 
     delay = 0.0
@@ -54,10 +54,13 @@
 
 
 class SeriesFleet:
-    """Starts and ends the processes of a series.
+    """Starts and stops the processes of a series.
 
-    :param folder: where they log and replicas note what they receive.
+    :param folder: folder of the processes' logs, and of the ids of the requests that
+        replicas receive.
+    :param incarnations: all processes of entries so far.
     :param current: the latest process of each entry.
+    :param block: socket that reserves the block of ports.
     """
 
     replica_script = "series_replica.py"
@@ -77,7 +80,7 @@
         self.watches: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> SeriesFleet:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until they serve."""
         await self.store.__aenter__()
         self.store.put("op/config", config(routes=self.routes))
         async with asyncio.TaskGroup() as group:
@@ -108,7 +111,7 @@
         return self._record.read_text().split() if self._record.exists() else []
 
     async def is_ready(self, entry: int) -> bool:
-        """Return what an entry says of its readiness."""
+        """Return whether an entry reports itself ready."""
         try:
             streams = await asyncio.open_connection(
                 "127.0.0.1", self.entry_ports[entry] + 1
@@ -143,17 +146,20 @@
         self.store.put(f"servers/i-{number}", entry | self.registration(number) | state)
 
     def arguments(self, number: int) -> tuple[str, ...]:
-        """Return what a replica's process is told beside the usual."""
+        """Return additional arguments of a replica's process."""
         return ()
 
     def registration(self, number: int) -> dict[str, object]:
-        """Return what a replica registers as."""
+        """Return the part of a replica's registration that states its service."""
         if number < self.plan.plain:
             return {"service": "plain"}
         return {"service": "llm", "stage": "decode"}
 
     async def restart_replica(self, number: int) -> None:
-        """End a replica, known before or only after, and bring it back."""
+        """Shut a replica down and start it again a second later.
+
+        It is deregistered either before or only after its shutdown.
+        """
         process, key = self.replicas[number], f"servers/i-{number}"
         known_before = self.rng.random() < 0.5
         if known_before:
@@ -167,7 +173,7 @@
         await self.start_replica(number)
 
     async def start_entry(self, number: int) -> None:
-        """Start an entry and wait until it is ready, or has ended."""
+        """Start an entry and wait until it is ready or has exited."""
         ports = range(self.entry_ports[number], self.entry_ports[number] + 3)
         listen, ready, peer = (f"127.0.0.1:{port}" for port in ports)
         process = await self._spawn(
@@ -191,7 +197,7 @@
         incarnation.ready_at = time.monotonic() if process.returncode is None else 0.0
 
     async def restart_entry(self, number: int) -> None:
-        """Kill an entry, start it anew and wait until it is ready."""
+        """Kill an entry, start it again and wait until it is ready."""
         incarnation = self.current.pop(number)
         incarnation.killed_at = time.monotonic()
         incarnation.process.kill()
@@ -217,7 +223,10 @@
 
 
 async def wait_until_loading(incarnation: EntryIncarnation) -> None:
-    """Wait until a process loads its libraries; no program hears a signal before."""
+    """Wait until a process loads its libraries.
+
+    No program can handle a signal before that.
+    """
     maps = pathlib.Path(f"/proc/{incarnation.process.pid}/maps")
     with contextlib.suppress(FileNotFoundError, ProcessLookupError):
         while (
@@ -229,16 +238,20 @@
 async def send_signal(
     incarnation: EntryIncarnation, number: signal.Signals, after: float
 ) -> None:
-    """Send a signal after a while to a process that still runs then."""
+    """Send a signal to a process after a delay, unless it has exited by then.
+
+    :param after: delay in seconds.
+    """
     await asyncio.sleep(after)
     with contextlib.suppress(ProcessLookupError):
-        # The library's own way would take the exit code from whoever waits for it.
+        # ``Process.send_signal`` polls the process, which would reap it and take its
+        # exit code from the task that waits for it.
         signal.pidfd_send_signal(incarnation.handle, number)
         incarnation.signals.add(number)
 
 
 async def _watch_end(incarnation: EntryIncarnation) -> None:
-    """Note when a process ends, without the way through a waiting thread."""
+    """Record when a process exits, by its pidfd and so without a thread's delay."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     loop.add_reader(incarnation.handle, ended.set)
@@ -258,7 +271,11 @@
 
 
 def _reserve_ports() -> tuple[socket.socket, int]:
-    """Return a block of ports that no other series uses, held by its first."""
+    """Reserve a block of ports that no other series uses.
+
+    :return: a socket bound to the block's first port, which holds the reservation,
+        and this port.
+    """
     for base in PORT_BLOCKS:
         held = socket.socket()
         try:
--- a/tests/series_plan.py
+++ b/tests/series_plan.py
@@ -1,4 +1,4 @@
-"""What happens in a series of stops, drawn from a seed; all times are in seconds."""
+"""Plans of series of stops, drawn from a seed; all times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,32 +7,37 @@
 import signal
 
 ADMISSION_SECONDS = 2.6
-"""How long an entry takes requests after SIGTERM."""
+"""How long an entry accepts requests after SIGTERM."""
 
 STOP_INTERVAL_SECONDS = 1.2
-"""Between the stops of two entries in planned work."""
+"""Interval between the stops of two entries in a rolling restart."""
 
 FIRST_LATE_SEED = 1000
-"""From this seed on, callers and halts also follow an entry up to its very end."""
+"""First seed of the series with calls and stalls until the process exits."""
 
 MAX_CONTINUOUS_CALLERS = 24
-"""Callers that one process plays without becoming the slowest part."""
+"""More callers in one process would become the bottleneck of the series."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Stop:
-    """One end of one entry; times but ``at`` and ``restart`` are after SIGTERM.
-
-    :param killed: whether it is SIGKILL at once, without a warning.
-    :param further_signals: further signals.
-    :param stall_at: when the process is made to stand still; 0 for never.
-    :param stall_signal: SIGSTOP, or SIGUSR2 for its event loop alone.
-    :param restart: pause before the next start; ``None`` for none.
-    :param idle_connections: idle connections that send just around the end of taking.
-    :param late_connections: connections opened around the end of taking.
-    :param endless_streams: streams that outlast the time to end.
-    :param persistent_callers: callers that connect and send until the process is gone.
-    :param loop_stalls: when its event loop stands still once more.
+    """One stop of one entry.
+
+    ``at`` counts from the start of the series, ``restart`` from the process's exit, and
+    all other times from SIGTERM.
+
+    :param killed: whether the entry is killed with SIGKILL, without a SIGTERM.
+    :param further_signals: times and numbers of further signals.
+    :param stall_at: when the process is stalled; 0 for never.
+    :param stall_seconds: duration of a stall by SIGSTOP.
+    :param stall_signal: SIGSTOP for the process, or SIGUSR2 for its event loop alone.
+    :param restart: delay before the next start; ``None`` for no restart.
+    :param idle_connections: number of idle connections that send a request around the
+        moment when admission ends.
+    :param late_connections: number of connections opened around that moment.
+    :param endless_streams: number of streams that are longer than the shutdown.
+    :param persistent_callers: number of callers that send until the process exits.
+    :param loop_stalls: when the event loop is stalled again.
     """
 
     entry: int
@@ -52,13 +57,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """A series; times are from its begin.
+    """A series of stops; its times count from its start.
 
+    :param plain: number of plain replicas.
     :param continuous_callers: number of callers that send during the whole series.
-    :param reloads: when which entry gets SIGHUP.
-    :param replica_idle: after how long replicas close idle connections.
-    :param replica_restarts: when which replica ends; it is back a second later.
-    :param store_fault: how long the store fails, each call after ``store_delay``.
+    :param reloads: time of each SIGHUP, and the entry that receives it.
+    :param replica_idle: time after which replicas close idle connections.
+    :param replica_restarts: time of each restart, and the replica.
+    :param store_fault: duration of the store's fault.
+    :param store_outage: HTTP status of the store's replies during the fault; 0 if they
+        are only delayed.
+    :param store_delay: delay of the store's replies during the fault.
     """
 
     entries: int
@@ -76,14 +85,14 @@
 
     @property
     def replicas(self) -> int:
-        """Number of upstreams, plain ones first."""
+        """Number of replicas; the plain ones have the lower numbers."""
         return self.plain + self.engines
 
 
 def draw_plan(seed: int, most: int = 4) -> Plan:
-    """Return the series of a seed.
+    """Return the plan of a seed.
 
-    :param most: most entries, plain replicas, and engines.
+    :param most: maximum number each of entries, plain replicas and engines.
     """
     rng = random.Random(seed)
     entries = rng.randint(2, most)
--- a/tests/series_replica.py
+++ b/tests/series_replica.py
@@ -1,8 +1,8 @@
-"""A replica as a process: notes what it receives, and ends as it is told to.
+"""A replica as a process, which records the requests that it receives.
 
-Run as ``python series_replica.py PORT IDLE_SECONDS RECORD_FILE``. A request says by its
-path how it is answered: ``?ms=40`` after 40 ms, ``?ms=40&events=9`` by nine events with
-40 ms before each.
+Run as ``python series_replica.py PORT IDLE_SECONDS RECORD_FILE``. The query of a
+request selects its answer: ``?ms=40`` an answer after 40 ms, ``?ms=40&events=9`` nine
+events with 40 ms before each.
 """
 
 from __future__ import annotations
@@ -24,14 +24,19 @@
 
 
 class SeriesReplica:
-    """A replica that finishes its work after SIGTERM and closes what is idle."""
+    """Replica with a graceful shutdown, which closes idle connections.
+
+    :param idle_seconds: time after which an idle connection is closed.
+    :param record: descriptor of the file that request ids are appended to.
+    :param busy: connections with a request in progress.
+    """
 
     def __init__(self, idle_seconds: float, record: int) -> None:
         self.idle_seconds = idle_seconds
         self.record = record
         self.open: set[asyncio.StreamWriter] = set()
         self.busy: set[asyncio.StreamWriter] = set()
-        self.told = asyncio.Event()
+        self.shutting_down = asyncio.Event()
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -39,7 +44,7 @@
         self.open.add(writer)
         lost = (ConnectionError, asyncio.IncompleteReadError, TimeoutError)
         with contextlib.suppress(*lost):
-            while not self.told.is_set():
+            while not self.shutting_down.is_set():
                 received = await asyncio.wait_for(
                     read_request(reader), self.idle_seconds
                 )
@@ -76,12 +81,12 @@
 
 
 async def run(port: int, idle_seconds: float, record: int) -> None:
-    """Serve until SIGTERM and until the last request is answered."""
+    """Serve until SIGTERM, then until the last request is answered."""
     replica = SeriesReplica(idle_seconds, record)
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, replica.told.set)
+    loop.add_signal_handler(signal.SIGTERM, replica.shutting_down.set)
     server = await asyncio.start_server(replica.serve, "127.0.0.1", port, backlog=512)
-    await replica.told.wait()
+    await replica.shutting_down.wait()
     server.close()
     for writer in replica.open - replica.busy:
         writer.close()
--- a/tests/size_replica.py
+++ b/tests/size_replica.py
@@ -1,6 +1,7 @@
-"""An engine as a process: reads one prompt at a time, the most urgent first.
+"""An engine as a process: prefills one prompt at a time, in order of priority.
 
-Run as ``python size_replica.py PORT IDLE_SECONDS RECORD_FILE STAGE``.
+Run as ``python size_replica.py PORT IDLE_SECONDS RECORD_FILE STAGE``, with the same
+first arguments as ``series_replica.py``.
 """
 
 from __future__ import annotations
@@ -49,10 +50,10 @@
 
 async def run(port: int, stage: str) -> None:
     """Serve until SIGTERM."""
-    told = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, told.set)
+    sigterm = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, sigterm.set)
     await SizeReplica(stage).listen(port)
-    await told.wait()
+    await sigterm.wait()
 
 
 if __name__ == "__main__":
--- a/tests/size_series.py
+++ b/tests/size_series.py
@@ -1,10 +1,11 @@
-"""Plays more prompts of all sizes than can be read, on real processes with faults.
+"""Plays an overload of prompts of all sizes on real processes with faults.
 
     python tests/size_series.py --first 2000 --count 50
 
-Entries are killed and paused and reading engines end and return while callers send
-prompts whose sizes differ a hundredfold. Checks what is served by size, and that each
-try gets a whole answer, the truth or, at a process that ended, a closed connection.
+Entries are killed and paused and prefill engines are restarted while callers send more
+prompts than the engines can prefill, whose sizes differ a hundredfold. Checks the
+share of served prompts by size, and that each attempt gets a whole answer, a correct
+refusal or, if its entry was killed, a closed connection.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from series_plan import Plan
 
 CALLER_TIMEOUT_SECONDS = {"/report/x": 3.2, "/check/x": 2.0}
-"""When callers leave without an answer."""
+"""How long callers wait for an answer, by path."""
 
 REQUEST_DEADLINE_SECONDS = 8.0
 DECODE_ENGINES = 2
@@ -47,9 +48,11 @@
 class SizePlan:
     """A series, drawn from a seed; times are in seconds from the first caller.
 
-    :param kills: when which entry is killed; it starts again at once.
-    :param pauses: when which entry stands still, and for how long.
-    :param replica_restarts: when which reading engine ends; it is back a second later.
+    :param prefill_engines: number of prefill engines.
+    :param kills: time of each kill, and the entry; it is restarted at once.
+    :param pauses: time of each pause, the entry, and the duration.
+    :param replica_restarts: time of each restart, and the prefill engine; it is back a
+        second after its shutdown.
     """
 
     entries: int
@@ -61,12 +64,12 @@
 
     @property
     def engines(self) -> int:
-        """Number of engines in both roles."""
+        """Number of engines of both roles."""
         return self.prefill_engines + DECODE_ENGINES
 
 
 def draw_plan(seed: int, most_entries: int = 4) -> SizePlan:
-    """Return the series of a seed."""
+    """Return the plan of a seed."""
     rng = random.Random(seed)
     entries = rng.randint(2, most_entries)
     prefill_engines = rng.randint(3, 5)
@@ -92,27 +95,27 @@
 
 
 class SizeFleet(SeriesFleet):
-    """Entries before engines that read by size and priority."""
+    """Entries and engines that prefill in order of priority."""
 
     replica_script = "size_replica.py"
     routes = ROUTES
 
     def registration(self, number: int) -> dict[str, object]:
-        """Return what a replica registers as: the last ones answer."""
+        """Return a replica's service and stage; the last replicas decode."""
         stage = "decode" if number >= self.plan.engines - DECODE_ENGINES else "prefill"
         return {"service": "llm", "stage": stage}
 
     def arguments(self, number: int) -> tuple[str, ...]:
-        """Return what the replica's process is told beside the usual."""
+        """Return additional arguments of a replica's process."""
         return (str(self.registration(number)["stage"]),)
 
 
 @dataclasses.dataclass
 class PromptAttempt:
-    """One try of a prompt's caller.
+    """One attempt of a prompt's caller.
 
-    :param status: 0 without a whole answer.
-    :param left: whether the caller went away without one.
+    :param status: HTTP status; 0 without a complete response.
+    :param left: whether the caller timed out.
     """
 
     prompt: Prompt
@@ -124,27 +127,34 @@
 
     @property
     def was_cut(self) -> bool:
-        """Whether its entry was killed before it ended."""
+        """Whether the entry was killed before the attempt ended."""
         return bool(self.incarnation.killed_at) and not self.status and not self.left
 
     def fault(self) -> str:
-        """Return what must not be, if anything."""
+        """Return what is wrong with the result, or an empty string."""
         if self.left or self.was_cut or self.status in (200, 502, 503, 504):
             return ""
-        told = "no answer" if not self.status else f"status {self.status}"
-        return f"{self.prompt.name} of {self.prompt.size} tokens: {told}"
+        result = "no answer" if not self.status else f"status {self.status}"
+        return f"{self.prompt.name} of {self.prompt.size} tokens: {result}"
 
 
 @dataclasses.dataclass
 class SizeReport:
-    """What a series showed."""
+    """Result of a series.
+
+    :param shares: shares of served prompts by size.
+    :param faults: descriptions of everything that must not happen.
+    """
 
     shares: ServedShares
     faults: list[str]
 
 
 class SizeSeries:
-    """Plays one series."""
+    """Plays one series.
+
+    :param seed: seed of the callers' random choices.
+    """
 
     def __init__(self, plan: SizePlan, folder: pathlib.Path, seed: int) -> None:
         self.plan = plan
@@ -155,10 +165,10 @@
         self.started_at = 0.0
 
     async def run(self) -> SizeReport:
-        """Play the series and check what callers saw."""
+        """Play the series and check the callers' results."""
         prompts = self.plan.load.draw(self.rng)
         async with self.fleet:
-            # Each entry has heard of all engines by then.
+            # Time for each entry to learn of all engines.
             await asyncio.sleep(1.0)
             self.started_at = time.monotonic()
             async with asyncio.TaskGroup() as group:
@@ -169,7 +179,7 @@
                 for at, entry, seconds in self.plan.pauses:
                     group.create_task(self._pause(at, entry, seconds))
                 for at, number in self.plan.replica_restarts:
-                    group.create_task(self._leave(at, number))
+                    group.create_task(self._restart_replica(at, number))
         return self._report(prompts)
 
     def _report(self, prompts: list[Prompt]) -> SizeReport:
@@ -197,7 +207,7 @@
             await send_signal(incarnation, signal.SIGSTOP, 0.0)
             await send_signal(incarnation, signal.SIGCONT, seconds)
 
-    async def _leave(self, at: float, number: int) -> None:
+    async def _restart_replica(self, at: float, number: int) -> None:
         await self._until(at)
         await self.fleet.restart_replica(number)
 
@@ -259,7 +269,7 @@
 
 
 async def run_plan(plan: SizePlan, seed: int) -> SizeReport:
-    """Play a series; what was logged stays where something broke."""
+    """Play a series; the logs are kept if there are faults."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"sizes-{seed}-"))
     report = await SizeSeries(plan, folder, seed).run()
     if report.faults:
@@ -270,11 +280,11 @@
 
 
 async def _run_seeds(seeds: list[int], most_entries: int, at_once: int) -> int:
-    """Play series side by side; return how many broke."""
-    places = asyncio.Semaphore(at_once)
+    """Play series concurrently; return the number of series with faults."""
+    slots = asyncio.Semaphore(at_once)
 
     async def play(seed: int) -> bool:
-        async with places:
+        async with slots:
             report = await run_plan(draw_plan(seed, most_entries), seed)
         shares = report.shares
         print(
@@ -290,7 +300,7 @@
 
 
 def main() -> int:
-    """Play series of fresh seeds and say what each showed."""
+    """Play the series of a range of seeds and print the result of each."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--first", type=int, default=2000)
     parser.add_argument("--count", type=int, default=50)
--- a/tests/stop_series.py
+++ b/tests/stop_series.py
@@ -1,6 +1,6 @@
-"""Stops, reloads and restarts of direct entries in series, drawn from a seed.
+"""Plays series of stops, reloads and restarts of direct entries, drawn from seeds.
 
-By hand: ``PYTHONPATH=src:tests python tests/stop_series.py --first 100 --count 50``.
+Usage: ``PYTHONPATH=src:tests python tests/stop_series.py --first 100 --count 50``.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from series_plan import draw_plan
 
 SERIES_TIMEOUT_SECONDS = 90.0
-"""A series that takes longer hangs."""
+"""A series that takes longer counts as hanging."""
 
 SIGTERM_DELAY_SECONDS = 0.2
-"""Callers that keep a connection idle have theirs by then."""
+"""Time for callers to open connections that are idle when SIGTERM is sent."""
 
 MAX_START_WAIT_SECONDS = 4.0
-"""Most time that a new start is waited for before the same entry is stopped again."""
+"""How long the next stop of an entry waits for its restart to complete."""
 
 PROBE_INTERVAL_SECONDS = 0.05
 
@@ -66,11 +66,14 @@
     5100: "ended too late once: as 5103",
     5103: "ended too late once: starts took 2 to 9 s then; clean beside one series",
 }
-"""Seeds that broke, each with its cause."""
+"""Seeds with faults, and the cause of each."""
 
 
 class Series:
-    """Plays a plan."""
+    """Plays one series of stops.
+
+    :param seed: seed of the callers' random choices.
+    """
 
     def __init__(self, plan: Plan, folder: pathlib.Path, seed: int) -> None:
         self.plan = plan
@@ -81,7 +84,7 @@
         self.started_at = 0.0
 
     async def run(self) -> SeriesReport:
-        """Play the plan and check what callers and replicas saw."""
+        """Play the plan and check the results of callers and replicas."""
         async with asyncio.timeout(SERIES_TIMEOUT_SECONDS), self.fleet:
             self.started_at = time.monotonic()
             async with asyncio.TaskGroup() as group:
@@ -103,7 +106,7 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self._store_fault())
             for at, number in self.plan.replica_restarts:
-                group.create_task(self._leave(at, number))
+                group.create_task(self._restart_replica(at, number))
             for at, entry in self.plan.reloads:
                 group.create_task(self._reload(at, entry))
             for entry in range(self.plan.entries):
@@ -112,7 +115,7 @@
     async def _until(self, at: float) -> None:
         await asyncio.sleep(self.started_at + at - time.monotonic())
 
-    async def _leave(self, at: float, number: int) -> None:
+    async def _restart_replica(self, at: float, number: int) -> None:
         await self._until(at)
         await self.fleet.restart_replica(number)
 
@@ -177,11 +180,11 @@
             for after in stop.loop_stalls:
                 group.create_task(send_signal(incarnation, signal.SIGUSR2, after))
             if stop.stall_at:
-                group.create_task(self._hold(stop))
+                group.create_task(self._stall(stop))
             await incarnation.process.wait()
 
-    async def _hold(self, stop: Stop) -> None:
-        """Make a process, or its event loop alone, stand still for a while."""
+    async def _stall(self, stop: Stop) -> None:
+        """Stall a process, or its event loop alone."""
         incarnation = self.fleet.current[stop.entry]
         await send_signal(incarnation, stop.stall_signal, stop.stall_at)
         if stop.stall_signal == signal.SIGSTOP:
@@ -189,7 +192,7 @@
 
 
 async def run_plan(plan: Plan, seed: int) -> SeriesReport:
-    """Play a plan; what was logged stays where something broke."""
+    """Play a plan; the logs are kept if there are faults."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"series-{seed}-"))
     report = await Series(plan, folder, seed).run()
     if report.faults:
@@ -200,12 +203,14 @@
 
 
 def main() -> int:
-    """Play series of fresh seeds and say what each showed."""
+    """Play the series of a range of seeds and print the result of each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1000)
     parser.add_argument("--count", type=int, default=50)
     parser.add_argument("--most", type=int, default=4)
-    parser.add_argument("--kept", action="store_true", help="those that broke before")
+    parser.add_argument(
+        "--kept", action="store_true", help="play the seeds with known faults"
+    )
     arguments = parser.parse_args()
     seeds = list(range(arguments.first, arguments.first + arguments.count))
     if arguments.kept:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -9,10 +9,10 @@
 from bergamotmast.checker import summary
 
 SENT = h.RequestSent(at=0, request="r", request_class="c", expected_text="whole")
-ONCE = h.RequestSent(
+NON_REPEATABLE = h.RequestSent(
     at=0, request="r", request_class="c", repeatable=False, idempotency_key="k"
 )
-ONCE_MORE = h.RequestSent(
+SAME_KEY_AGAIN = h.RequestSent(
     at=0, request="r2", request_class="c", repeatable=False, idempotency_key="k"
 )
 
@@ -61,7 +61,7 @@
 
 END = h.PlannedChange(at=100, upstream="u", change="none")
 
-GOOD = {
+VALID_HISTORIES = {
     "answered whole": [SENT, ran(), answered()],
     "refused and not run": [SENT, refused()],
     "a failed stream gave the head of its answer": [
@@ -76,8 +76,8 @@
         refused(2, code=500, outcome="unknown"),
     ],
     "one run for two requests of one key": [
-        ONCE,
-        ONCE_MORE,
+        NON_REPEATABLE,
+        SAME_KEY_AGAIN,
         ran(key="k"),
         answered(),
         refused(request="r2", code=501, outcome="unknown"),
@@ -139,12 +139,12 @@
 }
 
 
-@pytest.mark.parametrize("name", GOOD)
-def test_a_good_history_passes(name):
-    assert check(GOOD[name]) == []
+@pytest.mark.parametrize("name", VALID_HISTORIES)
+def test_valid_history_has_no_violations(name):
+    assert check(VALID_HISTORIES[name]) == []
 
 
-BAD = {
+INVALID_HISTORIES = {
     "answered twice": (Rule.ANSWERED_ONCE, [SENT, ran(), answered(), answered(3)]),
     "answered and never sent": (Rule.ANSWERED_ONCE, [answered()]),
     "never answered": (Rule.NOT_LOST, [SENT, ran()]),
@@ -163,10 +163,20 @@
     ),
     "ran before it was told not run": (Rule.TRULY_NOT_RUN, [SENT, ran(), refused()]),
     "ran after it was told not run": (Rule.TRULY_NOT_RUN, [SENT, refused(), ran(9)]),
-    "a request twice": (Rule.AT_MOST_ONCE, [ONCE, ran(), ran(2, "v"), answered()]),
+    "a request twice": (
+        Rule.AT_MOST_ONCE,
+        [NON_REPEATABLE, ran(), ran(2, "v"), answered()],
+    ),
     "a key twice, over two requests": (
         Rule.AT_MOST_ONCE,
-        [ONCE, ONCE_MORE, ran(), ran(2, "v", "r2"), answered(), answered(request="r2")],
+        [
+            NON_REPEATABLE,
+            SAME_KEY_AGAIN,
+            ran(),
+            ran(2, "v", "r2"),
+            answered(),
+            answered(request="r2"),
+        ],
     ),
     "a key twice, callers unrecorded": (
         Rule.AT_MOST_ONCE,
@@ -251,14 +261,14 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_a_bad_history_is_rejected_for_its_one_fault(name):
-    rule, records = BAD[name]
+@pytest.mark.parametrize("name", INVALID_HISTORIES)
+def test_invalid_history_violates_exactly_one_rule(name):
+    rule, records = INVALID_HISTORIES[name]
     assert {violation.rule for violation in check(records)} == {rule}
 
 
-def test_every_rule_has_a_history_that_breaks_it():
-    assert {rule for rule, _ in BAD.values()} == set(Rule)
+def test_every_rule_has_an_invalid_history():
+    assert {rule for rule, _ in INVALID_HISTORIES.values()} == set(Rule)
 
 
 def test_limits_are_parameters():
--- a/tests/test_fault_runs.py
+++ b/tests/test_fault_runs.py
@@ -26,32 +26,33 @@
     193: "an edit was accepted while the harness let it spread; the service lost it",
     181: "after a restore, a new side gave an order of a part that was older than lost",
 }
-"""Seeds that once showed a fault, and what it was."""
+"""Seeds that failed in the past, and the fault that each one found."""
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS])
-def test_every_promise_holds_under_the_faults_of_a_seed(seed):
-    # Callers send for a minute while processes are killed, paused, cut off, replaced
-    # and shut down, engines crash in mid-change, replies are lost, the key-value
-    # service goes down and comes back older, and operators edit and drain. What
-    # callers were told is then compared with what upstreams ran.
+def test_guarantees_hold_under_the_faults_of_a_seed(seed):
+    # Callers send requests for a minute while processes are killed, paused,
+    # partitioned and restarted, engines crash during role changes, replies are lost,
+    # the key-value service goes down and is restored to older content, and operators
+    # edit the configuration and drain engines. The checker then compares the callers'
+    # answers with the upstreams' executions.
     result = run_seed(seed)
     assert result.holds, format_run(result, with_log=True)
     assert result.summary.sent > 100
     assert result.summary.lost == 0
 
 
-def test_a_run_is_the_same_each_time_and_has_orders_in_it():
+def test_run_is_deterministic_and_contains_orders():
     first = run_seed(2)
     assert first.records == run_seed(2).records
     assert any(isinstance(record, OrderTaken) for record in first.records)
 
 
 @pytest.mark.looptime
-async def test_an_entry_that_starts_during_an_outage_learns_its_configuration():
-    # The key-value service is down; an entry is replaced and knows no group, so no
-    # side that it should talk to. Callers would be refused there until the service
-    # is back, although every side could tell it what is in force.
+async def test_entry_started_during_an_outage_gets_its_configuration():
+    # An entry is replaced while the key-value service is down. Without a configuration
+    # it knows no group and opens no session, so it would refuse callers until the
+    # service is back, although every side has the configuration in force.
     install_task_factory(asyncio.get_running_loop())
     environment = FaultEnvironment(1)
     await environment.start()
@@ -67,10 +68,10 @@
 
 
 @pytest.mark.looptime
-async def test_a_token_is_not_given_out_again_after_a_restore():
-    # The service loses the plan of an epoch, and every planner that knew the epoch
-    # is replaced. A new one takes over; engines that ignore tokens would be given
-    # two orders under one number, and sides could not tell which is newer.
+async def test_fencing_token_is_not_reused_after_a_restore():
+    # A restore loses the plan of an epoch, and every planner that knew the epoch is
+    # replaced. If the next planner used the epoch again, engines that ignore tokens
+    # would get two orders with the same token, and sides could not tell which is newer.
     install_task_factory(asyncio.get_running_loop())
     environment = FaultEnvironment(1)
     before = environment.kv.snapshot()
@@ -89,12 +90,12 @@
     await environment.stop()
 
 
-def test_a_range_of_seeds_is_read():
+def test_parse_seeds():
     assert parse_seeds("3-5") == range(3, 6)
     assert parse_seeds("7") == range(7, 8)
 
 
 @pytest.mark.parametrize("value", ["", "a-b", "5-3"])
-def test_a_wrong_range_is_refused(value):
+def test_parse_seeds_refuses_invalid_ranges(value):
     with pytest.raises(SettingError, match="--seeds"):
         parse_seeds(value)
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -9,9 +9,9 @@
 
 
 @pytest.mark.looptime
-async def test_a_paused_process_takes_no_step_and_its_timers_fall_due():
-    # A process ticks each second and is stopped for ten: nothing of it moves, then it
-    # wakes and sees that a timeout of its own has passed meanwhile.
+async def test_paused_process_runs_no_task_while_its_timers_expire():
+    # A process ticks each second and is paused for ten. No task of it runs meanwhile;
+    # once resumed, it handles the timeout that has expired during the pause.
     install_task_factory(asyncio.get_running_loop())
     loop = asyncio.get_running_loop()
     gate = Gate()
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.looptime
-async def test_a_killed_process_ends_with_all_its_tasks_also_while_paused():
+async def test_kill_cancels_all_tasks_of_a_paused_process():
     install_task_factory(asyncio.get_running_loop())
     gate = Gate()
     ended = []
--- a/tests/test_size_series.py
+++ b/tests/test_size_series.py
@@ -1,6 +1,6 @@
-"""Prompts of all sizes on real processes with faults.
+"""An overload of prompts of all sizes on real processes with faults.
 
-More seeds by hand: ``tests/size_series.py``.
+``tests/size_series.py`` plays more seeds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,10 @@
 
 
 async def test_series_serves_large_prompts_beside_faults():
-    """Shorter prompts that keep coming pass the largest until their callers leave."""
+    """Guards against starvation of large prompts by a steady load of short ones.
+
+    If short prompts always went first, the callers of the largest would time out.
+    """
     report = await run_plan(draw_plan(SEED), SEED)
     assert report.faults == []
 
@@ -33,7 +36,7 @@
         (404, False, 0.0, "report-1 of 900 tokens: status 404"),
     ],
 )
-def test_checks_name_tries_without_an_answer(status, left, killed_at, fault):
+def test_faults_of_attempts_are_found(status, left, killed_at, fault):
     incarnation = EntryIncarnation(entry=0, process=None, handle=0, killed_at=killed_at)
     prompt = Prompt("report-1", "/report/x", 0.0, 900)
     assert PromptAttempt(prompt, incarnation, status, left).fault() == fault
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -27,9 +27,9 @@
 
 pytestmark = pytest.mark.looptime
 
-RATES = RoleRates(1000.0, 0.5, 0.1, 0.1, 2.0, 4)
+ROLE_RATES = RoleRates(1000.0, 0.5, 0.1, 0.1, 2.0, 4)
 SPEC = EngineSpec(
-    roles={role: RATES for role in Role},
+    roles={role: ROLE_RATES for role in Role},
     kv_capacity=10_000,
     transfer_rate=1000.0,
     cache_event_gap=3,
@@ -46,7 +46,7 @@
 
 
 async def collect(engine, wanted):
-    """Return (time since start, chunk) of each chunk."""
+    """Return each chunk of an answer with its time since the request, in seconds."""
     loop = asyncio.get_running_loop()
     start = loop.time()
     chunks = engine.generate(wanted)
@@ -57,27 +57,27 @@
     return "".join(chunk.text for _, chunk in chunks)
 
 
-async def test_a_stream_is_prefilled_and_then_decoded_step_by_step():
+async def test_stream_is_prefilled_and_then_decoded_step_by_step():
     chunks = await collect(EngineStandIn("e", SPEC), request("a"))
     assert [at for at, _ in chunks] == [1.0, 1.2, 1.4, 1.6, 1.8]
     assert [chunk.finish for _, chunk in chunks] == ["", "", "", "", "stop"]
     assert text(chunks) == expected_text("model", "p [out=5]", 100)
 
 
-async def test_a_prefill_and_a_second_stream_lengthen_steps():
+async def test_prefill_and_second_stream_lengthen_decode_steps():
     engine = EngineStandIn("e", SPEC)
     first = asyncio.create_task(collect(engine, request("a", "p [out=9]")))
     await asyncio.sleep(1.2)
     second = asyncio.create_task(collect(engine, request("b", "q [out=2]", 200)))
-    # The prefill takes 0.4 s at half the rate, during which steps take 0.4 s; then
-    # two streams decode in steps of 0.3 s until the second ends.
+    # The prefill takes 0.4 s at half the rate, and decode steps take 0.4 s meanwhile;
+    # then two streams decode in steps of 0.3 s until the second ends.
     times = [at for at, _ in await first]
     assert times == [1.0, 1.2, 1.6, 1.9, 2.1, 2.3, 2.5, 2.7, 2.9]
     assert [at for at, _ in await second] == [0.4, 0.7]
 
 
 @pytest.mark.parametrize("tokens_per_chunk", [1, 4, 64])
-async def test_larger_chunks_end_at_the_same_time(tokens_per_chunk):
+async def test_chunk_size_does_not_change_when_streams_end(tokens_per_chunk):
     spec = dataclasses.replace(SPEC, tokens_per_chunk=tokens_per_chunk)
     engine = EngineStandIn("e", spec)
     prompts = ["a [out=30]", "b [out=3]", "c [out=17]", "d [out=21]", "e [out=8]"]
@@ -89,14 +89,14 @@
     assert engine.running == 0 and engine.batch.kv_used == 0
 
 
-async def test_waiting_streams_start_by_priority():
+async def test_waiting_streams_are_admitted_by_priority():
     engine = EngineStandIn("e", SPEC)
-    order_of_first = []
+    first_chunk_order = []
 
     async def run(name, priority):
         chunks = engine.generate(request(name, tokens=3000, priority=priority))
         await anext(chunks)
-        order_of_first.append(name)
+        first_chunk_order.append(name)
         async for _ in chunks:
             pass
 
@@ -107,10 +107,12 @@
         group.create_task(run("interactive", Priority.INTERACTIVE))
         await asyncio.sleep(0.1)
         assert engine.batch.admitted == 3, "KV memory holds three"
-    assert order_of_first.index("interactive") < order_of_first.index("late batch")
+    assert first_chunk_order.index("interactive") < first_chunk_order.index(
+        "late batch"
+    )
 
 
-async def test_a_cached_prefix_skips_its_prefill_and_events_come_late_with_gaps():
+async def test_cached_prefix_skips_prefill_and_events_are_delayed_with_gaps():
     engine = EngineStandIn("e", SPEC)
     shared = "[prefix=900] [out=1]"
     assert (await collect(engine, request("a", shared, prefix_key="k")))[0][0] == 1.0
@@ -123,9 +125,9 @@
     assert [e.sequence for e in await engine.cache_events(0)] == [1, 2, 4, 5]
 
 
-async def test_a_resumed_answer_goes_on_where_it_broke():
-    # The caller has two tokens when the engine crashes; another engine prefills the
-    # prompt with them and gives the rest.
+async def test_resumed_answer_continues_at_the_next_token():
+    # The caller has received two tokens when the engine crashes. Another engine
+    # prefills the prompt and these tokens, and generates the rest.
     first = EngineStandIn("e1", SPEC)
     stream = first.generate(request("a"))
     had = [await anext(stream), await anext(stream)]
@@ -139,36 +141,36 @@
     whole = resumed.resume_text + text(rest)
     assert whole == expected_text("model", "p [out=5]", 100)
     over = request("a3", resume_text=whole, resume_tokens=5)
-    assert [c.finish for _, c in await collect(first_up(first), over)] == ["stop"]
+    assert [c.finish for _, c in await collect(restarted(first), over)] == ["stop"]
 
 
-def first_up(engine):
+def restarted(engine):
     engine.restart()
     return engine
 
 
-async def test_a_handoff_skips_the_prefill_elsewhere():
+async def test_imported_kv_cache_replaces_the_prefill():
     exchange = KvExchange()
-    prefiller = EngineStandIn("e1", SPEC, exchange=exchange)
-    decoder = EngineStandIn("e2", SPEC, exchange=exchange)
-    (_, head), *more = await collect(prefiller, request("a", prefill_only=True))
+    prefill_engine = EngineStandIn("e1", SPEC, exchange=exchange)
+    decode_engine = EngineStandIn("e2", SPEC, exchange=exchange)
+    (_, head), *more = await collect(prefill_engine, request("a", prefill_only=True))
     assert (head.finish, more) == ("handoff", [])
     assert head.kv_handle.startswith("e1")
-    assert prefiller.running == 0
-    onward = request("b", resume_tokens=1, resume_text=head.text)
-    imported = dataclasses.replace(onward, kv_handle=head.kv_handle)
-    rest = await collect(decoder, imported)
+    assert prefill_engine.running == 0
+    continued = request("b", resume_tokens=1, resume_text=head.text)
+    imported = dataclasses.replace(continued, kv_handle=head.kv_handle)
+    rest = await collect(decode_engine, imported)
     assert rest[0][0] == 1.201
-    assert decoder.batch.prefilled == 0
+    assert decode_engine.batch.prefilled == 0
     assert head.text + text(rest) == expected_text("model", "p [out=5]", 100)
-    again = await collect(decoder, imported)
-    assert decoder.batch.prefilled == pytest.approx(1001), (
+    again = await collect(decode_engine, imported)
+    assert decode_engine.batch.prefilled == pytest.approx(1001), (
         "a handle is good for one import"
     )
     assert text(again) == text(rest)
 
 
-async def test_a_closed_or_cancelled_stream_frees_the_engine():
+async def test_closed_or_cancelled_stream_frees_the_engine():
     engine = EngineStandIn("e", SPEC)
     closed, broken = engine.generate(request("a")), engine.generate(request("b"))
     await anext(closed)
@@ -183,7 +185,7 @@
     assert engine.running == 0
 
 
-async def test_a_role_change_takes_the_engine_away():
+async def test_role_change_fails_streams_and_refuses_requests():
     engine = EngineStandIn("e", SPEC)
     stream = engine.generate(request("a"))
     await anext(stream)
@@ -201,7 +203,7 @@
     assert await collect(engine, request("b"))
 
 
-async def test_loading_another_model_leaves_the_engine_serving():
+async def test_engine_serves_while_it_loads_another_model():
     store = WeightStoreStandIn({"other@1": 40.0}, gigabytes_per_second=2.0)
     engine = EngineStandIn("e", SPEC, loader=store.load)
     both = order(1, Role.MIXED, ("model@1", "other@1"))
@@ -217,7 +219,7 @@
 
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
-async def test_an_old_fencing_token(honours_fencing):
+async def test_stale_fencing_token_is_refused_if_honoured(honours_fencing):
     spec = dataclasses.replace(SPEC, honours_fencing=honours_fencing)
     engine = EngineStandIn("e", spec)
     await engine.order(order(2))
@@ -236,9 +238,10 @@
     ("done", "incomplete", "role"),
     [(False, False, Role.MIXED), (True, False, Role.PREFILL), (False, True, None)],
 )
-async def test_a_crash_in_mid_change(done, incomplete, role):
-    # The order's reply comes, then the engine crashes while it changes and returns
-    # under another boot id as it was, changed, or not knowing what it is.
+async def test_crash_during_a_role_change(done, incomplete, role):
+    # The engine crashes during a role change, after the reply to the order. It
+    # restarts with another boot id, in its old role, its new role, or without a known
+    # assignment.
     history = MemoryHistory()
     engine = EngineStandIn("e", SPEC, history=history)
     before = await engine.state()
@@ -260,7 +263,7 @@
     assert (await engine.state()).assignment == order(1).assignment
 
 
-async def test_an_order_whose_reply_is_lost_is_carried_out():
+async def test_order_takes_effect_although_its_reply_is_lost():
     engine = EngineStandIn("e", SPEC)
     engine.lost_order_replies = 1
     with pytest.raises(ReplyLostError):
@@ -282,7 +285,7 @@
     task.cancel()
 
 
-async def test_speed_and_reach():
+async def test_speed_and_reachability():
     engine = EngineStandIn("e", SPEC)
     task = asyncio.create_task(collect(engine, request("a")))
     await asyncio.sleep(0.5)
@@ -297,7 +300,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-async def test_random_load_ends_whole_and_alike_for_every_chunk_size(seed):
+async def test_random_load_gives_equal_results_for_every_chunk_size(seed):
     ends = []
     for tokens_per_chunk in (1, 7, 50):
         spec = dataclasses.replace(SPEC, tokens_per_chunk=tokens_per_chunk)
@@ -306,7 +309,7 @@
 
 
 async def random_load(engine, rng):
-    """Run random streams, some closed early; return when each whole one ended."""
+    """Run random streams, some closed early; return the end of each complete one."""
     start = asyncio.get_running_loop().time()
     ended = {}
 
--- a/tests/test_standin_key_value.py
+++ b/tests/test_standin_key_value.py
@@ -16,7 +16,7 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_a_transaction_applies_all_writes_or_none():
+async def test_transaction_applies_all_writes_or_none():
     client = KeyValueStandIn().client("a")
     first = await client.txn([Compare("k", 0)], [Put("k", b"1"), Put("m", b"1")])
     second = await client.txn([Compare("k", 0)], [Put("k", b"2"), Delete("m")])
@@ -28,7 +28,7 @@
     ]
 
 
-async def test_a_watch_starts_from_a_revision_and_shows_a_lapsed_lease():
+async def test_watch_starts_at_a_revision_and_shows_an_expired_lease():
     client = KeyValueStandIn().client("a")
     lease = await client.grant_lease(5)
     await client.txn([], [Put("k/old", b"1")])
@@ -44,7 +44,7 @@
         await client.txn([], [Put("k/new", b"3", lease)])
 
 
-async def test_a_lease_lives_while_it_is_renewed():
+async def test_renewed_lease_does_not_expire():
     client = KeyValueStandIn().client("a")
     lease = await client.grant_lease(3)
     await client.txn([], [Put("k", b"1", lease)])
@@ -56,7 +56,7 @@
     assert await client.get("k") is None
 
 
-async def test_an_outage_refuses_calls_and_breaks_watches():
+async def test_outage_fails_calls_and_breaks_watches():
     standin = KeyValueStandIn()
     client = standin.client("a")
     watch = client.watch("", 0)
@@ -71,7 +71,7 @@
     assert await client.get("k") is None
 
 
-async def test_a_cut_touches_one_client():
+async def test_partition_concerns_one_client_only():
     standin = KeyValueStandIn()
     standin.cut("a")
     with pytest.raises(KeyValueUnavailableError):
@@ -79,7 +79,7 @@
     assert (await standin.client("b").range("")).items == ()
 
 
-async def test_a_lost_reply_comes_after_the_effect():
+async def test_lost_reply_follows_the_effect_of_the_write():
     standin = KeyValueStandIn()
     standin.lose_next_reply("a")
     await standin.client("b").txn([], [Put("other", b"1")])
@@ -88,9 +88,9 @@
     assert await standin.client("a").get("k")
 
 
-async def test_a_write_takes_effect_after_its_caller_gave_up():
-    # The caller waits half a second and goes; the service is slow and applies the
-    # write after one second all the same.
+async def test_write_takes_effect_after_its_caller_timed_out():
+    # The caller times out after half a second; the slow service still applies the
+    # write after one second.
     standin = KeyValueStandIn(delay=2)
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.5):
@@ -100,7 +100,7 @@
     assert "k" in standin.store.items
 
 
-async def test_a_silent_watch_gives_neither_events_nor_signs_of_life():
+async def test_silenced_watch_yields_neither_events_nor_progress():
     standin = KeyValueStandIn()
     client = standin.client("a")
     watch = client.watch("", 0)
@@ -114,7 +114,7 @@
     assert await anext(fresh) == WatchEvent("k", b"1", 1)
 
 
-async def test_a_restored_service_is_older_and_breaks_watches():
+async def test_restore_returns_older_content_and_breaks_watches():
     standin = KeyValueStandIn()
     client = standin.client("a")
     await client.txn([], [Put("k", b"1")])
@@ -129,7 +129,7 @@
     assert (found.items[0].value, found.revision) == (b"1", 1)
 
 
-async def test_a_compacted_start_is_refused():
+async def test_watch_from_a_compacted_revision_is_refused():
     standin = KeyValueStandIn()
     client = standin.client("a")
     await client.txn([], [Put("k", b"1")])
--- a/tests/test_standin_run.py
+++ b/tests/test_standin_run.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 async def run():
-    """Return a function that runs a stand-in and gives its address."""
+    """Return a function that runs a stand-in and returns its URL."""
     tasks = []
 
     async def start(kind, options=None, history=None):
@@ -46,7 +46,9 @@
         (StandInKind.WEIGHT_STORE, "down", {"value": True}, "loads"),
     ],
 )
-async def test_every_kind_runs_and_has_its_knobs(run, kind, knob, arguments, counter):
+async def test_every_kind_runs_and_has_control_paths(
+    run, kind, knob, arguments, counter
+):
     url = await run(kind)
     async with client_session() as session:
         async with session.post(f"{url}/control/{knob}", json=arguments) as response:
@@ -60,7 +62,7 @@
             assert counter in await response.json()
 
 
-async def test_an_older_content_is_brought_back_over_http(run):
+async def test_older_content_is_restored_over_http(run):
     url = await run(StandInKind.KEY_VALUE)
     async with client_session() as session:
         for knob, status in (("restore", 400), ("save", 200), ("restore", 200)):
@@ -68,7 +70,7 @@
                 assert response.status == status
 
 
-async def test_records_are_in_the_file_as_soon_as_they_are_made(run, tmp_path):
+async def test_history_records_are_written_without_delay(run, tmp_path):
     path = tmp_path / "history.jsonl"
     store = await run(StandInKind.WEIGHT_STORE, StandInOptions(versions={"m@1": 1.0}))
     options = StandInOptions(name="e-1", weight_store_url=store)
--- a/tests/test_stop_series.py
+++ b/tests/test_stop_series.py
@@ -1,6 +1,6 @@
-"""Entries are stopped, reloaded and started in series while callers go on.
+"""Entries are stopped, reloaded and restarted in series while callers send requests.
 
-More seeds by hand: ``tests/stop_series.py``.
+``tests/stop_series.py`` plays more seeds.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 from stop_series import run_plan
 
 SEEDS = (108, 115, 117)
-"""Each cuts requests off in an entry that closes what it takes for idle at once."""
+"""Each finds requests cut off by an entry that closes seemingly idle connections at
+once."""
 
 STORE_HANGS = Plan(
     entries=1,
@@ -34,34 +35,35 @@
     store_fault=9.0,
     store_delay=30.0,
 )
-"""The entry holds the planner's lease when it is told to end, and can't return it."""
+"""The entry holds the planner's lease when it gets SIGTERM, and can't release it."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_series_cuts_nothing_off(seed):
-    """Requests reach an entry at every moment around the end of its taking.
+async def test_series_cuts_off_no_request(seed):
+    """Requests reach an entry at every moment around the end of its admission.
 
-    One that reached a replica is answered whole, or refused with the truth. One whose
-    connection was closed without an answer reached none.
+    A request that reached a replica is answered completely or refused with the correct
+    outcome. One whose connection was closed without an answer reached no replica.
     """
     report = await run_plan(draw_plan(seed), seed)
     assert report.faults == []
 
 
-async def test_entry_ends_in_time_while_the_store_hangs():
-    """SIGTERM comes while the store answers nothing and a stream goes on for long.
+async def test_entry_shuts_down_in_time_while_the_store_hangs():
+    """SIGTERM comes while the store doesn't reply and a long stream runs.
 
-    The entry gives its planner's lease back first, in vain; only then it begins to
-    count the time it has. The platform kills it before it has ended.
+    Guards against an entry that first waits for the release of its planner's lease and
+    only then starts its shutdown timer: the platform would kill it before its end.
     """
     report = await run_plan(STORE_HANGS, seed=0)
     assert report.faults == []
 
 
-async def test_reload_during_the_start_ends_no_entry(tmp_path):
-    """SIGHUP comes while the entry loads its libraries, before it has a handler.
+async def test_sighup_during_startup_does_not_end_an_entry(tmp_path):
+    """SIGHUP comes while the entry loads its libraries, before it installs handlers.
 
-    The process ends by the signal, and nothing serves at its address.
+    Guards against the signal's default action, which would end the process and leave
+    nothing that serves at its address.
     """
     plan = Plan(entries=1, plain=0, engines=0, continuous_callers=0, stops=())
     async with SeriesFleet(plan, tmp_path, random.Random(0)) as fleet:
@@ -94,7 +96,7 @@
         ("/long/x?ms=1&events=2", 200, b"id: 1\nid: 2\n", True, 2, ""),
     ],
 )
-def test_checks_name_what_must_not_be(target, status, body, complete, runs, fault):
+def test_faults_of_requests_are_found(target, status, body, complete, runs, fault):
     incarnation = EntryIncarnation(entry=0, process=None, handle=0, sigterm_at=100.0)
     sent = SentRequest("q-1", target, incarnation, status, complete, body, 101.0, 102.0)
     assert sent.fault(runs, STORE_HANGS) == fault
@@ -109,7 +111,7 @@
         (101.7, 101.6, "cut off"),
     ],
 )
-def test_only_what_was_in_flight_may_be_lost(killed_at, ended_at, fault):
+def test_only_requests_in_flight_may_be_lost(killed_at, ended_at, fault):
     incarnation = EntryIncarnation(
         entry=0, process=None, handle=0, sigterm_at=100.0, killed_at=killed_at
     )
