--- a/src/bergamotmast/direct/notices.py
+++ b/src/bergamotmast/direct/notices.py
@@ -86,7 +86,7 @@
         pending, self.pending = self.pending, []
         addresses = list(self.peers())
         for start in range(0, len(pending), MAX_NOTICES_PER_DATAGRAM):
-            part = tuple(pending[start : start + MAX_NOTICES_PER_DATAGRAM])
-            data = msgspec.msgpack.encode(Datagram(self.name, part))
+            batch = tuple(pending[start : start + MAX_NOTICES_PER_DATAGRAM])
+            data = msgspec.msgpack.encode(Datagram(self.name, batch))
             for address in addresses:
                 self.send(data, address)
--- a/src/bergamotmast/direct/placer.py
+++ b/src/bergamotmast/direct/placer.py
@@ -61,9 +61,9 @@
 
     :param name: name of this entry.
     :param zone: availability zone of this entry.
-    :param engines: load trackers of engines.
+    :param engine_loads: load trackers of engines.
     :param prefill_times: learned prefill times, by group.
-    :param plain: load trackers of plain upstreams.
+    :param plain_loads: load trackers of plain upstreams.
     :param by_hash: keys of engines by the hash used in notices.
     :param last_number: number of this entry's last prefill.
     """
@@ -81,16 +81,16 @@
         self.name = name
         self.zone = zone
         self.rng = rng
-        self.engines: dict[UpstreamKey, EngineLoadTracker] = {}
+        self.engine_loads: dict[UpstreamKey, EngineLoadTracker] = {}
         self.prefill_times: dict[str, GroupPrefillTimes] = {}
-        self.plain: dict[UpstreamKey, PlainUpstreamLoad] = {}
+        self.plain_loads: dict[UpstreamKey, PlainUpstreamLoad] = {}
         self.by_hash: dict[int, UpstreamKey] = {}
         self.last_number = 0
 
     def engine_load(self, upstream: Upstream) -> EngineLoadTracker:
         """Return the load tracker of an engine."""
         key = (upstream.name, upstream.boot)
-        tracker = self.engines.get(key)
+        tracker = self.engine_loads.get(key)
         if tracker is None:
             self._forget_departed()
             engine = self.fleet.group(upstream.group).engine
@@ -101,7 +101,7 @@
             tracker = EngineLoadTracker(
                 kv_capacity, prefill_times, self.rng.getrandbits(32)
             )
-            self.engines[key] = tracker
+            self.engine_loads[key] = tracker
             self.by_hash[upstream_hash(upstream)] = key
         tracker.role = upstream.role or Role.MIXED
         return tracker
@@ -109,10 +109,10 @@
     def plain_load(self, upstream: Upstream) -> PlainUpstreamLoad:
         """Return the load tracker of a plain upstream."""
         key = (upstream.name, upstream.boot)
-        tracker = self.plain.get(key)
+        tracker = self.plain_loads.get(key)
         if tracker is None:
             self._forget_departed()
-            tracker = self.plain[key] = PlainUpstreamLoad()
+            tracker = self.plain_loads[key] = PlainUpstreamLoad()
         return tracker
 
     def new_prefill_key(self) -> PrefillKey:
@@ -132,7 +132,7 @@
 
     def on_notice(self, sender: str, notice: PrefillNotice, now: float) -> None:
         """Apply another entry's notice about a prefill."""
-        tracker = self.engines.get(self.by_hash.get(notice.engine, ("", "")))
+        tracker = self.engine_loads.get(self.by_hash.get(notice.engine, ("", "")))
         if tracker is None:
             return
         key = (sender, notice.number)
@@ -173,15 +173,15 @@
         }
 
     def choose_plain_upstream(
-        self, call: Call, tried: cabc.Collection[str]
+        self, call: Call, excluded: cabc.Collection[str]
     ) -> Upstream:
         """Return the plain upstream for a request's next attempt.
 
-        :param tried: names of upstreams to exclude.
+        :param excluded: names of upstreams to exclude.
         :raises RequestError: if there is none.
         """
         now = asyncio.get_running_loop().time()
-        members = self._untried(call, tried, now)
+        members = self._not_excluded(call, excluded, now)
         by_name = {member.name: member for member in members}
         candidates = [
             PlainCandidate(
@@ -199,17 +199,17 @@
         return by_name[chosen]
 
     def place_stream(
-        self, call: Call, tried: cabc.Collection[str]
+        self, call: Call, excluded: cabc.Collection[str]
     ) -> tuple[Upstream | None, Upstream, Placement]:
         """Return the prefill engine, the decode engine and the placement of a stream.
 
         The prefill engine is ``None`` if the decode engine prefills the prompt itself.
 
-        :param tried: names of engines to exclude.
+        :param excluded: names of engines to exclude.
         :raises RequestError: if there is no decode engine.
         """
         now = asyncio.get_running_loop().time()
-        members = self._untried(call, tried, now)
+        members = self._not_excluded(call, excluded, now)
         by_name = {member.name: member for member in members}
         candidates = self._candidates(call, members, now)
         tightest = self.fleet.tightest_objective(call.group.name)
@@ -223,25 +223,27 @@
         )
         return prefill_upstream, by_name[placement.decode_engine], placement
 
-    def place_decode(self, call: Call, tried: cabc.Collection[str]) -> Upstream:
+    def place_decode(self, call: Call, excluded: cabc.Collection[str]) -> Upstream:
         """Return the decode engine for a request that was prefilled elsewhere.
 
-        :param tried: names of engines to exclude.
+        :param excluded: names of engines to exclude.
         :raises RequestError: if there is none.
         """
         now = asyncio.get_running_loop().time()
-        untried = self._untried(call, tried, now)
-        able = [member for member in untried if member.role is not Role.PREFILL]
-        chosen = choose_decode_engine(self._candidates(call, able, now))
+        members = self._not_excluded(call, excluded, now)
+        decode_engines = [
+            member for member in members if member.role is not Role.PREFILL
+        ]
+        chosen = choose_decode_engine(self._candidates(call, decode_engines, now))
         if chosen is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
-        return next(member for member in able if member.name == chosen.name)
+        return next(member for member in decode_engines if member.name == chosen.name)
 
-    def _untried(
-        self, call: Call, tried: cabc.Collection[str], now: float
+    def _not_excluded(
+        self, call: Call, excluded: cabc.Collection[str], now: float
     ) -> list[Upstream]:
         members = self.fleet.members(call.group.name, now)
-        return [member for member in members if member.name not in tried]
+        return [member for member in members if member.name not in excluded]
 
     def _candidates(
         self, call: Call, members: list[Upstream], now: float
@@ -329,8 +331,8 @@
             (record.upstream.name, record.upstream.boot)
             for record in self.fleet.upstream_records.values()
         }
-        self.engines = {k: b for k, b in self.engines.items() if k in present}
-        self.plain = {k: b for k, b in self.plain.items() if k in present}
+        self.engine_loads = {k: b for k, b in self.engine_loads.items() if k in present}
+        self.plain_loads = {k: b for k, b in self.plain_loads.items() if k in present}
         self.by_hash = {h: k for h, k in self.by_hash.items() if k in present}
 
 
--- a/src/bergamotmast/direct/retry_budget.py
+++ b/src/bergamotmast/direct/retry_budget.py
@@ -43,19 +43,19 @@
     def spend(self, group: str) -> bool:
         """Take a retry out of the budget; return whether it had room."""
         now = asyncio.get_running_loop().time()
-        part = self._share(now)
+        share = self._share(now)
         window = self._window(group)
-        account = window.account(part, now)
-        allowed = window.spend(part, now)
+        state = window.account(share, now)
+        allowed = window.spend(share, now)
         self.telemetry.on_retry(group, allowed=allowed)
         logger.info(
             "second send" if allowed else "second send is refused",
             extra={
                 "group": group,
-                "requests": account.requests,
-                "repeats": account.retries,
-                "room": round(account.available, 2),
-                "part": round(part, 4),
+                "requests": state.requests,
+                "repeats": state.retries,
+                "room": round(state.available, 2),
+                "part": round(share, 4),
                 "entries": len(self.fleet.entries),
             },
         )
--- a/tests/test_direct_fleet.py
+++ b/tests/test_direct_fleet.py
@@ -166,7 +166,7 @@
         store.put("servers/i-1", entry(born=2000))
         await until(lambda: fleet.members("plain", 0.0)[0].boot == "2000")
         assert placer.plain_load(fleet.members("plain", 0.0)[0]).running == 0
-        assert len(placer.plain) == 1
+        assert len(placer.plain_loads) == 1
 
 
 async def test_configuration_never_goes_back():
--- a/tests/test_direct_fuzz.py
+++ b/tests/test_direct_fuzz.py
@@ -308,8 +308,8 @@
                     assert "x-response-signature" in got.headers
                     assert got.headers["x-request-id"] == f"bad-{number}"
             corrupts = False
-            entry.core.context.placer.engines.clear()
-            entry.core.context.placer.plain.clear()
+            entry.core.context.placer.engine_loads.clear()
+            entry.core.context.placer.plain_loads.clear()
             got = await entry.ask(path, request_id=f"good-{number}")
             assert (got.status, got.complete) == (200, True)
             assert got.headers["x-request-id"] == f"good-{number}"
