--- a/src/bergamotmast/direct/context.py
+++ b/src/bergamotmast/direct/context.py
@@ -132,9 +132,9 @@
     def check_reply(self, call: Call, reply: Reply, traits: ReplyTraits) -> None:
         """Check that a reply may be forwarded as the response to this request.
 
-        :raises ReplyLostError: if the upstream did not sign it or the request's id is
-            missing, or if its status would tell the caller that the request did not
-            run, which the upstream did not confirm.
+        :raises ReplyLostError: if the upstream did not sign it, if a success lacks the
+            request's id, or if the status would tell the caller that the request did
+            not run, which the upstream did not confirm.
         """
         if not traits.signed:
             raise ReplyLostError(f"reply with status {reply.status} is not signed")
--- a/src/bergamotmast/direct/http_frontend.py
+++ b/src/bergamotmast/direct/http_frontend.py
@@ -79,7 +79,7 @@
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
-        response = self._new(status, headers)
+        response = self._new_response(status, headers)
         response.content_length = len(body)
         await response.prepare(self.request)
         self.response = response
@@ -87,7 +87,7 @@
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send status and headers of a streamed response."""
-        self.response = self._new(status, headers)
+        self.response = self._new_response(status, headers)
         if self._has_chunks:
             self.response.enable_chunked_encoding()
         await self.response.prepare(self.request)
@@ -122,7 +122,7 @@
     def _has_chunks(self) -> bool:
         return bool(self.request.version == HttpVersion11)
 
-    def _new(self, status: int, headers: Headers) -> web.StreamResponse:
+    def _new_response(self, status: int, headers: Headers) -> web.StreamResponse:
         response = web.StreamResponse(status=status)
         for name, value in headers:
             response.headers.add(name, value)
@@ -172,7 +172,7 @@
         self.busy.add(connection)
         try:
             response = await self._respond(request)
-            if self.shutting_down and not _has_next(connection):
+            if self.shutting_down and not _has_pipelined_request(connection):
                 response.force_close()
             return response
         finally:
@@ -194,7 +194,7 @@
         return reply.response
 
 
-def _has_next(connection: RequestHandler) -> bool:
+def _has_pipelined_request(connection: RequestHandler) -> bool:
     """Return whether another request has already been received on the connection.
 
     If the connection were closed without ``Connection: close`` in a response, the
--- a/src/bergamotmast/direct/time_limits.py
+++ b/src/bergamotmast/direct/time_limits.py
@@ -19,22 +19,22 @@
 class TimeLimits:
     """Bounds running requests by their deadlines and by the shutdown of the process.
 
-    :param end: shutdown window; ``None`` until the shutdown starts.
+    :param window: shutdown window; ``None`` until the shutdown starts.
     :param limits: timeouts of the running requests.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.end: ShutdownWindow | None = None
+        self.window: ShutdownWindow | None = None
         self.limits: set[asyncio.Timeout] = set()
 
-    def begin(self, end: ShutdownWindow) -> None:
+    def begin(self, window: ShutdownWindow) -> None:
         """Bring the deadlines of all requests forward to the end of the shutdown.
 
         The connection of a request that still runs when the process exits would be
         closed, and its caller would not know whether it ran.
         """
-        self.end = end
+        self.window = window
         for limit in self.limits:
             # An expired timeout can't be rescheduled: the error would terminate the
             # process with all running requests. Its request ends by itself.
@@ -59,7 +59,7 @@
 
         :raises RequestError: if its caller should retry later.
         """
-        if self.end is not None and not is_admitted(self.end, deadline, now):
+        if self.window is not None and not is_admitted(self.window, deadline, now):
             raise self.shutdown_error()
 
     def shutdown_error(self) -> RequestError:
@@ -69,8 +69,8 @@
 
     def is_over(self, now: float) -> bool:
         """Return whether the shutdown has ended the running requests."""
-        return self.end is not None and now >= self.end.end_by
+        return self.window is not None and now >= self.window.end_by
 
     def _capped(self, deadline: float | None) -> float:
         own = math.inf if deadline is None else deadline
-        return own if self.end is None else min(own, self.end.end_by)
+        return own if self.window is None else min(own, self.window.end_by)
