--- a/src/bergamotmast/faults/world.py
+++ b/src/bergamotmast/faults/environment.py
@@ -1,4 +1,8 @@
-"""The fleet that faults are tried on: real entries and sides, stand-ins outside."""
+"""The simulated environment of a fault run: real entries and sides, and stand-ins.
+
+The entries and sides run the production code. Upstreams, the key-value service, the
+instance list, the weight store and the network between the processes are stand-ins.
+"""
 
 from __future__ import annotations
 
@@ -44,17 +48,19 @@
 SERVICES = ("service-1", "service-2")
 ENTRIES = ("entry-1", "entry-2")
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
-CONCURRENCY = 8
-"""Calls that a plain service takes at once."""
+SERVICE_CONCURRENCY = 8
+"""Maximum number of concurrent calls of a plain service."""
 
-SERVICE_SECONDS = 0.3
-CHANGE_SECONDS = 6.0
-LIST_LAG = 2.0
-KEY_VALUE_DELAY = 0.004
+SERVICE_CALL_SECONDS = 0.3
+"""Duration of a call of a plain service."""
+ROLE_CHANGE_SECONDS = 6.0
+LIST_LAG_SECONDS = 2.0
+"""Delay until a change of the instance list becomes visible."""
+KEY_VALUE_DELAY_SECONDS = 0.004
 
 
 def first_configuration() -> Configuration:
-    """Return the configuration that every run starts with."""
+    """Return the initial configuration of every run."""
     labels = {name: {"pool": "models"} for name in ENGINES}
     labels |= {name: {"pool": "counter"} for name in SERVICES}
     return Configuration(
@@ -86,7 +92,8 @@
 class Process:
     """One running entry or side.
 
-    :param reachable: whether anything else can reach it, as the history has it.
+    :param gate: pauses and kills the process.
+    :param reachable: whether the history records the process as reachable.
     """
 
     name: str
@@ -95,22 +102,25 @@
     reachable: bool = True
 
 
-class FaultWorld:
-    """Everything of one run.
+class FaultEnvironment:
+    """The processes and stand-ins of one run.
 
-    :param rng: seeded source of everything random.
-    :param history: everything that happened.
-    :param restores: times that the key-value service came back with older content.
+    :param seed: seed of ``rng``.
+    :param rng: source of the environment's random choices and of each process's own
+        random source.
+    :param history: records of everything that happened.
+    :param cut_from_kv: names of the processes that can't reach the key-value service.
+    :param restores: how often the key-value service was restored to older content.
     """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.history = MemoryHistory()
         self.network = MemoryNetwork()
-        self.kv = KeyValueStandIn(delay=KEY_VALUE_DELAY)
+        self.kv = KeyValueStandIn(delay=KEY_VALUE_DELAY_SECONDS)
         self.cut_from_kv: set[str] = set()
         self.weights = WeightStoreStandIn({f"{MODEL}@1": 20.0, f"{MODEL}@2": 20.0})
-        self.instance_list = InstanceListStandIn(lag=LIST_LAG)
+        self.instance_list = InstanceListStandIn(lag=LIST_LAG_SECONDS)
         self.exchange = KvExchange()
         self.engines: dict[str, EngineStandIn] = {}
         self.services: dict[str, ServiceStandIn] = {}
@@ -120,28 +130,32 @@
         for number, name in enumerate(ENGINES):
             self._add_engine(name, number)
         for number, name in enumerate(SERVICES):
-            self.services[name] = ServiceStandIn(name, SERVICE_SECONDS, self.history)
-            self._list(name, UpstreamKind.SERVICE, number)
+            self.services[name] = ServiceStandIn(
+                name, SERVICE_CALL_SECONDS, self.history
+            )
+            self._list_instance(name, UpstreamKind.SERVICE, number)
 
     def _add_engine(self, name: str, number: int) -> None:
         self.engines[name] = EngineStandIn(
             name,
-            EngineSpec(change_seconds=CHANGE_SECONDS, honours_fencing=number % 2 == 0),
+            EngineSpec(
+                change_seconds=ROLE_CHANGE_SECONDS, honours_fencing=number % 2 == 0
+            ),
             assignment=Assignment(Role.MIXED, (f"{MODEL}@1",)),
             loader=self.weights.load,
             exchange=self.exchange,
             history=self.history,
         )
-        self._list(name, UpstreamKind.ENGINE, number)
+        self._list_instance(name, UpstreamKind.ENGINE, number)
 
-    def _list(self, name: str, kind: UpstreamKind, number: int) -> None:
+    def _list_instance(self, name: str, kind: UpstreamKind, number: int) -> None:
         zone = ZONES[number % len(ZONES)]
         self.instance_list.put(InstanceInfo(name, kind, zone, name, ""))
 
     # Processes
 
     async def start(self) -> None:
-        """Start every process with a configuration in the service."""
+        """Store the initial configuration and start every process."""
         await self.store.propose(first_configuration(), 0, "operator", "first")
         for name in (*ENGINES, *SERVICES, *ENTRIES):
             self.start_process(name)
@@ -153,10 +167,10 @@
         self.processes[name] = process
         self.history.record(ProcessStarted(at=self.now(), process=name))
         process.gate.run(body.run())
-        self.note_reach()
+        self.record_reachability()
 
     async def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process, as with SIGKILL."""
         process = self.processes.pop(name)
         self.history.record(ProcessStopped(at=self.now(), process=name))
         if isinstance(process.body, SideProcess):
@@ -164,33 +178,36 @@
         await process.gate.kill()
 
     async def stop_gracefully(self, name: str) -> None:
-        """End a process as its operating system's first signal does."""
+        """Shut a process down, as on its first SIGTERM."""
         process = self.processes[name]
         await process.gate.run(process.body.close())
         if self.processes.get(name) is process:
             await self.kill(name)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Kill every process."""
         for name in list(self.processes):
             await self.kill(name)
 
     def entry(self, name: str) -> EntryProcess | None:
-        """Return an entry that callers reach and the balancer counts as ready."""
+        """Return an entry, or ``None`` if it isn't running or isn't ready.
+
+        Callers use ready entries only, as the load balancer would choose for them.
+        """
         process = self.processes.get(name)
         if process is None or not isinstance(process.body, EntryProcess):
             return None
         return process.body if process.body.core.is_ready else None
 
     def gate_of(self, entry: EntryProcess) -> Gate | None:
-        """Return the gate of an entry, or ``None`` if it has ended."""
+        """Return the gate of an entry, or ``None`` if its process has ended."""
         for process in self.processes.values():
             if process.body is entry:
                 return process.gate
         return None
 
-    def note_reach(self) -> None:
-        """Record which processes nothing else can reach now."""
+    def record_reachability(self) -> None:
+        """Record the processes that became unreachable or reachable again."""
         for process in self.processes.values():
             reachable = self._is_reachable(process.name)
             if reachable is not process.reachable:
@@ -199,13 +216,18 @@
                 process.reachable = reachable
 
     def _is_reachable(self, name: str) -> bool:
+        """Return whether a configuration can get to a process.
+
+        It can from the key-value service, or from the other side of a session with a
+        running process.
+        """
         process = self.processes[name]
         if process.gate.paused:
             return False
         if not self.kv.down and name not in self.cut_from_kv:
             return True
         if name not in ENTRIES:
-            return name not in self.network.partitioned and self._any_entry_lives()
+            return name not in self.network.partitioned and self._any_entry_runs()
         return any(
             side in self.processes
             and side not in self.network.partitioned
@@ -213,7 +235,7 @@
             for side in (*ENGINES, *SERVICES)
         )
 
-    def _any_entry_lives(self) -> bool:
+    def _any_entry_runs(self) -> bool:
         return any(
             name in self.processes and not self.processes[name].gate.paused
             for name in ENTRIES
@@ -243,13 +265,13 @@
         parts = self._parts(name)
         if name in self.engines:
             return engine_side(parts, listener, self.engines[name])
-        return service_side(parts, listener, self.services[name], CONCURRENCY)
+        return service_side(parts, listener, self.services[name], SERVICE_CONCURRENCY)
 
     def now(self) -> float:
-        """Return the time on the clock of the run."""
+        """Return seconds on the clock of the run."""
         return asyncio.get_running_loop().time()
 
     def pick(self, names: t.Iterable[str]) -> str | None:
-        """Return one of some names at random."""
+        """Return a random name of some, or ``None`` if there are none."""
         choices = sorted(names)
         return self.rng.choice(choices) if choices else None
