--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -104,7 +104,7 @@
                 async with asyncio.timeout(CALL_SECONDS):
                     found = await self.kv.range(DIGEST_KEY_PREFIX)
             except (BergamotmastError, TimeoutError) as error:
-                logger.info("periodic re-read of the configuration failed: %r", error)
+                logger.info("configuration not read again: %r", error)
                 continue
             self._on_digest_key(found.items[-1].key if found.items else "")
 
@@ -138,7 +138,7 @@
             if document != self.holder.document:
                 await self._republish()
         except (BergamotmastError, TimeoutError) as error:
-            logger.warning("configuration could not be read: %r", error)
+            logger.warning("configuration not read: %r", error)
 
     async def _read_from_deltas(self, current_key: str) -> bytes | None:
         """Return the document that the kept deltas lead to; ``None`` if they don't.
@@ -182,7 +182,7 @@
         try:
             self.holder.offer(document)
         except msgspec.DecodeError as error:
-            logger.error("the stored configuration is not valid: %s", error)
+            logger.error("the service holds no configuration: %s", error)
 
     def _own_digest_key(self) -> str:
         return digest_key(self.holder.document)
