--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they send requests to whichever entry is ready and record what they get."""
+"""Callers that send random requests to ready entries and record the answers."""
 
 from __future__ import annotations
 
@@ -19,33 +19,40 @@
 from ..model import ServiceCall
 from ..standins.engine_text import expected_text
 from ..standins.service import expected_body
-from .world import ENTRIES
-from .world import MODEL
-from .world import FaultWorld
+from .environment import ENTRIES
+from .environment import MODEL
+from .environment import FaultEnvironment
 
-RATE = 4.0
-"""Requests a second."""
+REQUESTS_PER_SECOND = 4.0
+"""Mean arrival rate; arrivals are a Poisson process."""
 
-MODEL_SECONDS = 30.0
-SERVICE_SECONDS = 10.0
-PATIENCE = 10.0
-"""Seconds past its deadline that a caller waits before it hangs up."""
+MODEL_DEADLINE_SECONDS = 30.0
+SERVICE_DEADLINE_SECONDS = 10.0
+CALLER_TIMEOUT_MARGIN_SECONDS = 10.0
+"""Time after its deadline at which a caller gives up and closes the connection."""
 
-MOST_TOKENS = 120
-REPLAYED_SHARE = 0.3
-"""Share of the orders that a caller sends again, mostly through another entry."""
+MAX_OUTPUT_TOKENS = 120
+RESENT_ORDER_SHARE = 0.3
+"""Share of the orders that reuse the idempotency key of an earlier order.
+
+Orders are calls of a route that isn't repeatable.
+"""
 
 
 class Callers:
     """The traffic of one run.
 
-    :param world: whose entries are called.
-    :param rng: seeded source of arrivals and of requests.
-    :param errors: what no entry should raise; its caller is told an internal error.
+    :param environment: environment whose entries are called.
+    :param rng: seeded source of arrivals and requests.
+    :param waiting: tasks of the requests that have no answer yet.
+    :param errors: unexpected exceptions that entries raised; their callers are
+        recorded as answered with an internal error.
+    :param keys: idempotency keys of the orders sent so far.
+    :param restores: restores of the key-value service that ``keys`` accounts for.
     """
 
-    def __init__(self, world: FaultWorld, rng: random.Random) -> None:
-        self.world = world
+    def __init__(self, environment: FaultEnvironment, rng: random.Random) -> None:
+        self.environment = environment
         self.rng = rng
         self.sent = 0
         self.waiting: set[asyncio.Task[None]] = set()
@@ -54,49 +61,49 @@
         self.restores = 0
 
     async def run(self, until: float) -> None:
-        """Send until a point in time."""
-        while self.world.now() < until:
-            await asyncio.sleep(self.rng.expovariate(RATE))
+        """Send requests until a point in time."""
+        while self.environment.now() < until:
+            await asyncio.sleep(self.rng.expovariate(REQUESTS_PER_SECOND))
             self._send()
 
     async def finish(self) -> None:
-        """Wait until every caller has its answer or has hung up."""
+        """Wait until every caller has its answer or has given up."""
         await asyncio.gather(*self.waiting)
 
     def _send(self) -> None:
         name = self.rng.choice(ENTRIES)
-        entry = self.world.entry(name) or self._any_ready()
+        entry = self.environment.entry(name) or self._any_ready()
         if entry is None:
             return
         self.sent += 1
         request = f"r{self.sent}"
         kind = self.rng.choice(("model", "model", "counter", "orders"))
         if kind == "model":
-            asking = self._ask_model(entry, request)
+            sending = self._call_model(entry, request)
         else:
-            asking = self._ask_service(entry, request, kind)
-        task = asyncio.get_running_loop().create_task(asking)
+            sending = self._call_service(entry, request, kind)
+        task = asyncio.get_running_loop().create_task(sending)
         self.waiting.add(task)
         task.add_done_callback(self.waiting.discard)
 
     def _any_ready(self) -> EntryProcess | None:
-        ready = [self.world.entry(name) for name in ENTRIES]
+        ready = [self.environment.entry(name) for name in ENTRIES]
         return next((entry for entry in ready if entry is not None), None)
 
-    async def _ask_model(self, entry: EntryProcess, request: str) -> None:
-        now = self.world.now()
+    async def _call_model(self, entry: EntryProcess, request: str) -> None:
+        now = self.environment.now()
         call = ModelCall(
             request_id=request,
             tenant=self.rng.choice(("a", "b")),
             request_class="c",
             priority=self.rng.choice(tuple(Priority)),
             model=MODEL,
-            prompt=f"{request} [out={self.rng.randint(1, MOST_TOKENS)}]",
+            prompt=f"{request} [out={self.rng.randint(1, MAX_OUTPUT_TOKENS)}]",
             prompt_tokens=self.rng.randint(1, 2000),
-            max_tokens=MOST_TOKENS,
+            max_tokens=MAX_OUTPUT_TOKENS,
             prefix_key=self.rng.choice(("", "p", "q")),
-            first_token_by=now + MODEL_SECONDS / 2,
-            deadline=now + MODEL_SECONDS,
+            first_token_deadline=now + MODEL_DEADLINE_SECONDS / 2,
+            deadline=now + MODEL_DEADLINE_SECONDS,
         )
         text = expected_text(call.model, call.prompt, call.max_tokens)
         self._record_sent(request, "model", True, text)
@@ -106,11 +113,13 @@
             async for chunk in entry.core.submit_model(call):
                 parts.append(chunk.text)
 
-        code = await self._within(entry, read(), MODEL_SECONDS)
+        code = await self._run_in_entry(entry, read(), MODEL_DEADLINE_SECONDS)
         self._record_answer(request, code, "".join(parts))
 
-    async def _ask_service(self, entry: EntryProcess, request: str, route: str) -> None:
-        key = self._key(request) if route == "orders" else ""
+    async def _call_service(
+        self, entry: EntryProcess, request: str, route: str
+    ) -> None:
+        key = self._idempotency_key(request) if route == "orders" else ""
         body = (key or request).encode()
         call = ServiceCall(
             request_id=request,
@@ -124,7 +133,7 @@
             content_type="text/plain",
             repeatable=route == "counter",
             idempotency_key=key,
-            deadline=self.world.now() + SERVICE_SECONDS,
+            deadline=self.environment.now() + SERVICE_DEADLINE_SECONDS,
         )
         text = expected_body(call.method, call.path, body).decode()
         self._record_sent(request, route, call.repeatable, text, key)
@@ -134,22 +143,28 @@
             answer = await entry.core.submit_service(call)
             parts.append(answer.body.decode())
 
-        code = await self._within(entry, read(), SERVICE_SECONDS)
+        code = await self._run_in_entry(entry, read(), SERVICE_DEADLINE_SECONDS)
         self._record_answer(request, code, "".join(parts))
 
-    async def _within(
+    async def _run_in_entry(
         self,
         entry: EntryProcess,
-        reading: t.Coroutine[t.Any, t.Any, None],
+        attempt: t.Coroutine[t.Any, t.Any, None],
         limit: float,
     ) -> ResultCode:
-        """Run a request inside its entry; a broken connection tells nothing."""
-        gate = self.world.gate_of(entry)
+        """Run a request inside its entry's process and return its result code.
+
+        If the entry is killed, or the caller gives up, the outcome is unknown to the
+        caller.
+
+        :param limit: deadline of the request, in seconds from now.
+        """
+        gate = self.environment.gate_of(entry)
         if gate is None:
-            reading.close()
+            attempt.close()
             return ResultCode.OUTCOME_UNKNOWN
-        task = gate.run(reading)
-        await asyncio.wait([task], timeout=limit + PATIENCE)
+        task = gate.run(attempt)
+        await asyncio.wait([task], timeout=limit + CALLER_TIMEOUT_MARGIN_SECONDS)
         if not task.done():
             task.cancel()
             return ResultCode.OUTCOME_UNKNOWN
@@ -164,16 +179,16 @@
             return ResultCode.OK
         return ResultCode.OUTCOME_UNKNOWN
 
-    def _key(self, request: str) -> str:
-        """Return a key, now and then that of an earlier order sent again.
+    def _idempotency_key(self, request: str) -> str:
+        """Return a new idempotency key, or at times the key of an earlier order.
 
-        A service that came back with older content has lost claims: no caller sends
-        an order from before again, because nothing could tell that it ran.
+        Keys from before a restore of the key-value service are not reused: the
+        restore loses claims, so the system can't know that these orders ran.
         """
-        if self.restores != self.world.restores:
-            self.restores = self.world.restores
+        if self.restores != self.environment.restores:
+            self.restores = self.environment.restores
             self.keys.clear()
-        if self.keys and self.rng.random() < REPLAYED_SHARE:
+        if self.keys and self.rng.random() < RESENT_ORDER_SHARE:
             return self.rng.choice(self.keys)
         self.keys.append(f"key-{request}")
         return self.keys[-1]
@@ -186,9 +201,9 @@
         text: str,
         key: str = "",
     ) -> None:
-        self.world.history.record(
+        self.environment.history.record(
             RequestSent(
-                at=self.world.now(),
+                at=self.environment.now(),
                 request=request,
                 request_class=request_class,
                 repeatable=repeatable,
@@ -199,9 +214,9 @@
 
     def _record_answer(self, request: str, code: ResultCode, text: str) -> None:
         outcome: Outcome = CODE_INFO[code].outcome
-        self.world.history.record(
+        self.environment.history.record(
             RequestAnswered(
-                at=self.world.now(),
+                at=self.environment.now(),
                 request=request,
                 code=int(code),
                 outcome=outcome.value,
--- a/src/bergamotmast/reference.py
+++ b/src/bergamotmast/reference.py
@@ -1,7 +1,7 @@
-"""Writes the reference pages that follow from the code: settings and result codes.
+"""Generator of the reference pages of settings and result codes.
 
-``python -m bergamotmast.reference docs`` writes them; a test fails where a committed
-page differs.
+``python -m bergamotmast.reference docs`` writes them. A test fails if a committed page
+is out of date.
 """
 
 from __future__ import annotations
@@ -35,9 +35,8 @@
 
 <!-- Written by python -m bergamotmast.reference; edit the code, not this page. -->
 
-A flag goes before its environment variable, and that before the default. Every value
-is checked at start; an error names the flag or variable, the value and what is
-allowed.
+A flag overrides its environment variable, which overrides the default. Every value is
+validated at start; an error names the flag or variable, the value and what is allowed.
 """
 
 _CODES_INTRO = """\
@@ -58,7 +57,7 @@
 
 
 def settings_page() -> str:
-    """Return the page of all settings."""
+    """Return the reference page of all settings, in Markdown."""
     sections: tuple[tuple[str, type[AnySettings]], ...] = (
         ("`bergamotmast entry`", EntrySettings),
         ("`bergamotmast side`", SideSettings),
@@ -73,7 +72,7 @@
 
 
 def result_codes_page() -> str:
-    """Return the page of all result codes."""
+    """Return the reference page of all result codes, in Markdown."""
     parts = [_CODES_INTRO]
     for first, title in _RANGES:
         codes = [code for code in ResultCode if first <= code < first + 100]
@@ -85,11 +84,11 @@
 
 
 PAGES = {"settings.md": settings_page, "result-codes.md": result_codes_page}
-"""What writes each page, by its path below ``docs``."""
+"""Function that returns each page, by its path below ``docs``."""
 
 
 def main(directory: pathlib.Path) -> None:
-    """Write every page below a directory."""
+    """Write all pages to a directory."""
     for name, page in PAGES.items():
         (directory / name).write_text(page())
 
@@ -101,7 +100,7 @@
         if declaration.group != group:
             group = declaration.group
             lines.append(f"\n### {group}\n\n")
-            lines.append("| flag | variable | default | allowed | what it sets |\n")
+            lines.append("| flag | variable | default | allowed | description |\n")
             lines.append("|---|---|---|---|---|\n")
         lines.append(_setting_row(declaration))
     return lines
@@ -128,7 +127,7 @@
         info.outcome.value.replace("_", " "),
         str(info.status),
         "yes" if info.retryable else "no",
-        info.sentence,
+        info.description,
     )
     return f"| {' | '.join(cells)} |\n"
 
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in is and carries, and the orders that change it."""
+"""Assignment of an engine stand-in, and execution of the orders that change it."""
 
 from __future__ import annotations
 
@@ -10,25 +10,28 @@
 from ..history import HistorySink
 from ..history import OrderEnded
 from ..history import OrderTaken
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Assignment
 from ..model import FencingToken
 from ..model import Order
 
 Loader = cabc.Callable[[str], cabc.Awaitable[None]]
-"""Loads one version and returns when it is there."""
+"""Loads one model or adapter version and returns once it is loaded."""
 
 
-class OrderBook:
-    """The engine's assignment and the one order that may be under way.
+class OrderExecutor:
+    """Holds the engine's assignment and executes at most one order at a time.
 
     :param engine: name in the history.
-    :param assignment: what the engine is; ``None`` if that is not known.
-    :param target: what it is becoming; ``None`` if no order is under way.
-    :param change_seconds: how long a role change takes.
-    :param honours_fencing: whether an order needs a higher token than the last.
+    :param assignment: current assignment; ``None`` if it is unknown.
+    :param target: assignment of the order in progress; ``None`` if there is none.
+    :param change_seconds: duration of a role change.
+    :param honours_fencing: whether an order is refused unless its fencing token is
+        higher than the previous one.
     :param loader: loads a version.
-    :param on_settled: called when an order ended or was lost.
+    :param on_order_ended: called when an order is complete, has failed or was lost in a
+        crash.
+    :param last: fencing token of the last accepted order since the engine started.
     """
 
     def __init__(
@@ -39,7 +42,7 @@
         honours_fencing: bool,
         loader: Loader,
         history: HistorySink,
-        on_settled: cabc.Callable[[], None],
+        on_order_ended: cabc.Callable[[], None],
     ) -> None:
         self.engine = engine
         self.assignment: Assignment | None = assignment
@@ -48,34 +51,41 @@
         self.honours_fencing = honours_fencing
         self.loader = loader
         self.history = history
-        self.on_settled = on_settled
-        self.last = NO_TOKEN
+        self.on_order_ended = on_order_ended
+        self.last = NO_FENCING_TOKEN
         self._order: Order | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def changes_role(self) -> bool:
-        """Whether the order under way takes the engine away."""
+        """Whether the order in progress changes the role, so that nothing is served."""
         if self.target is None:
             return False
         return self.assignment is None or self.assignment.role != self.target.role
 
     @property
     def token(self) -> FencingToken:
-        """Authority of the last order, where the engine keeps it."""
-        return self.last if self.honours_fencing else NO_TOKEN
+        """Token of the last order; ``NO_FENCING_TOKEN`` if tokens are ignored."""
+        return self.last if self.honours_fencing else NO_FENCING_TOKEN
 
-    def carries(self, model: str) -> bool:
-        """Return whether a request for this model can be served now."""
+    def serves_model(self, model: str) -> bool:
+        """Return whether a request for this model can be served now.
+
+        While an order is in progress the model must be part of both the current and
+        the target assignment.
+        """
         if self.assignment is None or self.changes_role:
             return False
-        serves = _carries(self.assignment, model)
-        return serves and (self.target is None or _carries(self.target, model))
+        serves = _assignment_serves(self.assignment, model)
+        return serves and (
+            self.target is None or _assignment_serves(self.target, model)
+        )
 
     def take(self, order: Order) -> None:
-        """Begin to carry an order out.
+        """Accept an order and start to execute it.
 
-        :raises OrderRefusedError: for an old token or while another is under way.
+        :raises OrderRefusedError: for a stale fencing token, or while another order
+            is in progress.
         """
         if self.target is not None:
             raise OrderRefusedError(f"{self.engine} is changing")
@@ -90,29 +100,29 @@
                 engine=self.engine,
                 epoch=order.token.epoch,
                 revision=order.token.revision,
-                assignment=describe(order.assignment),
+                assignment=describe_assignment(order.assignment),
             )
         )
         if order.assignment == self.assignment:
-            self._settle(order.assignment, True)
+            self._finish(order.assignment, True)
         else:
-            self._task = asyncio.get_running_loop().create_task(self._carry_out(order))
+            self._task = asyncio.get_running_loop().create_task(self._execute(order))
 
     def crash(self, change_done: bool, incomplete: bool) -> None:
-        """Lose the order under way and every token.
+        """Abort the order in progress and forget the fencing token.
 
-        :param change_done: whether the change was complete when the engine crashed.
-        :param incomplete: whether the engine no longer knows what it is.
+        :param change_done: whether the order takes effect all the same.
+        :param incomplete: whether the assignment is unknown afterwards.
         """
         if self._task is not None:
             self._task.cancel()
         if self.target is not None:
-            self._settle(self.target if change_done else self.assignment, change_done)
+            self._finish(self.target if change_done else self.assignment, change_done)
         if incomplete:
             self.assignment = None
-        self.last = NO_TOKEN
+        self.last = NO_FENCING_TOKEN
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _execute(self, order: Order) -> None:
         wanted = order.assignment
         held = self.assignment or Assignment(wanted.role)
         try:
@@ -122,11 +132,11 @@
                 if version not in held.models and version not in held.adapters:
                     await self.loader(version)
         except PortError:
-            self._settle(None, False)
+            self._finish(None, False)
         else:
-            self._settle(wanted, True)
+            self._finish(wanted, True)
 
-    def _settle(self, assignment: Assignment | None, completed: bool) -> None:
+    def _finish(self, assignment: Assignment | None, completed: bool) -> None:
         order = self._order
         self.assignment = assignment
         self.target = None
@@ -142,28 +152,29 @@
                     completed=completed,
                 )
             )
-        self.on_settled()
+        self.on_order_ended()
 
 
-async def load_nothing(version: str) -> None:
-    """Load a version in no time, where there is no weight store."""
+async def load_instantly(version: str) -> None:
+    """Return at once: the loader of engines without a weight store."""
 
 
-def describe(assignment: Assignment) -> str:
-    """Return an assignment as one line."""
+def describe_assignment(assignment: Assignment) -> str:
+    """Format an assignment as one line, for the history."""
     models = ",".join(assignment.models)
     adapters = ",".join(assignment.adapters)
     return f"{assignment.role.value} models={models} adapters={adapters}"
 
 
-def _carries(assignment: Assignment, model: str) -> bool:
+def _assignment_serves(assignment: Assignment, model: str) -> bool:
     name, _, adapter = model.partition(":")
-    return _holds(assignment.models, name) and (
-        not adapter or _holds(assignment.adapters, adapter)
+    return _contains_version(assignment.models, name) and (
+        not adapter or _contains_version(assignment.adapters, adapter)
     )
 
 
-def _holds(versions: cabc.Iterable[str], name: str) -> bool:
+def _contains_version(versions: cabc.Iterable[str], name: str) -> bool:
+    """Return whether a name is in a list, with or without its ``@version``."""
     return any(name in (version, version.partition("@")[0]) for version in versions)
 
 
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -225,10 +225,10 @@
         reader, writer = await send(entry, request("/order/x", **CALLER))
         await until(lambda: bool(replica.received))
         loop = asyncio.get_running_loop()
-        told_at = loop.time()
+        signalled_at = loop.time()
         got = await answer_at_the_end(entry, reader)
         await entry.process.wait()
-        seconds = loop.time() - told_at
+        seconds = loop.time() - signalled_at
         writer.close()
     assert got is not None, "the connection was closed without an answer"
     assert got.status in (502, 504)
@@ -248,7 +248,7 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         entry.frontend.shutting_down = True
-        await entry.listening.stop_taking()
+        await entry.listening.stop_accepting_requests()
         with caller, contextlib.suppress(ConnectionError):
             loop = asyncio.get_running_loop()
             assert await asyncio.wait_for(loop.sock_recv(caller, 1), 1) == b""
@@ -352,7 +352,7 @@
         writer.write(whole[:60])
         await asyncio.sleep(0.05)
         entry.core.stopping = entry.frontend.shutting_down = True
-        await entry.listening.stop_taking()
+        await entry.listening.stop_accepting_requests()
         writer.write(whole[60:])
         got = await asyncio.wait_for(read_answer(reader), 1)
         assert got.headers["connection"] == "close"
--- a/tests/test_served_shares.py
+++ b/tests/test_served_shares.py
@@ -26,8 +26,8 @@
         (ServedShares(0.0, 0.0, 0.0), 1.0),
     ],
 )
-def test_the_band_that_is_served_least_counts(shares, ratio):
-    assert shares.least_ratio == pytest.approx(ratio)
+def test_ratio_is_that_of_the_size_served_least(shares, ratio):
+    assert shares.min_served_ratio == pytest.approx(ratio)
 
 
 def test_load_reports_each_class_by_size():
