--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -28,12 +28,11 @@
 prompt crosses it twice."""
 
 CROSS_ZONE_PENALTY_DECODES = 4.0
-"""Additional decodes at an engine in the entry's zone at which one elsewhere is equal.
-"""
+"""Running decodes added to the load of an engine in another zone."""
 
 LONG_PROMPT_SHARE = 0.33
-"""A prompt is long if its prefill takes this share of the group's tightest objective.
-"""
+"""A prompt is long, and kept away from engines free of long ones, if its prefill takes
+this share of the group's tightest objective."""
 
 PACKING_LIMIT_SHARE = 0.45
 """Share of the objective within which a packed prompt must have its first token.
@@ -65,7 +64,7 @@
 """Largest prompt with the first priority of its rank. Each doubling is one step lower,
 so that short prefills don't wait for long ones."""
 
-SHORT_ANSWER_TOKENS = 300
+MAX_SHORT_ANSWER_TOKENS = 300
 """Largest ``max_tokens`` of a short answer, which ends within some tenths of a second;
 others take one to three seconds."""
 
@@ -160,7 +159,7 @@
 
     :param max_output_tokens: upper bound of the output tokens; 0 if unknown.
     """
-    is_short = 0 < max_output_tokens <= SHORT_ANSWER_TOKENS
+    is_short = 0 < max_output_tokens <= MAX_SHORT_ANSWER_TOKENS
     if is_short and decisions.short_answers_first:
         return 0
     return prefill_priority(rank, prompt_tokens, decisions)
@@ -175,8 +174,8 @@
     engines: t.Sequence[EngineCandidate],
 ) -> EngineCandidate | None:
     """Return the decode engine for a prompt that is prefilled elsewhere."""
-    able = [engine for engine in engines if engine.role is not Role.PREFILL]
-    return min(able, key=_answer_load, default=None)
+    suitable = [engine for engine in engines if engine.role is not Role.PREFILL]
+    return min(suitable, key=_answer_load, default=None)
 
 
 def place_prompt(
@@ -232,13 +231,13 @@
     options: t.Sequence[tuple[float, EngineCandidate]], objective: float
 ) -> tuple[float, EngineCandidate] | None:
     """Return the most loaded prefill engine well within the objective."""
-    able = [
+    suitable = [
         option
         for option in options
         if option[1].role is Role.PREFILL
         and option[0] <= objective * PACKING_LIMIT_SHARE
     ]
-    return max(able, key=lambda option: (option[0], option[1].name), default=None)
+    return max(suitable, key=lambda option: (option[0], option[1].name), default=None)
 
 
 def _first_token(engine: EngineCandidate) -> float:
