--- a/src/bergamotmast/adapters/engine_http.py
+++ b/src/bergamotmast/adapters/engine_http.py
@@ -23,7 +23,7 @@
 from .http_calls import exchange
 from .http_calls import split_stream
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call; streams have no overall timeout."""
 
 CHUNK_TIMEOUT_SECONDS = 60.0
@@ -134,7 +134,7 @@
             self.session,
             method,
             self.url + path,
-            total=CALL_SECONDS,
+            total=CALL_TIMEOUT_SECONDS,
             data=data,
             headers=JSON_TYPE,
         ) as response:
--- a/src/bergamotmast/adapters/http_calls.py
+++ b/src/bergamotmast/adapters/http_calls.py
@@ -11,7 +11,7 @@
 from ..errors import NotReachedError
 from ..errors import ReplyLostError
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """Timeout for opening a connection within a region."""
 
 KEEP_ALIVE_SECONDS = 4.0
@@ -57,7 +57,7 @@
     url: str,
     total: float | None = None,
     read_timeout: float | None = None,
-    connect: float = CONNECT_SECONDS,
+    connect: float = CONNECT_TIMEOUT_SECONDS,
     **options: t.Any,
 ) -> cabc.AsyncIterator[aiohttp.ClientResponse]:
     """Send a request; yield its response to the body of an ``async with``.
--- a/src/bergamotmast/adapters/instance_list_http.py
+++ b/src/bergamotmast/adapters/instance_list_http.py
@@ -9,7 +9,7 @@
 from ..model import InstanceInfo
 from .http_calls import exchange
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call."""
 
 _INSTANCES = msgspec.json.Decoder(tuple[InstanceInfo, ...])
@@ -31,7 +31,9 @@
         :raises PortError: if it can't be read.
         """
         url = f"{self.url}/instances"
-        async with exchange(self.session, "GET", url, total=CALL_SECONDS) as response:
+        async with exchange(
+            self.session, "GET", url, total=CALL_TIMEOUT_SECONDS
+        ) as response:
             if response.status != 200:
                 raise ReplyLostError(f"the instance list answered {response.status}")
             data = await response.read()
--- a/src/bergamotmast/adapters/key_value_http.py
+++ b/src/bergamotmast/adapters/key_value_http.py
@@ -32,7 +32,7 @@
 from .key_value_json import write_compare
 from .key_value_json import write_operation
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call; watches have no overall timeout."""
 
 CLIENT_HEADER = "X-Client"
@@ -130,7 +130,7 @@
 
     async def _call(self, path: str, body: JsonObject) -> JsonObject:
         data = msgspec.json.encode(body)
-        async with self._post(path, data, CALL_SECONDS) as response:
+        async with self._post(path, data, CALL_TIMEOUT_SECONDS) as response:
             _raise_for_error(response.status)
             return msgspec.json.decode(await response.read(), type=JsonObject)
 
--- a/src/bergamotmast/adapters/upstream_http.py
+++ b/src/bergamotmast/adapters/upstream_http.py
@@ -19,11 +19,11 @@
 from .http_calls import client_session
 from .http_calls import exchange
 
-CONNECT_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 """Timeout for opening a connection. Zones are a few milliseconds apart; a machine
 without power does not answer at all, and the request is then sent elsewhere."""
 
-IDLE_SECONDS = 4.0
+KEEP_ALIVE_SECONDS = 4.0
 """How long an idle connection is kept; servers commonly close theirs after 5 s."""
 
 TCP_USER_TIMEOUT_MS = 3_000
@@ -203,7 +203,7 @@
             session,
             method,
             t.cast(str, yarl.URL(f"http://{address}{target}", encoded=True)),
-            connect=CONNECT_SECONDS,
+            connect=CONNECT_TIMEOUT_SECONDS,
             headers=headers,
             data=body or None,
             skip_auto_headers=_SUPPRESSED_HEADERS,
@@ -225,7 +225,9 @@
             )
         else:
             connector = _CleanConnector(
-                limit=0, keepalive_timeout=IDLE_SECONDS, socket_factory=_new_socket
+                limit=0,
+                keepalive_timeout=KEEP_ALIVE_SECONDS,
+                socket_factory=_new_socket,
             )
         return client_session(connector, decompress=False)
 
--- a/src/bergamotmast/adapters/weights_http.py
+++ b/src/bergamotmast/adapters/weights_http.py
@@ -11,7 +11,7 @@
 from ..errors import ReplyLostError
 from .http_calls import exchange
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call; loads have no timeout."""
 
 
@@ -53,7 +53,7 @@
         await self._call("POST", f"/loads/{quoted}", None)
 
     async def _store(self) -> WeightStoreBody:
-        data = await self._call("GET", "/store", CALL_SECONDS)
+        data = await self._call("GET", "/store", CALL_TIMEOUT_SECONDS)
         try:
             return msgspec.json.decode(data, type=WeightStoreBody)
         except msgspec.DecodeError as error:
--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -26,7 +26,7 @@
 """Maximum time between two cheap re-reads, which bounds how long a lost event of the
 watch goes unnoticed."""
 
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 """Timeout of one read."""
 
 MIN_FETCH_INTERVAL_SECONDS = 2.0
@@ -101,7 +101,7 @@
         while True:
             await asyncio.sleep(self.rng.uniform(0.5, 1.0) * REREAD_INTERVAL_SECONDS)
             try:
-                async with asyncio.timeout(CALL_SECONDS):
+                async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                     found = await self.kv.range(DIGEST_KEY_PREFIX)
             except (BergamotmastError, TimeoutError) as error:
                 logger.info("configuration not read again: %r", error)
@@ -130,7 +130,7 @@
         :param current_key: the service's digest key as last read; empty if none exists.
         """
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 document = await self._read_from_deltas(current_key)
                 if document is None:
                     document = (await self.store.read()).document
@@ -167,7 +167,7 @@
         await asyncio.sleep(self.rng.uniform(0, FETCH_JITTER_SECONDS))
         nonce = f"{self.rng.getrandbits(64):016x}"
         author = f"process {self.holder.process}"
-        async with asyncio.timeout(CALL_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             changed = await self.store.republish(self.holder.document, author, nonce)
         if changed:
             logger.warning(
--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -33,16 +33,16 @@
 platform sets them for all routes."""
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="kebab"):
+class _KebabStruct(msgspec.Struct, frozen=True, rename="kebab"):
     """Base of JSON objects with kebab-case names; unknown fields are ignored."""
 
 
-class _Split(_Wire, frozen=True):
+class _Split(_KebabStruct, frozen=True):
     service: str
     weight: float = 1.0
 
 
-class _Route(_Wire, frozen=True):
+class _Route(_KebabStruct, frozen=True):
     name: str
     host: str
     prefix: str
@@ -57,31 +57,31 @@
     gap_aim_ms: float = 0.0
 
 
-class _Engine(_Wire, frozen=True):
+class _Engine(_KebabStruct, frozen=True):
     slots: int = 64
     kv_capacity_tokens: int = 1 << 30
     handle_ttl_s: float = 5.0
 
 
-class _Service(_Wire, frozen=True):
+class _Service(_KebabStruct, frozen=True):
     name: str
     engine: _Engine | None = None
 
 
-class _Limits(_Wire, frozen=True):
+class _Limits(_KebabStruct, frozen=True):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
     idle_timeout_ms: float = 15_000.0
 
 
-class _Config(_Wire, frozen=True):
+class _Config(_KebabStruct, frozen=True):
     version: int
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
     limits: _Limits = _Limits()
 
 
-class _Registration(_Wire, frozen=True):
+class _Registration(_KebabStruct, frozen=True):
     """An upstream's registration.
 
     ``sequence``, a counter of writes, and ``version``, of its software, are ignored.
--- a/src/bergamotmast/platform/store.py
+++ b/src/bergamotmast/platform/store.py
@@ -39,7 +39,7 @@
 CALL_TIMEOUT_SECONDS = 1.0
 """Timeout of a call; the store answers within milliseconds, or 0.3 s when slow."""
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 """Timeout for opening a connection to the store."""
 
 WATCH_SLACK_SECONDS = 0.7
@@ -66,11 +66,11 @@
     return client_session(aiohttp.TCPConnector(force_close=True))
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="kebab"):
+class _KebabStruct(msgspec.Struct, frozen=True, rename="kebab"):
     pass
 
 
-class _Item(_Wire, frozen=True):
+class _Item(_KebabStruct, frozen=True):
     """A key and its value; in an event, ``tombstone`` marks a deleted key."""
 
     key: str
@@ -80,22 +80,22 @@
     tombstone: bool = False
 
 
-class _Range(_Wire, frozen=True):
+class _Range(_KebabStruct, frozen=True):
     items: tuple[_Item, ...] = ()
     has_more: bool = False
     store_revision: int = 0
 
 
-class _Events(_Wire, frozen=True):
+class _Events(_KebabStruct, frozen=True):
     events: tuple[_Item, ...] = ()
     store_revision: int = 0
 
 
-class _Written(_Wire, frozen=True):
+class _Written(_KebabStruct, frozen=True):
     revision: int = 0
 
 
-class _Lease(_Wire, frozen=True):
+class _Lease(_KebabStruct, frozen=True):
     lease: int
 
 
@@ -312,7 +312,7 @@
             method,
             self.url + path,
             total=seconds,
-            connect=CONNECT_SECONDS,
+            connect=CONNECT_TIMEOUT_SECONDS,
             data=None if body is None else msgspec.json.encode(body),
             headers=JSON_TYPE,
         ) as response:
@@ -339,24 +339,26 @@
         return era
 
 
-_S = t.TypeVar("_S", bound=msgspec.Struct)
+_StructT = t.TypeVar("_S", bound=msgspec.Struct)
 
 
 def _decode(
-    body: bytes, kind: type[_S], failure: type[PortError] = KeyValueUnavailableError
-) -> _S:
+    body: bytes,
+    kind: type[_StructT],
+    failure: type[PortError] = KeyValueUnavailableError,
+) -> _StructT:
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.DecodeError as error:
         raise failure(f"the store's answer can't be decoded: {error}") from error
 
 
-def _decode_written(body: bytes, kind: type[_S]) -> _S:
+def _decode_written(body: bytes, kind: type[_StructT]) -> _StructT:
     """Decode the answer to a write, which took effect even if this fails."""
     return _decode(body, kind, KeyValueOutcomeUnknownError)
 
 
-def _bytes(item: _Item) -> bytes:
+def _decode_value(item: _Item) -> bytes:
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError:
@@ -371,11 +373,11 @@
 
 def _key_value(item: _Item, era: int) -> KeyValue:
     revision, lease = qualify(era, item.revision), qualify(era, item.lease)
-    return KeyValue(item.key, _bytes(item), revision, lease)
+    return KeyValue(item.key, _decode_value(item), revision, lease)
 
 
 def _watch_event(item: _Item, era: int) -> WatchEvent:
-    value = None if item.tombstone else _bytes(item)
+    value = None if item.tombstone else _decode_value(item)
     return WatchEvent(item.key, value, qualify(era, item.revision))
 
 
--- a/tests/test_key_value_port.py
+++ b/tests/test_key_value_port.py
@@ -133,7 +133,7 @@
 async def test_timeouts_and_a_stopped_server(monkeypatch):
     # A read without an answer is reported as unavailable. A write that was sent may
     # still take effect after a timeout; one that was never sent may not.
-    monkeypatch.setattr(key_value_http, "CALL_SECONDS", 0.5)
+    monkeypatch.setattr(key_value_http, "CALL_TIMEOUT_SECONDS", 0.5)
     standin = KeyValueStandIn(delay=2.0)
     async with client_session() as session:
         async with serving(KeyValueFrontend(standin).application()) as url:
