--- a/src/bergamotmast/platform/store.py
+++ b/src/bergamotmast/platform/store.py
@@ -339,7 +339,7 @@
         return era
 
 
-_StructT = t.TypeVar("_S", bound=msgspec.Struct)
+_StructT = t.TypeVar("_StructT", bound=msgspec.Struct)
 
 
 def _decode(
