--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -19,10 +19,10 @@
 from bergamotmast.load import LoadDriver
 from bergamotmast.serving import HttpListener
 from process_fleet import process_fleet
-from test_daemon_stopping import ended
+from test_daemon_stopping import exit_status
 from test_daemon_stopping import stream
 from test_serving import REQUEST
-from test_serving import Front
+from test_serving import Frontend
 from test_serving import connect
 
 MAX_IDLE_CLOSE_SECONDS = 1.0
@@ -36,7 +36,7 @@
     Without a free descriptor that raises, and the error ended the process before its
     responses were sent.
     """
-    front = Front(pace=0.3)
+    front = Frontend(pace=0.3)
     listening = await front.listen()
     raw = connect(listening)
     raw.send(REQUEST)
@@ -65,7 +65,7 @@
     Connections are not read during the search: the request waits in the system's
     receive buffer, and closing its connection would reset it.
     """
-    front = Front()
+    front = Frontend()
     listening = await front.listen()
     raw = connect(listening)
     raw.send(REQUEST)
@@ -115,7 +115,7 @@
     that time the entry counted the connection as one with a response in flight.
     """
     server, caller = tls
-    front = Front()
+    front = Frontend()
     async with tls_listening(front, server) as listening:
 
         def ask():
@@ -144,7 +144,7 @@
     finds nothing, and the request is discarded with the connection.
     """
     server, caller = tls
-    front = Front()
+    front = Frontend()
     async with tls_listening(front, server) as listening:
         reader, writer = await asyncio.open_connection(
             *listening.runner.addresses[0], ssl=caller, server_hostname="127.0.0.1"
@@ -173,7 +173,7 @@
     unread bytes in between raises, and the error ended the process.
     """
     server, caller = tls
-    front = Front()
+    front = Frontend()
     async with tls_listening(front, server) as listening:
         kept = [
             await asyncio.open_connection(
@@ -205,7 +205,7 @@
     was read has no handler yet and nothing is left unread, so the connection looks
     idle. A caller that sends all within 50 ms is not slow and must be answered.
     """
-    front = Front()
+    front = Frontend()
     listening = await front.listen()
     raw = connect(listening)
     raw.send(REQUEST[:part])
@@ -251,7 +251,7 @@
             f.signal("entry-1", signal.SIGTERM)
             await asyncio.sleep(4.6)
             first = await order(f.urls["entry-1"], "key-1")
-            assert await ended(f, "entry-1") == 0
+            assert await exit_status(f, "entry-1") == 0
             await long
         again = await order(f.urls["entry-2"], "key-1")
     assert first[0] == 200
@@ -274,7 +274,7 @@
         await asyncio.sleep(4.6)
         assert (await order(f.urls["entry-1"], "key-1"))[0] == 200
         f.signal("key-value", signal.SIGSTOP)
-        assert await ended(f, "entry-1") == 0
+        assert await exit_status(f, "entry-1") == 0
         seconds = time.monotonic() - signaled_at
         f.signal("key-value", signal.SIGCONT)
     assert seconds < 8.0
