--- a/src/bergamotmast/bench/__init__.py
+++ b/src/bergamotmast/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The experiment tool: real code of the system in virtual time, under a trace."""
+"""Benchmarks: trace-driven simulation in virtual time, and measurements of cost."""
--- a/src/bergamotmast/bench/capacity.py
+++ b/src/bergamotmast/bench/capacity.py
@@ -1,11 +1,13 @@
-"""What control costs a node, as slopes over the size of the fleet.
+"""Measure control-plane overhead per process as the fleet grows.
 
-Real entries and sides run in one process, joined in memory and in virtual time, with
-stand-ins outside and no callers. Messages and bytes between them are counted exactly,
-as are calls and bytes at the key-value service; processor time is that of the whole
-process, so it holds no sockets. :mod:`.capacity_processes` measures real processes.
+Real entries and sides run in one process and in virtual time, connected in memory.
+Engines, instance list and key-value service are stand-ins, and no caller sends
+requests. Messages and bytes between processes are counted exactly, as are calls and
+bytes at the key-value service. Processor time is that of the whole process and
+includes no socket I/O; :mod:`.capacity_processes` measures real processes.
 
-``python -m bergamotmast.bench.capacity`` prints every sample as a line of JSON.
+``python -m bergamotmast.bench.capacity`` prints each sample as its type's name
+and a JSON object, one a line.
 """
 
 from __future__ import annotations
@@ -52,20 +54,20 @@
 LETTER_ENTRIES = 330
 LETTER_SIDES = 600
 LETTER_MODELS = 7
-"""The size that is worked towards; a group for each model."""
+"""Size of the largest fleet to support, with one group of engines for each model."""
 
 EDITS = 20
 EDIT_EVERY = 3.0
-"""Seconds between the edits of a burst."""
+"""Interval between the edits of a burst."""
 
 APPLICATIONS = 20
-"""Times that a document is taken, of which the mean is reported."""
+"""Repetitions of a timed operation, of which the mean is reported."""
 
 _T = t.TypeVar("_T")
 
 
 async def measure_control(entries: int, sides: int) -> ControlSample:
-    """Measure a fleet at rest."""
+    """Measure the control traffic of an idle fleet."""
     fleet = Fleet(SMALL_TENANTS, entries, sides)
     await fleet.start()
     kv = fleet.kv
@@ -101,10 +103,11 @@
 
 
 async def measure_memory() -> MemorySample:
-    """Measure what an entry, a side and a session between them keep.
+    """Measure the memory of an entry, of a side and of a session between them.
 
-    Four fleets give the three slopes: with both ends doubled, what is left over
-    what each adds alone is the sessions'.
+    Memory is modelled as linear in entries, sides and sessions (entries times sides).
+    Four fleets, with few and many of each, determine the three slopes: the growth
+    beyond what entries and sides add separately belongs to the sessions.
     """
     few, many = 4, 16
     held = {}
@@ -132,7 +135,7 @@
 
 
 async def measure_config(tenants: int, sides: int) -> ConfigSample:
-    """Measure taking a document and keeping it."""
+    """Measure the time to apply a configuration document and the memory it occupies."""
     documents = [
         encode_configuration(
             msgspec.structs.replace(document(tenants, sides), generation=generation)
@@ -158,7 +161,7 @@
 
 
 async def measure_edits(tenants: int, entries: int, sides: int) -> EditSample:
-    """Measure a row of edits, each of one tenant, beyond what rest takes."""
+    """Measure a series of edits of one tenant, beyond the cost of an idle fleet."""
     fleet = Fleet(tenants, entries, sides)
     await fleet.start()
     processes = entries + sides
@@ -208,7 +211,7 @@
 
 
 async def _edit(fleet: Fleet) -> float:
-    """Change one tenant; return the seconds until in force everywhere."""
+    """Change one tenant; return the seconds until every process applied the edit."""
     loop = asyncio.get_running_loop()
     begin = loop.time()
     current = (await fleet.store.read()).configuration
@@ -225,7 +228,7 @@
 
 
 async def measure_subsets(entries: int, sides: int, groups: int) -> SubsetSample:
-    """Count the sessions of a fleet from the choice that entries make."""
+    """Count the sessions that result from the subsets which entries choose."""
     names = side_names(sides)
     per_side: collections.Counter[str] = collections.Counter()
     per_entry: list[int] = []
@@ -258,7 +261,7 @@
 
 
 async def measure_list(count: int) -> ListSample:
-    """Measure the instance list as its adapter reads it."""
+    """Measure the size of the instance list and the time to decode it."""
     fleet = Fleet(SMALL_TENANTS, 0, count)
     data = msgspec.json.encode(await fleet.list.instances())
     decoder = msgspec.json.Decoder(tuple[InstanceInfo, ...])
@@ -270,7 +273,7 @@
 
 
 def on_new_loop(measuring: cabc.Coroutine[t.Any, t.Any, _T]) -> _T:
-    """Run a measurement in virtual time on a loop of its own."""
+    """Run a measurement on a new event loop with virtual time."""
     loop = looptime.new_event_loop(noop_cycles=0)
     asyncio.set_event_loop(loop)
     try:
@@ -281,7 +284,10 @@
 
 
 def measurements(quick: bool) -> cabc.Iterator[cabc.Coroutine[t.Any, t.Any, object]]:
-    """Return what is measured, in order."""
+    """Yield the measurements in the order in which they run.
+
+    :param quick: whether to measure the smallest fleets only.
+    """
     entries = ENTRIES[:2] if quick else ENTRIES
     sides = SIDES[:2] if quick else SIDES
     yield from (measure_control(count, SUBSET_SIZE) for count in entries)
@@ -294,9 +300,11 @@
 
 
 def main(argv: cabc.Sequence[str] | None = None) -> int:
-    """Print every sample."""
+    """Run all measurements and print their samples."""
     parser = argparse.ArgumentParser(prog="bergamotmast.bench.capacity")
-    parser.add_argument("--quick", action="store_true", help="the smallest fleets only")
+    parser.add_argument(
+        "--quick", action="store_true", help="measure the smallest fleets only"
+    )
     quick = parser.parse_args(argv).quick
     logging.disable(logging.WARNING)
     for measuring in measurements(quick):
--- a/src/bergamotmast/bench/capacity_fleet.py
+++ b/src/bergamotmast/bench/capacity_fleet.py
@@ -1,4 +1,4 @@
-"""Entries and sides without callers, whose control traffic is counted."""
+"""Idle fleet of real entries and sides whose control traffic is counted."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 from ..telemetry import NullTelemetry
 
 WARM_UP_SECONDS = 40.0
-"""Until sessions are open, a planner holds the lease and the first plan is written."""
+"""Time in which sessions open, a planner takes the lease and writes the first plan."""
 
 ZONES = 7
 MODEL = "archivist@1"
 
 
 class CountingNetwork(MemoryNetwork):
-    """Counts frames and bytes of each connection, both ways."""
+    """In-memory network that counts frames and bytes of each connection, both ways."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,23 +56,23 @@
         queue: asyncio.Queue[tuple[bytes, bytes]],
         frame: tuple[bytes, bytes],
     ) -> None:
-        """Count a frame and put it on its way."""
+        """Count a frame and deliver it."""
         connection, data = frame
         self.frames[connection] += 1
         self.bytes[connection] += len(data)
         super().carry(address, queue, frame)
 
     def clear(self) -> None:
-        """Begin to count anew."""
+        """Reset the counters."""
         self.frames.clear()
         self.bytes.clear()
 
     def frames_of(self, peers: cabc.Iterable[Peer]) -> int:
-        """Return the frames of some connections."""
+        """Return the number of frames on the connections of some peers."""
         return sum(self.frames[_connection(p)] for p in peers)
 
     def bytes_of(self, peers: cabc.Iterable[Peer]) -> int:
-        """Return the bytes of some connections."""
+        """Return the number of bytes on the connections of some peers."""
         return sum(self.bytes[_connection(p)] for p in peers)
 
 
@@ -81,7 +81,7 @@
 
 
 class CountingClient(KeyValueClient):
-    """Counts the bytes that reads bring."""
+    """Key-value client that counts the bytes that its reads return."""
 
     read_bytes = 0
 
@@ -92,19 +92,19 @@
         return item
 
     async def range(self, prefix: str) -> RangeResult:
-        """Read every key below a prefix."""
+        """Read every key with a prefix."""
         found = await super().range(prefix)
         self.read_bytes += sum(len(i.key) + len(i.value) for i in found.items)
         return found
 
 
 def side_names(count: int) -> list[str]:
-    """Return the names of so many engines."""
+    """Return the names of a number of engines, which their sides share."""
     return [f"engine-{number:04d}" for number in range(count)]
 
 
 def document(tenants: int, sides: int) -> Configuration:
-    """Return a configuration of some size: one group, a key for each tenant."""
+    """Return a configuration with one group of engines and one key for each tenant."""
     return Configuration(
         labels={name: {"pool": "models"} for name in side_names(sides)},
         selectors=(Selector(name="models", group="pool=models", models=(MODEL,)),),
@@ -117,12 +117,17 @@
 
 
 def tenant(name: str, weight: float) -> Tenant:
-    """Return a tenant with one key."""
+    """Return a tenant with one API key."""
     return Tenant(weight=weight, keys=(hashlib.sha256(name.encode()).hexdigest(),))
 
 
 class Fleet:
-    """Entries and sides without callers."""
+    """Entries and sides that receive no requests.
+
+    :param tenants: number of tenants in the configuration.
+    :param entries: number of entries.
+    :param sides: number of sides, each beside one engine.
+    """
 
     def __init__(self, tenants: int, entries: int, sides: int) -> None:
         self.tenants = tenants
@@ -155,7 +160,7 @@
         )
 
     async def start(self) -> None:
-        """Start every process and wait until nothing changes any more."""
+        """Start every process and wait until the fleet is idle."""
         await self.store.propose(
             document(self.tenants, len(self.names)), 0, "operator", "first"
         )
@@ -189,6 +194,10 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def peers(self, entry: EntryProcess, observers: bool) -> list[Peer]:
-        """Return an entry's sessions, those that carry work or those that observe."""
+        """Return the peers with which an entry has a session.
+
+        :param observers: whether to return sessions of the planner, which only observe,
+            or those that carry requests.
+        """
         peers = entry.core.membership.peers.values()
         return [p for p in peers if p.session and p.is_observer is observers]
--- a/src/bergamotmast/bench/capacity_processes.py
+++ b/src/bergamotmast/bench/capacity_processes.py
@@ -1,9 +1,10 @@
-"""What control costs real processes on loopback, as slopes over their sessions.
+"""Measure control-plane overhead of real processes on loopback, by their sessions.
 
-This measuring tool starts the daemons that operators start, gives them no callers
-and reads their processor time and resident memory from the kernel.
+Starts the daemons that operators start, sends them no requests and reads their
+processor time and resident memory from ``/proc``.
 
-``python -m bergamotmast.bench.capacity_processes`` prints a line of JSON a sample.
+``python -m bergamotmast.bench.capacity_processes`` prints each sample as its type's
+name and a JSON object, one a line.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 from .capacity_fleet import side_names
 
 FLEETS = ((1, 4), (1, 20), (2, 40), (8, 20), (24, 8))
-"""Entries and sides of each sample; an engine stand-in serves all sides of one."""
+"""Entries and sides of each fleet, whose sides share one engine stand-in."""
 
 TENANTS = 100
 SETTLE_SECONDS = 15.0
 MEASURED_SECONDS = 20.0
 START_SECONDS = 90.0
 MOST_AT_ONCE = 8
-"""Processes that start at the same time."""
+"""Limit of processes that are starting at the same time."""
 
 TICK = os.sysconf("SC_CLK_TCK")
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -45,11 +46,12 @@
 
 
 class ProcessSample(msgspec.Struct, frozen=True):
-    """Mean of the processes of one role, at rest.
+    """Mean over the idle processes of one role.
 
+    :param role: ``entry`` or ``side``.
     :param sessions: open sessions of one process.
-    :param core_percent: processor time, in hundredths of a core.
-    :param resident_megabytes: resident memory.
+    :param core_percent: processor time, in percent of a core.
+    :param resident_megabytes: resident memory, MiB.
     """
 
     role: str
@@ -61,7 +63,10 @@
 
 
 class Daemons:
-    """Processes started here, and ended here."""
+    """Daemons started for a measurement.
+
+    :param directory: where each daemon's log is written.
+    """
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.directory = directory
@@ -69,7 +74,10 @@
         self.starting = asyncio.Semaphore(MOST_AT_ONCE)
 
     async def start(self, name: str, *command: str) -> str:
-        """Start a daemon and return the line that it prints when it is ready."""
+        """Start a daemon and return the line that it prints once it is ready.
+
+        :raises RuntimeError: with the daemon's log, if it ends before.
+        """
         async with self.starting:
             with (self.directory / f"{name}.log").open("ab") as log:
                 process = await asyncio.create_subprocess_exec(
@@ -89,7 +97,7 @@
         return line.decode().strip()
 
     async def stop(self) -> None:
-        """End every process that was started."""
+        """Kill all daemons and wait for them."""
         for process in self.running.values():
             if process.returncode is None:
                 process.kill()
@@ -97,26 +105,26 @@
             await process.wait()
 
     def cpu(self, name: str) -> float:
-        """Return the processor seconds that a process has used."""
+        """Return the user and system time that a process has used, in seconds."""
         text = pathlib.Path(f"/proc/{self.running[name].pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICK
 
     def resident(self, name: str) -> float:
-        """Return the megabytes of a process's resident memory."""
+        """Return the resident memory of a process, MiB."""
         text = pathlib.Path(f"/proc/{self.running[name].pid}/statm").read_text()
         return int(text.split()[1]) * PAGE / MEGABYTE
 
 
 def free_address() -> str:
-    """Return a loopback address that nobody listens on now."""
+    """Return a loopback address with a free port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 async def measure(entries: int, sides: int) -> list[ProcessSample]:
-    """Run a fleet of processes at rest and measure them."""
+    """Run an idle fleet of processes and measure them."""
     with tempfile.TemporaryDirectory() as directory:
         daemons = Daemons(pathlib.Path(directory))
         try:
@@ -204,16 +212,18 @@
 
 
 async def measure_all(fleets: cabc.Iterable[tuple[int, int]]) -> None:
-    """Measure fleets one after the other and print every sample."""
+    """Measure fleets one after the other and print their samples."""
     for entries, sides in fleets:
         for sample in await measure(entries, sides):
             print(type(sample).__name__, _json(sample), flush=True)
 
 
 def main(argv: cabc.Sequence[str] | None = None) -> int:
-    """Print every sample."""
+    """Run the measurement and print its samples."""
     parser = argparse.ArgumentParser(prog="bergamotmast.bench.capacity_processes")
-    parser.add_argument("--quick", action="store_true", help="the smallest fleet only")
+    parser.add_argument(
+        "--quick", action="store_true", help="measure the smallest fleet only"
+    )
     quick = parser.parse_args(argv).quick
     asyncio.run(measure_all(FLEETS[:1] if quick else FLEETS))
     return 0
--- a/src/bergamotmast/bench/capacity_samples.py
+++ b/src/bergamotmast/bench/capacity_samples.py
@@ -1,4 +1,4 @@
-"""The samples that the measurement of capacity prints."""
+"""Samples that the capacity measurements print."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 
 
 class ControlSample(msgspec.Struct, frozen=True):
-    """Control traffic of a fleet at rest.
+    """Control traffic of an idle fleet.
 
-    Rates are a second; bytes are payload, without the transport's own few.
+    Rates are per second; bytes are payload, without the transport's framing.
 
     :param sessions: open sessions between entries and sides.
-    :param entry_bytes: sent and received by an entry that doesn't plan, mean.
-    :param side_bytes: sent and received by a side, mean.
-    :param observer_bytes: sent and received by the entry that plans, over the
-        sessions in which it only observes.
-    :param session_frames: of one session, both ways.
-    :param session_bytes: the same in bytes.
-    :param cpu_us_per_frame: processor time of everything, over all frames.
-    :param kv_reads: calls that read; watches not counted.
-    :param kv_writes: writes and lease renewals.
-    :param kv_watches: watches that wait.
+    :param entry_bytes: mean sent and received by an entry that isn't the planner.
+    :param side_bytes: mean sent and received by a side.
+    :param observer_bytes: sent and received by the planning entry over sessions that
+        only observe.
+    :param session_frames: frames of one session, both ways.
+    :param session_bytes: bytes of one session, both ways.
+    :param cpu_us_per_frame: processor time of the whole process for each frame,
+        microseconds.
+    :param kv_reads: read calls of the key-value service, without watches.
+    :param kv_writes: writes and lease renewals at the key-value service.
+    :param kv_watches: number of open watches.
     :param list_reads: calls of the instance list.
     """
 
@@ -40,9 +41,9 @@
 
 
 class MemorySample(msgspec.Struct, frozen=True):
-    """Bytes of Python objects that each part of a fleet keeps.
+    """Memory of Python objects that each part of a fleet adds, bytes.
 
-    :param session: at both its ends together.
+    :param session: memory at both ends together.
     """
 
     entry: float
@@ -51,11 +52,11 @@
 
 
 class ConfigSample(msgspec.Struct, frozen=True):
-    """What the document costs at a number of tenants.
+    """Cost of a configuration document for a number of tenants.
 
     :param document_bytes: length of the document.
-    :param apply_ms: processor time to take a document, milliseconds.
-    :param memory: bytes that a holder keeps.
+    :param apply_ms: processor time to apply a document, milliseconds.
+    :param memory: memory of the process's copy, bytes.
     """
 
     tenants: int
@@ -66,13 +67,15 @@
 
 
 class EditSample(msgspec.Struct, frozen=True):
-    """What one edit costs the service and each process that follows it.
-
-    :param reads: calls of the service by one process.
-    :param read_bytes: bytes read by one process.
-    :param peer_bytes: bytes of a process to and from its peers beyond those at rest.
-    :param cpu_ms: processor time of one process.
-    :param slowest_seconds: from acceptance until in force in the last process.
+    """Cost of one configuration edit, beyond the traffic of an idle fleet.
+
+    :param processes: processes that watch the configuration.
+    :param reads: read calls of the key-value service by one process.
+    :param read_bytes: bytes that one process reads there.
+    :param peer_bytes: bytes that one process exchanges with its peers.
+    :param cpu_ms: processor time of one process, milliseconds.
+    :param slowest_seconds: from the start of an edit until every process applied it;
+        maximum over the edits.
     """
 
     tenants: int
@@ -85,7 +88,12 @@
 
 
 class ListSample(msgspec.Struct, frozen=True):
-    """Length of the instance list in JSON, and what reading it takes."""
+    """Cost of reading the instance list.
+
+    :param instances: instances in the list.
+    :param bytes: length of the list in JSON.
+    :param decode_ms: processor time to decode it, milliseconds.
+    """
 
     instances: int
     bytes: int
@@ -93,11 +101,13 @@
 
 
 class SubsetSample(msgspec.Struct, frozen=True):
-    """Sessions of a whole fleet, from the choice that entries make.
+    """Sessions of a fleet whose entries connect to a subset of each group.
 
-    :param groups: groups of engines, as many as models.
-    :param per_entry: most sessions of one entry.
-    :param most_in_one_zone: most of an entry's sessions of one group in one zone.
+    :param groups: groups of engines, one for each model.
+    :param per_entry: maximum sessions of an entry.
+    :param per_side_least: minimum sessions of a side.
+    :param per_side_most: maximum sessions of a side.
+    :param most_in_one_zone: maximum sessions of an entry with one group in one zone.
     """
 
     entries: int
--- a/src/bergamotmast/bench/cli.py
+++ b/src/bergamotmast/bench/cli.py
@@ -19,31 +19,36 @@
 from .summary import table
 
 DEFAULT_PROCESSES = 4
-"""Runs made at the same time."""
+"""Runs in parallel."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Add the command's flags to a parser."""
-    load = parser.add_argument_group("what is played")
-    load.add_argument("--trace", metavar="FILE", help="trace, JSON lines")
+    load = parser.add_argument_group("workload")
+    load.add_argument("--trace", metavar="FILE", help="trace to replay, JSON lines")
     load.add_argument(
         "--scenario", metavar="NAME[,NAME...]", help="shipped scenarios, or 'all'"
     )
     load.add_argument("--fleet", metavar="FILE", help="fleet, YAML or JSON")
     load.add_argument("--list", action="store_true", help="list scenarios and policies")
-    how = parser.add_argument_group("how it is played")
+    how = parser.add_argument_group("runs")
     how.add_argument("--policy", default="default", metavar="NAME[,NAME...]")
     how.add_argument("--seed", default="1", metavar="N[,N...]")
     how.add_argument(
-        "--processes", type=int, default=DEFAULT_PROCESSES, help="runs at the same time"
+        "--processes",
+        type=int,
+        default=DEFAULT_PROCESSES,
+        help="number of parallel runs",
+    )
+    out = parser.add_argument_group("output")
+    out.add_argument("--json", action="store_true", help="print all results as JSON")
+    out.add_argument(
+        "--report", metavar="DIR", help="write an HTML page with plots to a directory"
     )
-    out = parser.add_argument_group("what is written")
-    out.add_argument("--json", action="store_true", help="all results as JSON")
-    out.add_argument("--report", metavar="DIR", help="write a page with plots")
 
 
 def run(args: argparse.Namespace) -> int:
-    """Make the runs that the flags ask for and print what came of them."""
+    """Execute the runs that the flags select and print their results."""
     if args.list:
         print("\n".join([*scenario_names(), "", *PRESETS]))
         return 0
@@ -58,9 +63,9 @@
 
 
 def jobs(args: argparse.Namespace) -> list[Job]:
-    """Return the runs the flags ask for.
+    """Return the runs that the flags select.
 
-    :raises SettingError: naming the flag that can't be used.
+    :raises SettingError: naming the flag that is invalid.
     """
     fleet = pathlib.Path(args.fleet) if args.fleet else None
     policies = _known("--policy", args.policy, tuple(PRESETS))
@@ -98,4 +103,4 @@
     try:
         return tuple(int(part) for part in value.split(",") if part.strip())
     except ValueError as error:
-        raise SettingError("--seed", value, "whole numbers with commas") from error
+        raise SettingError("--seed", value, "integers separated by commas") from error
--- a/src/bergamotmast/bench/faults.py
+++ b/src/bergamotmast/bench/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong during a run, and when."""
+"""Faults that are injected during a run."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong."""
+    """Kind of an injected fault."""
 
     ENGINE_SPEED = "engine_speed"
-    """An engine works at a share of its speed."""
+    """An engine runs at a fraction of its speed."""
 
     ENGINE_CRASH = "engine_crash"
-    """An engine stops, and restarts at the end."""
+    """An engine crashes and restarts at the fault's end."""
 
     ENGINES_UNREACHABLE = "engines_unreachable"
-    """No engine is reached until the end."""
+    """All engines are unreachable until the fault's end."""
 
     WITHDRAWAL = "withdrawal"
-    """The instance list says that an upstream is leaving, for good."""
+    """The instance list marks an upstream as leaving; never undone."""
 
     KEY_VALUE_DOWN = "key_value_down"
-    """The key-value service does not answer until the end."""
+    """The key-value service does not reply until the fault's end."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
     """One fault.
 
     :param start: seconds after the start of the trace.
-    :param end: likewise; a withdrawal has none.
-    :param engine: position of the engine in the fleet.
-    :param speed: share of the speed that is left.
+    :param end: seconds after the start of the trace; ignored for a withdrawal.
+    :param engine: index of the engine in the fleet.
+    :param speed: fraction of its speed that the engine keeps.
     """
 
     kind: FaultKind
@@ -45,7 +45,10 @@
 
 
 def outages(faults: tuple[Fault, ...], engines: tuple[str, ...]) -> list[Outage]:
-    """Return what the faults take from the engines, for the oracle bound."""
+    """Return the engine capacity that faults remove, for the oracle bound.
+
+    :param engines: names of the fleet's engines, in order.
+    """
     found = []
     for fault in faults:
         if fault.kind is FaultKind.ENGINES_UNREACHABLE:
--- a/src/bergamotmast/bench/fleet.py
+++ b/src/bergamotmast/bench/fleet.py
@@ -17,11 +17,11 @@
 from .trace import TraceError
 
 TOKENS_PER_CHUNK = 32
-"""Decode steps between chunks; progress in larger steps makes long runs affordable."""
+"""Decode steps between chunks; larger chunks shorten long simulations."""
 
 
 class RatesPart(msgspec.Struct, frozen=True, kw_only=True):
-    """Speed of an engine in one role; see ``RoleRates`` of the engine stand-in."""
+    """Speed of an engine in one role; see :class:`RoleRates` for the fields."""
 
     prefill_rate: float
     prefill_share: float = 0.7
@@ -32,11 +32,11 @@
 
 
 class UpstreamPart(msgspec.Struct, frozen=True, kw_only=True):
-    """One upstream.
+    """One upstream of a fleet file.
 
-    :param rates: speed in each role; roles left out take those of the fleet.
-    :param call_seconds: how long a plain service takes for a call.
-    :param max_calls: how many calls a plain service takes at once.
+    :param rates: speed in each role; other roles take the fleet's rates.
+    :param call_seconds: service time of a plain service's call.
+    :param max_calls: concurrent calls that a plain service executes.
     """
 
     name: str
@@ -49,16 +49,21 @@
 
 
 class Fleet(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole deployment; fields that are not known are ignored.
+    """A fleet file: one whole deployment; unknown fields are ignored.
 
-    :param entries: entry instances; their zones go round.
+    :param entries: number of entry instances, assigned to the zones in turn.
     :param zones: availability zones.
-    :param rates: speed of every engine in each role.
-    :param classes: what callers of each class may expect; others get a class made
-        from their deadlines.
-    :param tenants: weights; others weigh 1.
-    :param change_seconds: how long a role change takes.
-    :param load_lag: seconds that load reports are old.
+    :param rates: speed of an engine in each role, unless its upstream sets another.
+    :param classes: objectives of request classes; others are derived from the
+        deadlines in the trace.
+    :param tenants: settings of tenants, such as weights; others have weight 1.
+    :param kv_capacity: KV-cache size of an engine, tokens.
+    :param cache_capacity: prefix-cache size of an engine, tokens.
+    :param shared_share: share of a prompt that belongs to its shared prefix.
+    :param transfer_rate: speed of KV transfers between engines, tokens a second.
+    :param change_seconds: duration of a role change.
+    :param load_lag: age of the load reports that engines give, seconds.
+    :param tokens_per_chunk: decode steps between two chunks of an answer.
     """
 
     name: str = "fleet"
@@ -99,7 +104,7 @@
         )
 
     def spec(self, upstream: UpstreamPart) -> EngineSpec:
-        """Return what the stand-in of one engine is."""
+        """Return the specification of an engine's stand-in."""
         return EngineSpec(
             roles={role: self.role_rates(upstream, role) for role in Role},
             kv_capacity=self.kv_capacity,
@@ -117,7 +122,7 @@
     Role.PREFILL: RoleRates(5_500.0, 0.9, 0.02, 0.002, 4.0, 8),
     Role.DECODE: RoleRates(1_000.0, 0.5, 0.012, 0.0004, 1.3, 48),
 }
-"""A quarter of the engine stand-in's own default, to make long runs affordable."""
+"""A quarter of the engine stand-in's default rates, to shorten long simulations."""
 
 
 def _class(priority: Priority, first_token: float, total: float) -> RequestClass:
@@ -138,13 +143,13 @@
         "push": _class(Priority.INTERACTIVE, 2.0, 5.0),
     },
 }
-"""Classes of each deployment: seconds to the first token and to the whole answer."""
+"""Request classes of each deployment; times in seconds."""
 
 
 def read_fleet(path: pathlib.Path) -> Fleet:
     """Read a fleet file, YAML or JSON.
 
-    :raises TraceError: naming the file and the field that is wrong.
+    :raises TraceError: naming the file and the invalid field.
     """
     try:
         data = path.read_bytes()
@@ -158,7 +163,7 @@
 
 
 def deployment(name: t.Literal["trindade", "alliance"]) -> Fleet:
-    """Return the fleet of one of the deployments the scenarios are made for."""
+    """Return the fleet of one of the deployments that scenarios use."""
     engines, services = (6, 4) if name == "trindade" else (5, 4)
     service = "counter" if name == "trindade" else "notify"
     zones = ("zone-1", "zone-2", "zone-3", "zone-4")
--- a/src/bergamotmast/bench/metrics.py
+++ b/src/bergamotmast/bench/metrics.py
@@ -1,4 +1,4 @@
-"""What callers got, and what it cost the fleet."""
+"""Results of a run: outcomes and latencies of requests, and use of the fleet."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from .trace import TraceRequest
 
 DIGITS = 6
-"""Decimals kept in results."""
+"""Precision of numbers in results."""
 
 
 @dataclasses.dataclass(slots=True)
 class RequestLog:
-    """What one caller saw.
+    """One request as its caller saw it.
 
     :param code: final result.
-    :param first_at: first token; seconds after the start of the trace.
-    :param ended_at: final answer; likewise.
+    :param first_at: time of the first token, seconds after the start of the trace.
+    :param ended_at: time of the final result, seconds after the start of the trace.
     :param tokens: output tokens received.
-    :param tries: how often the caller sent it.
+    :param attempts: how often the caller sent the request.
     """
 
     request: TraceRequest
@@ -52,7 +52,15 @@
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """How the requests of a class or tenant ended."""
+    """Number of requests by final status.
+
+    :param met: answered by the deadline.
+    :param late: answered after the deadline, or ended by it.
+    :param refused: not executed.
+    :param unknown: ended without a known outcome.
+    :param failed: executed without success.
+    :param met_share: share of the sent requests that were met.
+    """
 
     sent: int
     met: int
@@ -64,7 +72,7 @@
 
 
 class Quantiles(msgspec.Struct, frozen=True):
-    """Times in seconds; ``None`` where there was none to measure."""
+    """Percentiles of times in seconds; ``None`` without any sample."""
 
     p50: float | None
     p95: float | None
@@ -72,9 +80,12 @@
 
 
 class ClassResult(msgspec.Struct, frozen=True):
-    """One class's counts and times.
+    """Counts and latencies of one request class.
 
-    :param first_token_kept: share of all sent whose first token came in time.
+    :param first_token: time to the first token.
+    :param between_tokens: mean time between tokens of each answer.
+    :param first_token_kept: share of the sent requests whose first token arrived within
+        the class's objective.
     """
 
     counts: Counts
@@ -84,13 +95,16 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """The fleet over one step of the timeline.
+    """State of the fleet over one step of the timeline.
 
     :param at: end of the step, seconds after the start of the trace.
-    :param prompt_rate: prompt tokens that arrived, a second.
-    :param output_rate: output tokens asked for by what arrived, a second.
-    :param goodput: useful output tokens that were completed, a second.
-    :param roles: engines in each role that take work.
+    :param prompt_rate: prompt tokens of arriving requests, a second.
+    :param output_rate: output tokens that arriving requests ask for, a second.
+    :param goodput: output tokens of requests met in the step, a second.
+    :param running: requests running at engines.
+    :param queued: requests queued at sides.
+    :param roles: ready engines in each role.
+    :param changing: engines in a role change.
     """
 
     at: float
@@ -104,15 +118,21 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """One policy on one trace with one seed.
-
-    :param goodput: useful output tokens a second, over the trace's length.
-    :param oracle_share: the same as a share of the oracle bound.
-    :param engine_seconds_lost: time engines took no work because of changes.
-    :param wasted_share: share of all tokens spent that served no met request.
-    :param shed_share: share spent on what was then refused or expired.
+    """Result of one policy on one trace with one seed.
+
+    :param seconds: duration of the trace.
+    :param goodput: output tokens of met requests a second, over the trace's duration.
+    :param oracle: upper bound of the goodput; see :mod:`.oracle`.
+    :param oracle_share: goodput as a share of that bound.
+    :param counts: requests by final status.
+    :param codes: requests by result code.
+    :param engine_seconds_lost: time that engines spent in role changes.
+    :param wasted_tokens: processed tokens that served no met request.
+    :param wasted_share: the same as a share of all processed tokens.
+    :param shed_share: share of all processed tokens that was spent on requests refused
+        or late.
     :param fairness: Jain's index of the tenants' met shares.
-    :param least_tenant: met share of the tenant that fared worst.
+    :param least_tenant: lowest met share of any tenant.
     """
 
     policy: str
@@ -137,7 +157,7 @@
 
 
 def counts(logs: cabc.Sequence[RequestLog]) -> Counts:
-    """Count how requests ended."""
+    """Count requests by final status."""
     by = collections.Counter(log.verdict for log in logs)
     share = by["met"] / len(logs) if logs else 1.0
     return Counts(
@@ -152,7 +172,7 @@
 
 
 def useful_tokens(logs: cabc.Iterable[RequestLog]) -> int:
-    """Return the output tokens of requests met."""
+    """Return the output tokens of the model requests that were met."""
     return sum(
         log.request.output_tokens
         for log in logs
@@ -163,9 +183,9 @@
 def by_class(
     logs: cabc.Sequence[RequestLog], first_token: cabc.Mapping[str, float]
 ) -> dict[str, ClassResult]:
-    """Return each class's result.
+    """Return the results by request class.
 
-    :param first_token: seconds each class allows to its first token.
+    :param first_token: first-token objective of each class, seconds.
     """
     groups = _grouped(logs, lambda log: log.request.klass)
     return {
@@ -175,13 +195,13 @@
 
 
 def by_tenant(logs: cabc.Sequence[RequestLog]) -> dict[str, Counts]:
-    """Return each tenant's counts."""
+    """Return the counts by tenant."""
     groups = _grouped(logs, lambda log: log.request.tenant)
     return {name: counts(group) for name, group in groups.items()}
 
 
 def jain(shares: cabc.Sequence[float]) -> float:
-    """Return Jain's index of fairness: 1 if all are equal, 1/n if one has all."""
+    """Return Jain's fairness index: 1 if all are equal, 1/n if one has all."""
     squares = sum(s * s for s in shares)
     if squares == 0.0:
         return 1.0
@@ -189,7 +209,7 @@
 
 
 def quantiles(values: cabc.Sequence[float]) -> Quantiles:
-    """Return the usual quantiles."""
+    """Return the 50th, 95th and 99th percentile."""
     if not values:
         return Quantiles(None, None, None)
     if len(values) == 1:
--- a/src/bergamotmast/bench/oracle.py
+++ b/src/bergamotmast/bench/oracle.py
@@ -1,20 +1,21 @@
-"""An upper bound of the goodput that any scheduler could reach on a trace.
-
-The bound is the optimum of a relaxed problem, so no real schedule can beat it:
-
-* an engine takes any role at any moment without cost, and works at the best rate that
-  any role has for what it does (prefill alone, or decode with a full batch);
-* a shared prompt head is prefilled once for the whole run;
-* work may be split among engines and interrupted freely, and parts of a request count
-  for its parts;
-* every arrival, length and fault is known beforehand;
-* a request that could not be answered in time on an idle fleet counts nothing.
-
-What is left is one resource, engine-seconds, in steps of :data:`STEP_SECONDS`. Work
-must lie between a request's arrival and its deadline, both rounded outwards. For such
-windows the work that fits is a polymatroid: the work of all windows inside an interval
-may not exceed the interval's engine-seconds. Taking requests by output tokens for each
-engine-second, each as far as all intervals around it allow, is then optimal.
+"""Upper bound of the goodput that any scheduler can reach on a trace.
+
+The bound is the optimum of a relaxed problem, so that no real schedule exceeds it:
+
+* an engine changes roles instantly and at no cost, and works at the best rate that any
+  role has for the work (prefill alone, or decode with a full batch);
+* a shared prompt prefix is prefilled once in the whole run;
+* work can be split among engines and preempted freely, and a request served in part
+  counts by that part;
+* every arrival, length and fault is known in advance;
+* a request that an idle fleet could not answer by its deadline counts nothing.
+
+This leaves one resource, engine-seconds, in steps of :data:`STEP_SECONDS`. Work must
+lie between a request's arrival and its deadline, both rounded outwards. The feasible
+amounts of work for such windows form a polymatroid: the work of all windows within an
+interval may not exceed the interval's engine-seconds. The greedy algorithm is then
+optimal: take requests in descending order of output tokens per engine-second, each as
+far as all intervals that contain its window allow.
 """
 
 from __future__ import annotations
@@ -33,12 +34,17 @@
     import numpy as np
 
 STEP_SECONDS = 5.0
-"""Length of a step; longer ones only loosen the bound."""
+"""Length of a time step; longer steps loosen the bound."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outage:
-    """An engine that is away, or works at a share of its speed, for a while."""
+    """Period in which an engine is down or runs at a fraction of its speed.
+
+    :param start: seconds after the start of the trace.
+    :param end: seconds after the start of the trace.
+    :param speed: fraction of its speed that the engine keeps.
+    """
 
     engine: str
     start: float
@@ -48,9 +54,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BestRates:
-    """The best rates any role of an engine has, in tokens a second.
+    """Maximum rates of an engine over all roles, tokens a second.
 
-    :param step: shortest seconds between two tokens of one answer.
+    :param step: minimum seconds between two tokens of one answer.
     """
 
     prefill: float
@@ -59,7 +65,7 @@
 
 
 def best_rates(fleet: Fleet, upstream: UpstreamPart) -> BestRates:
-    """Return the best rates of one engine."""
+    """Return the maximum rates of an engine over all roles."""
     rates = [fleet.role_rates(upstream, role) for role in Role]
     return BestRates(
         max(r.prefill_rate for r in rates),
@@ -69,10 +75,10 @@
 
 
 def overlap(fleet: Fleet, upstream: UpstreamPart, best: BestRates) -> float:
-    """Return how much more than one kind of work at a time an engine does, at least 1.
+    """Return the engine-seconds of work that an engine can do in a second, at least 1.
 
-    A role may prefill and decode at once; measured by the best rates of each, that can
-    come to more than an engine-second a second.
+    A role can prefill and decode concurrently. Measured by the best rates of each, this
+    can exceed one engine-second a second.
     """
     both = [
         r.prefill_rate * r.prefill_share / best.prefill
@@ -83,7 +89,11 @@
 
 
 def engine_seconds(prompt: float, output: float, rates: BestRates) -> float:
-    """Return the least engine-seconds that a request takes."""
+    """Return the minimum engine-seconds of a request.
+
+    :param prompt: tokens to prefill.
+    :param output: tokens to decode.
+    """
     return prompt / rates.prefill + output / rates.decode
 
 
@@ -92,7 +102,7 @@
     fleet: Fleet,
     outages: cabc.Sequence[Outage] = (),
 ) -> float:
-    """Return the most useful output tokens of a trace."""
+    """Return the maximum output tokens of requests met on a trace."""
     engines = fleet.engines()
     model_requests = [r for r in requests if r.model]
     if not engines or not model_requests:
@@ -150,7 +160,7 @@
 def _slack(
     fleet: Fleet, end: float, outages: cabc.Sequence[Outage]
 ) -> np.ndarray[t.Any, np.dtype[np.float64]]:
-    """Return engine-seconds between the beginning of step i and that of step j."""
+    """Return the engine-seconds from the start of step i to the start of step j."""
     import numpy as np
 
     steps = math.ceil(end / STEP_SECONDS) + 1
--- a/src/bergamotmast/bench/passthrough.py
+++ b/src/bergamotmast/bench/passthrough.py
@@ -1,8 +1,8 @@
-"""A bare pass-through of HTTP, the floor that an entry and a side are compared with.
+"""Minimal HTTP reverse proxy, the baseline for the overhead of an entry and a side.
 
-It does the least that anything between a caller and an engine can do with the same
-HTTP library: one request in, the same bytes out, every part of the answer written as
-it comes. It chooses nothing, queues nothing and keeps no promise.
+It does the minimum that any process between a caller and an engine has to do with the
+same HTTP library: it forwards each request's body unchanged and writes every part of
+the response as it arrives. It has no routing, queueing, retries or deadlines.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class PassThrough:
-    """Forwards every POST to one upstream.
+    """Reverse proxy that forwards every POST to one upstream.
 
     :param url: base address of the upstream, without a path.
     """
@@ -29,7 +29,7 @@
         self.url = url
 
     def application(self) -> web.Application:
-        """Return the application."""
+        """Return the web application to serve."""
         application = web.Application()
         application.router.add_post("/{path:.*}", self._forward)
         return application
@@ -67,7 +67,7 @@
 
 
 def main() -> None:
-    """Serve until SIGTERM; the first line printed is the address."""
+    """Serve until SIGTERM; print the base URL once the socket is open."""
     parser = argparse.ArgumentParser(prog="python -m bergamotmast.bench.passthrough")
     parser.add_argument("--upstream-url", required=True, metavar="URL")
     arguments = parser.parse_args()
--- a/src/bergamotmast/bench/report.py
+++ b/src/bergamotmast/bench/report.py
@@ -1,4 +1,4 @@
-"""A page with plots of the mix, the roles, the queues and the goodput over time."""
+"""HTML report: load mix, roles, queue lengths and goodput of runs over time."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def write_report(directory: pathlib.Path, results: cabc.Sequence[RunResult]) -> None:
-    """Write ``index.html`` and one plot for each scenario, of its first seed."""
+    """Write ``index.html`` with a table, and a plot of each scenario's first seed."""
     directory.mkdir(parents=True, exist_ok=True)
     plots = []
     for scenario in dict.fromkeys(r.scenario for r in results):
--- a/src/bergamotmast/bench/run.py
+++ b/src/bergamotmast/bench/run.py
@@ -1,4 +1,4 @@
-"""One run: a trace against a fleet under one policy, in virtual time."""
+"""Simulation of one trace against a fleet under one policy, in virtual time."""
 
 from __future__ import annotations
 
@@ -27,17 +27,20 @@
 from .world import first_token_seconds
 
 SAMPLE_SECONDS = 1.0
-"""Between two looks at the fleet."""
+"""Interval between two samples of the fleet."""
 
 POINT_SECONDS = 5.0
-"""Length of a step of the timeline."""
+"""Length of a step of the result's timeline."""
 
 CALLER_PAUSE = 1.0
-"""Seconds before a caller that was given no time comes again."""
+"""Delay of a retry whose refusal gave no ``retry_after``."""
 
 
 async def run(scenario: Scenario, policy_set: PolicySet, seed: int) -> RunResult:
-    """Run a scenario and return what came of it; the loop must have virtual time."""
+    """Simulate a scenario and return its result.
+
+    Must run on an event loop with virtual time.
+    """
     async with World(scenario.fleet, policy_set, scenario.requests, seed) as world:
         watched = Run(world, scenario)
         await watched.play()
@@ -45,7 +48,7 @@
 
 
 class Run:
-    """The callers of one run and what is seen of the fleet."""
+    """Sends the requests of a scenario and samples the state of the fleet."""
 
     def __init__(self, world: World, scenario: Scenario) -> None:
         self.world = world
@@ -61,7 +64,7 @@
         return asyncio.get_running_loop().time() - self.origin
 
     async def play(self) -> None:
-        """Send every request at its time and wait for the last answer."""
+        """Send every request at its arrival time and wait for the last result."""
         helpers = [
             asyncio.create_task(self.world.play(fault, self.origin))
             for fault in self.scenario.faults
@@ -88,7 +91,10 @@
         log.ended_at = self.now()
 
     async def _send(self, log: RequestLog, name: str, turn: int) -> float | None:
-        """Send a request once; return the pause after which it is sent again."""
+        """Send a request once.
+
+        :return: seconds until it is sent again; ``None`` if it isn't retried.
+        """
         entry = self.world.entries[turn % len(self.world.entries)]
         try:
             if log.request.model:
@@ -145,7 +151,7 @@
             deadline=self.origin + request.at + request.deadline,
         )
 
-    # What is seen of the fleet
+    # Samples of the fleet
 
     async def _watch(self) -> None:
         while True:
@@ -167,10 +173,10 @@
         self.lost_seconds += changing * SAMPLE_SECONDS
         self.samples.append((self.now(), running, queued, roles, changing))
 
-    # What came of it
+    # Result
 
     def result(self, policy: str, seed: int) -> RunResult:
-        """Return the result of a run that was played."""
+        """Return the result after :meth:`replay`."""
         scenario = self.scenario
         names = tuple(e.name for e in scenario.fleet.engines())
         lost = outages(scenario.faults, names)
@@ -209,7 +215,7 @@
         return dict(sorted(found.items()))
 
     def _wasted(self) -> tuple[int, int]:
-        """Return tokens that served no met request, and all tokens spent."""
+        """Return the tokens that served no met request, and all processed tokens."""
         sides = [self.world.sides[name] for name in self.world.engines]
         spent = sum(side.done.prefill + side.done.decode for side in sides)
         served = sum(
@@ -220,7 +226,7 @@
         return max(0, spent - served), spent
 
     def _shed_tokens(self) -> int:
-        """Return tokens spent on requests that ended late or refused."""
+        """Return the tokens processed for requests that ended late or refused."""
         return sum(
             log.request.prompt_tokens + log.tokens
             for log in self.logs
@@ -266,4 +272,4 @@
 
 
 MAX_TOKENS = 4096
-"""The most tokens each caller takes: all give the same generous limit."""
+"""Output limit of every request, in tokens; the same generous one for all."""
--- a/src/bergamotmast/bench/runner.py
+++ b/src/bergamotmast/bench/runner.py
@@ -1,4 +1,4 @@
-"""Many runs: policies by seeds, in virtual time, on several processes."""
+"""Executes simulations of several policies and seeds in parallel processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """One run to make.
+    """One simulation to execute.
 
     :param trace: trace file; ``None`` for a shipped scenario.
     :param fleet: fleet file; ``None`` for the scenario's own.
@@ -38,11 +38,11 @@
 
 
 def run_job(job: Job) -> RunResult:
-    """Make one run.
+    """Execute one simulation.
 
-    The loop skips the idle turns that looptime makes before each step of time: they
-    are for files and sockets, of which there are none here, and took two thirds of a
-    run.
+    The loop runs without the idle cycles that looptime inserts before each jump of its
+    time. They only serve file and socket I/O, which a simulation has none of, and took
+    two thirds of its processor time.
     """
     scenario = load_scenario(job)
     loop = looptime.new_event_loop(noop_cycles=0)
@@ -55,7 +55,10 @@
 
 
 def run_jobs(jobs: cabc.Sequence[Job], processes: int) -> list[RunResult]:
-    """Make many runs and return their results in the order of the jobs."""
+    """Execute simulations and return their results in the order of the jobs.
+
+    :param processes: number of worker processes; 1 runs all in this process.
+    """
     if processes <= 1 or len(jobs) <= 1:
         return [run_job(job) for job in jobs]
     context = multiprocessing.get_context("spawn")
@@ -64,7 +67,7 @@
 
 
 def load_scenario(job: Job) -> Scenario:
-    """Return the scenario of a job, drawn or read from files."""
+    """Return the scenario of a job, generated or read from its files."""
     fleet = read_fleet(job.fleet) if job.fleet else None
     if job.trace is None:
         return build(job.scenario, job.seed, fleet)
--- a/src/bergamotmast/bench/scenarios.py
+++ b/src/bergamotmast/bench/scenarios.py
@@ -1,7 +1,7 @@
-"""The scenarios shipped: mixes that move, with and without faults.
+"""Built-in scenarios: request mixes that change over time, with and without faults.
 
-Loads are shares of the fleet's time as the oracle bound counts it: at 1 a scheduler
-that knows everything and changes roles for nothing could just serve all of it.
+Loads are shares of the fleet's capacity as the oracle bound counts it: at 1, a
+scheduler with full knowledge and free role changes could just serve every request.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 DEPLOYMENTS: tuple[Deployment, ...] = ("trindade", "alliance")
 
 HEAVY_SHARE = 0.7
-"""Share of the load that the heavy tenant and its prefix bring."""
+"""Share of all requests that the heavy tenant sends, with its own prefixes."""
 
 FLAP_PERIOD = 20.0
 FLAP_DOWN = 5.0
-"""Seconds between two crashes of a flapping engine, and until it is back."""
+"""Time between two crashes of a flapping engine, and from a crash to its restart."""
 
 OSCILLATION_PERIOD = 20.0
-"""Seconds of one swing to and fro that no change pays back in."""
+"""Period too short for a role change to pay off."""
 
 FOREVER = 1e9
 
@@ -49,8 +49,8 @@
 class Scenario:
     """A trace with its fleet and faults.
 
-    :param callers_retry: whether refused callers come again until their deadline.
-    :param seconds: how long requests arrive.
+    :param callers_retry: whether callers retry retryable errors until their deadline.
+    :param seconds: duration of arrivals.
     """
 
     name: str
@@ -63,7 +63,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Shape:
-    """How a scenario's load moves: levels of the short, middle and long class."""
+    """Load of a scenario over time, for any deployment.
+
+    :param seconds: duration of arrivals.
+    :param short: load of the class with short answers.
+    :param middle: load of the class with middle answers.
+    :param long: load of the class with long answers.
+    :param heavy_tenant: whether one tenant sends :data:`HEAVY_TENANT_SHARE`.
+    :param load_lag: age of load reports, seconds; ``None`` for the fleet's own.
+    :param only_deployment: the one deployment that has this scenario; ``None`` for all.
+    """
 
     seconds: float
     short: Level
@@ -77,17 +86,21 @@
 
 
 def level(value: float) -> Level:
-    """Return a level that does not move."""
+    """Return a constant load."""
     return lambda now: value
 
 
 def ramp(start: float, end: float, seconds: float) -> Level:
-    """Return a level that moves evenly."""
+    """Return a load that changes linearly and then stays at its end value."""
     return lambda now: start + (end - start) * min(1.0, now / seconds)
 
 
 def swing(middle: float, amplitude: float, period: float, phase: float = 0.0) -> Level:
-    """Return a level that swings as a sine."""
+    """Return a load that follows a sine wave.
+
+    :param period: seconds.
+    :param phase: offset as a share of the period.
+    """
     return lambda now: (
         middle + amplitude * math.sin(2.0 * math.pi * (now / period + phase))
     )
@@ -96,12 +109,19 @@
 def steps(
     base: float, high: float, windows: cabc.Sequence[tuple[float, float]]
 ) -> Level:
-    """Return a level that is high within windows of time."""
+    """Return a load that is high within time windows.
+
+    :param windows: start and end of each, seconds.
+    """
     return lambda now: high if any(a <= now < b for a, b in windows) else base
 
 
 def oscillation(low: float, high: float, period: float, late: bool) -> Level:
-    """Return a level that is high in the first or the second half of each period."""
+    """Return a square wave.
+
+    :param period: seconds.
+    :param late: whether the second half of a period is the high one.
+    """
     return lambda now: high if (now % period >= period / 2.0) is late else low
 
 
@@ -185,7 +205,7 @@
 
 
 def scenario_names() -> tuple[str, ...]:
-    """Return every scenario's name, ``deployment/shape``."""
+    """Return the names of all scenarios, as ``deployment/shape``."""
     return tuple(
         f"{place}/{shape}"
         for place in DEPLOYMENTS
@@ -195,10 +215,10 @@
 
 
 def build(name: str, seed: int, fleet: Fleet | None = None) -> Scenario:
-    """Draw a scenario.
+    """Generate a scenario with random requests.
 
-    :param fleet: takes the place of the deployment's own.
-    :raises KeyError: if there is no scenario of that name.
+    :param fleet: replaces the deployment's fleet.
+    :raises KeyError: if no scenario has that name.
     """
     place, _, shape_name = name.partition("/")
     if place not in DEPLOYMENTS or name not in scenario_names():
@@ -231,11 +251,14 @@
 
 
 SERVICE_CALLS = 2.0
-"""Calls a second of plain services that must not be repeated."""
+"""Rate of non-repeatable calls of plain services."""
 
 
 def _fleet_seconds(fleet: Fleet, profile: ClassProfile) -> float:
-    """Return the whole fleet's time for a mean request of a class."""
+    """Return the whole fleet's seconds for a mean request of a class.
+
+    Service calls aren't limited by engines: their load is in calls a second.
+    """
     if not profile.model:
         return 1.0
     engine = fleet.engines()[0]
--- a/src/bergamotmast/bench/sockets.py
+++ b/src/bergamotmast/bench/sockets.py
@@ -1,9 +1,10 @@
-"""The cost of the real thing on real sockets, measured within one run.
+"""Measure throughput per core and added latency of entry and side on real sockets.
 
-``python -m bergamotmast.bench.sockets`` starts stand-ins, sides, one entry and a bare
-pass-through as processes on loopback, calls an engine stand-in directly, through the
-pass-through and through entry and side, and prints what a core of each carries and
-what latency each path adds. Every answer is compared with the one expected.
+``python -m bergamotmast.bench.sockets`` starts stand-ins, sides, one entry and a
+minimal reverse proxy (:mod:`.passthrough`) as processes on loopback. It calls an engine
+stand-in directly, through the proxy, and through entry and side, and prints the
+throughput per core of each kind of process and the latency that each path adds. Every
+answer is compared with the expected one.
 """
 
 from __future__ import annotations
@@ -31,32 +32,34 @@
 from .sockets_report import report_of
 
 WARM_UP_SECONDS = 1.0
-"""Calls before anything counts: connections open, predictions settle."""
+"""Load before the measurement, for connections and predictions to settle."""
 
 ENGINES = 2
 
 TURNS = 3
-"""How many times the paths take turns within a stretch of load."""
+"""Rounds in which the paths are loaded in turn, within each cost measurement."""
 
 LATENCY_CALLERS = 8
 LATENCY_TOKENS = 25
-"""Light load for latency, on all paths at the same time."""
+"""Light load for the latency, on all paths concurrently."""
 
 STREAM_CALLERS = 64
 STREAM_TOKENS = 150
-"""Long answers, for the cost of a token."""
+"""Long answers, for the cost per token."""
 
 CHECK_CALLERS = 16
 CHECK_TOKENS = 1
-"""Answers of one token, for the cost of a request."""
+"""Answers of one token, for the cost per request."""
 
 
 async def measure(
     seconds: float, profile_directory: pathlib.Path | None = None
 ) -> Measured:
-    """Start the processes, measure and end them.
+    """Start the processes, measure and stop them.
 
-    :param seconds: length of each of the five stretches of load, begun calls aside.
+    :param seconds: duration of each of the five load phases; calls in flight at its end
+        are completed.
+    :param profile_directory: where processes write profiles; ``None`` for no profiling.
     """
     connector = aiohttp.TCPConnector(limit=0)
     async with (
@@ -83,7 +86,7 @@
 async def _side_by_side(
     paths: dict[str, Callers], seconds: float
 ) -> dict[str, list[Sample]]:
-    """Load all paths at the same time, so that a busy machine meets all alike."""
+    """Load all paths concurrently, so that other load of the machine affects each."""
     work = [c.run(LATENCY_CALLERS, LATENCY_TOKENS, seconds) for c in paths.values()]
     return dict(zip(paths, await asyncio.gather(*work), strict=True))
 
@@ -95,7 +98,7 @@
     tokens: int,
     seconds: float,
 ) -> dict[str, Cost]:
-    """Load the paths in turns, so that the machine's other work meets all alike."""
+    """Load the paths in turn, so that the machine's other load affects all alike."""
     costs: dict[str, Cost] = {}
     for _ in range(TURNS):
         for path, callers in paths.items():
@@ -115,12 +118,17 @@
 
 
 def main(arguments: cabc.Sequence[str] | None = None) -> None:
-    """Measure and print."""
+    """Run the measurement and print its report."""
     parser = argparse.ArgumentParser(prog="python -m bergamotmast.bench.sockets")
-    parser.add_argument("--seconds", type=float, default=4.0, help="of each stretch")
+    parser.add_argument(
+        "--seconds", type=float, default=4.0, help="duration of each phase"
+    )
     parser.add_argument("--json", action="store_true", help="print JSON, not text")
     parser.add_argument(
-        "--profile", type=pathlib.Path, metavar="DIR", help="leave profiles there"
+        "--profile",
+        type=pathlib.Path,
+        metavar="DIR",
+        help="profile all processes into a directory",
     )
     parsed = parser.parse_args(arguments)
     report = report_of(asyncio.run(measure(parsed.seconds, parsed.profile)))
--- a/src/bergamotmast/bench/sockets_client.py
+++ b/src/bergamotmast/bench/sockets_client.py
@@ -1,4 +1,4 @@
-"""Callers for the measurement on real sockets: each sends one call after the other."""
+"""Closed-loop load generator for the measurement on real sockets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class WrongAnswerError(BergamotmastError):
-    """A caller got something else than its whole answer."""
+    """A call's answer is incomplete or differs from the expected one."""
 
 
 class _Choice(msgspec.Struct):
@@ -40,10 +40,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What a caller saw of one call.
+    """Latencies of one call.
 
+    :param tokens: length of the answer.
     :param first: seconds to the first event.
-    :param gaps: seconds between events; 0 for those that came together.
+    :param gaps: seconds between consecutive events; 0 for events received together.
     """
 
     tokens: int
@@ -52,7 +53,7 @@
 
 
 class Caller(t.Protocol):
-    """Knows the path and body of a call at one kind of target."""
+    """Format of the requests that one kind of target accepts."""
 
     def body(self, number: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
@@ -60,7 +61,7 @@
 
 
 class EngineCaller:
-    """Calls an engine, or a pass-through before one."""
+    """Requests of an engine, or of a pass-through before one."""
 
     def body(self, number: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
@@ -76,7 +77,7 @@
 
 
 class EntryCaller:
-    """Calls an entry."""
+    """Requests of an entry."""
 
     def body(self, number: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
@@ -85,9 +86,9 @@
 
 
 class Callers:
-    """Callers of one target that share a session.
+    """Concurrent callers of one target that share an HTTP session.
 
-    :param caller: what a call of the target looks like.
+    :param caller: format of the target's requests.
     :param url: base address of the target.
     """
 
@@ -101,9 +102,11 @@
         self.url = url + "/v1/completions"
 
     async def run(self, callers: int, tokens: int, seconds: float) -> list[Sample]:
-        """Call for a while, each caller one call at a time, and end the last calls.
+        """Run callers that each make one call after the other.
 
+        :param callers: number of concurrent callers.
         :param tokens: length of each answer.
+        :param seconds: time in which new calls begin; calls in flight are completed.
         """
         until = asyncio.get_running_loop().time() + seconds
         work = (self._repeat(tokens, until) for _ in range(callers))
@@ -118,7 +121,7 @@
     async def call(self, tokens: int) -> Sample:
         """Make one call.
 
-        :raises WrongAnswerError: if the answer is not the whole one.
+        :raises UnexpectedAnswerError: if the answer is incomplete or differs.
         """
         number = f"n{next(self._numbers)}"
         head = f"[out={tokens}] {number} "
@@ -138,26 +141,27 @@
                 parts.append(part)
                 times += [loop.time()] * part.count(_EVENT)
         if answer_text(b"".join(parts)) != expected_text(MODEL, prompt, tokens):
-            raise WrongAnswerError(f"call {number} of {self.url} got another answer")
+            raise WrongAnswerError(f"call {number} of {self.url}: unexpected text")
         return sample(tokens, times)
 
 
 def answer_text(stream: bytes) -> str:
-    """Return the text of a whole stream of events.
+    """Return the text of a complete stream of server-sent events.
 
-    :raises WrongAnswerError: if it has not ended as it should.
+    :raises UnexpectedAnswerError: if the end-of-stream event is missing.
     """
     if not stream.endswith(_END):
-        raise WrongAnswerError(f"a stream ended with {stream[-200:]!r}")
+        raise WrongAnswerError(f"stream without its final event: {stream[-200:]!r}")
     events = stream.removesuffix(_END).split(b"\n\n")
     decoded = (_DECODER.decode(event.removeprefix(_EVENT)) for event in events)
     return "".join(event.choices[0].text for event in decoded)
 
 
 def sample(tokens: int, times: list[float]) -> Sample:
-    """Return what a caller saw.
+    """Return the latencies of a call.
 
-    :param times: when the call was sent, then of each event, the end's included.
+    :param times: when the call was sent, then when each event arrived, the final event
+        included, which carries no token.
     """
     events = times[1:-1]
     gaps = tuple(b - a for a, b in itertools.pairwise(events))
--- a/src/bergamotmast/bench/sockets_fleet.py
+++ b/src/bergamotmast/bench/sockets_fleet.py
@@ -1,6 +1,6 @@
-"""The processes that the measurement on real sockets starts, all on loopback.
+"""Processes that the measurement on real sockets starts, all on loopback.
 
-Nothing of the product starts a process; this tool does, as an operator's shell would.
+The product itself never starts processes; this tool does, in place of an operator.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 ZONE = "zone-a"
 
 START_TIMEOUT = 30.0
-"""Seconds until a process must be ready."""
+"""Time within which a process must be ready."""
 
 STOP_TIMEOUT = 10.0
-"""Seconds after which a process that was told to end is killed."""
+"""Time after SIGTERM at which a process is killed."""
 
 ANSWER_SECONDS = 60.0
-"""Deadline of the one class of requests: nothing is refused for time."""
+"""Deadline of all requests; long enough that none is refused because of it."""
 
 STEP_SECONDS = 0.01
-"""Seconds between two tokens of an engine stand-in, with any batch."""
+"""Time between two tokens of an engine stand-in, for any batch size."""
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _USER_FIELD = 11
-"""Position of ``utime`` after the command's name in ``/proc/<pid>/stat``."""
+"""Index of ``utime`` after the command name in ``/proc/<pid>/stat``."""
 
 RATES = RoleRates(
     prefill_rate=1e6,
@@ -58,18 +58,18 @@
     interference=1.0,
     max_streams=1024,
 )
-"""An engine that is never the bottleneck by its own rates."""
+"""Rates high enough that the simulated engine is never the bottleneck."""
 
 
 def cpu_seconds(stat: str) -> float:
-    """Return user and system time of a process from its ``/proc/<pid>/stat``."""
+    """Return the user and system time in the text of a ``/proc/<pid>/stat``."""
     fields = stat.rpartition(")")[2].split()
     ticks = int(fields[_USER_FIELD]) + int(fields[_USER_FIELD + 1])
     return ticks / TICKS_PER_SECOND
 
 
 def free_address() -> str:
-    """Return an address on loopback that nothing listens on now."""
+    """Return a loopback address with a free port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
@@ -78,7 +78,7 @@
 class SocketsFleet:
     """Processes by name: stand-ins, sides, one entry and one pass-through.
 
-    :param profile_directory: where each of ours leaves its profile, or ``None``.
+    :param profile_directory: where each process writes its profile, or ``None``.
     """
 
     def __init__(self, profile_directory: pathlib.Path | None = None) -> None:
@@ -88,7 +88,7 @@
         self.engines: list[str] = []
 
     async def start(self, engines: int) -> None:
-        """Start everything and return when the entry has a session with each side."""
+        """Start all processes; return once the entry has a session with every side."""
         self.engines = [f"engine-{i + 1}" for i in range(engines)]
         await asyncio.gather(
             self._start_standin("key-value", "key-value", {}),
@@ -192,7 +192,7 @@
                     await asyncio.sleep(0.1)
 
     async def _launch(self, name: str, module: str, arguments: tuple[str, ...]) -> str:
-        """Start a process and return the first line it prints, when it is ready."""
+        """Start a process and return the line that it prints once it is ready."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             *self._profiler(name),
@@ -206,7 +206,7 @@
         async with asyncio.timeout(START_TIMEOUT):
             line = await process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{name} ended before it was ready")
+            raise RuntimeError(f"process {name} exited before it was ready")
         return line.decode().strip()
 
     def _profiler(self, name: str) -> tuple[str, ...]:
@@ -223,7 +223,7 @@
         }
 
     async def close(self) -> None:
-        """End every process that was started."""
+        """Stop all processes, in the reverse order of their start."""
         for name in reversed(list(self.processes)):
             process = self.processes.pop(name)
             with contextlib.suppress(ProcessLookupError):
@@ -240,7 +240,7 @@
 async def sockets_fleet(
     engines: int, profile_directory: pathlib.Path | None = None
 ) -> t.AsyncIterator[SocketsFleet]:
-    """Run the processes until the body ends."""
+    """Run the processes while the context is open."""
     fleet = SocketsFleet(profile_directory)
     try:
         await fleet.start(engines)
--- a/src/bergamotmast/bench/sockets_report.py
+++ b/src/bergamotmast/bench/sockets_report.py
@@ -1,4 +1,4 @@
-"""What the measurement on real sockets gives: figures, and how they are shown."""
+"""Results of the measurement on real sockets and their text report."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What one stretch of load cost the processes that carried it.
+    """Processor time that a load phase cost.
 
+    :param requests: requests completed.
+    :param tokens: tokens received.
+    :param seconds: duration of the phase.
     :param cpu: processor seconds by process.
     """
 
@@ -24,7 +27,7 @@
     cpu: dict[str, float]
 
     def plus(self, other: Cost) -> Cost:
-        """Return the cost of two stretches of the same load."""
+        """Return the sum of two phases of the same load."""
         return Cost(
             self.requests + other.requests,
             self.tokens + other.tokens,
@@ -33,21 +36,21 @@
         )
 
     def core_seconds(self, prefix: str) -> float:
-        """Return the processor seconds of all processes of one kind."""
+        """Return the processor seconds of all processes whose name has a prefix."""
         return sum(c for name, c in self.cpu.items() if name.startswith(prefix))
 
     def requests_per_core(self, prefix: str) -> float:
-        """Return requests for each core second of one kind of process."""
+        """Return the requests per core second of one kind of process."""
         return self.requests / max(self.core_seconds(prefix), 1e-9)
 
     def tokens_per_core(self, prefix: str) -> float:
-        """Return tokens for each core second of one kind of process."""
+        """Return the tokens per core second of one kind of process."""
         return self.tokens / max(self.core_seconds(prefix), 1e-9)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Latency:
-    """What callers waited, in seconds."""
+    """Percentiles of the time to the first event and between events, in seconds."""
 
     first_p50: float
     first_p95: float
@@ -55,7 +58,7 @@
     between_p95: float
 
     def minus(self, floor: Latency) -> Latency:
-        """Return what is added to another path's latency."""
+        """Return the difference of each percentile from another path's."""
         return Latency(
             self.first_p50 - floor.first_p50,
             self.first_p95 - floor.first_p95,
@@ -65,7 +68,7 @@
 
 
 def latency_of(samples: cabc.Sequence[Sample]) -> Latency:
-    """Return the latency that callers saw."""
+    """Return the latency percentiles of calls."""
     firsts = [s.first for s in samples]
     gaps = [gap for s in samples for gap in s.gaps]
     return Latency(
@@ -82,18 +85,23 @@
     before: dict[str, float],
     after: dict[str, float],
 ) -> Cost:
-    """Return what a stretch cost, from processor times before and after it."""
+    """Return the cost of a load phase.
+
+    :param seconds: duration of the phase.
+    :param before: processor seconds by process at its start.
+    :param after: processor seconds by process at its end.
+    """
     cpu = {name: after[name] - before[name] for name in before}
     return Cost(len(samples), sum(s.tokens for s in samples), seconds, cpu)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Measured:
-    """One run.
+    """Measured values of one run.
 
-    :param latency: by path: ``engine``, ``passthrough`` and ``entry``.
-    :param streams: cost of long answers, by path.
-    :param checks: cost of answers of one token, by path.
+    :param latency: latency by path: ``engine``, ``passthrough`` and ``entry``.
+    :param streams: cost of long answers by path.
+    :param checks: cost of one-token answers by path.
     """
 
     latency: dict[str, Latency]
@@ -103,7 +111,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PerCore:
-    """What a core of one kind of process carries, and as a share of the floor."""
+    """Throughput per core second of one kind of process.
+
+    :param tokens: tokens of long answers.
+    :param requests: requests with one-token answers.
+    :param tokens_share: ``tokens`` as a share of the pass-through's.
+    :param requests_share: ``requests`` as a share of the pass-through's.
+    """
 
     tokens: float
     requests: float
@@ -113,11 +127,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """The figures of one run.
+    """Report of one run.
 
-    :param per_core: by kind of process: ``passthrough``, ``entry`` and ``side``.
-    :param added_to_engine: latency added to that of the engine called directly.
-    :param added_to_floor: latency added to that of the pass-through.
+    :param per_core: throughput by kind of process: ``passthrough``, ``entry`` and
+        ``side``.
+    :param added_to_engine: latency added to that of direct calls, by path.
+    :param added_to_floor: latency that the entry adds to that of the pass-through.
     """
 
     measured: Measured
@@ -127,7 +142,7 @@
 
 
 def report_of(measured: Measured) -> Report:
-    """Work out the figures of a run."""
+    """Return the report of a run."""
     latency = measured.latency
     floor = latency["engine"]
     return Report(
@@ -152,7 +167,7 @@
 
 
 def as_text(report: Report) -> str:
-    """Return the figures for a person to read."""
+    """Return the report as a text table."""
     lines = ["a core second of       tokens  of floor  requests  of floor"]
     for kind, core in report.per_core.items():
         lines.append(
--- a/src/bergamotmast/bench/summary.py
+++ b/src/bergamotmast/bench/summary.py
@@ -1,4 +1,4 @@
-"""Medians over seeds, and the comparison of policies within one run."""
+"""Summary of results by scenario and policy, as medians over seeds."""
 
 from __future__ import annotations
 
@@ -12,10 +12,12 @@
 
 
 class PolicySummary(msgspec.Struct, frozen=True):
-    """One policy on one scenario, medians over its seeds.
+    """Results of one policy on one scenario, as medians over its seeds.
 
-    :param role_changes: median; ``most_role_changes`` is the highest of any seed.
-    :param kept: share of requests of each class whose first token came in time.
+    :param seeds: number of seeds.
+    :param most_role_changes: maximum over the seeds.
+    :param kept: share of requests of each class whose first token arrived within the
+        class's objective.
     """
 
     scenario: str
@@ -35,7 +37,7 @@
 
 
 def summarise(results: cabc.Sequence[RunResult]) -> list[PolicySummary]:
-    """Return one summary for each scenario and policy, in the order met."""
+    """Return a summary of each scenario and policy, in order of first appearance."""
     groups: dict[tuple[str, str], list[RunResult]] = {}
     for result in results:
         groups.setdefault((result.scenario, result.policy), []).append(result)
@@ -71,7 +73,7 @@
 
 
 def table(summaries: cabc.Sequence[PolicySummary]) -> str:
-    """Return the summaries as a table for a person."""
+    """Return the summaries as a text table."""
     head = (
         f"{'scenario':28} {'policy':18} {'goodput':>8} {'oracle':>7} {'met':>6} "
         f"{'changes':>7} {'lost s':>7} {'wasted':>7} {'shed':>6} {'least':>6}  kept"
--- a/src/bergamotmast/bench/trace.py
+++ b/src/bergamotmast/bench/trace.py
@@ -1,4 +1,4 @@
-"""Traces: requests with their arrival times, one JSON object a line."""
+"""Trace files: requests with arrival times, as JSON lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TraceError(BergamotmastError):
-    """A trace or fleet file can't be used."""
+    """A trace or fleet file can't be read or is invalid."""
 
     exit_code = 2
 
@@ -19,14 +19,14 @@
 class TraceRequest(
     msgspec.Struct, frozen=True, kw_only=True, rename={"klass": "class"}
 ):
-    """One request of a trace; fields that are not known are ignored.
+    """One request of a trace; unknown fields are ignored.
 
     :param at: arrival, seconds after the start of the trace.
     :param klass: request class, ``class`` in the file.
     :param model: model name; empty for a call of a plain service.
-    :param output_tokens: length of the whole answer, unknown to the system.
-    :param prefix: name of the shared head of the prompt, if any.
-    :param repeatable: whether the call may run more than once.
+    :param output_tokens: length of the whole answer, which the system can't see.
+    :param prefix: name of the prompt's shared prefix, if any.
+    :param repeatable: whether the call may be executed more than once.
     :param deadline: seconds after arrival.
     """
 
@@ -42,9 +42,9 @@
 
 
 def read_trace(path: pathlib.Path) -> tuple[TraceRequest, ...]:
-    """Read a trace, ordered by arrival.
+    """Read a trace and sort it by arrival.
 
-    :raises TraceError: naming the line that is no request.
+    :raises TraceError: naming the first invalid line.
     """
     decoder = msgspec.json.Decoder(TraceRequest)
     requests = []
--- a/src/bergamotmast/bench/workload.py
+++ b/src/bergamotmast/bench/workload.py
@@ -1,4 +1,4 @@
-"""Requests drawn from a mix of classes that moves over time."""
+"""Generator of random requests from a class mix that changes over time."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassProfile:
-    """What requests of a class look like.
+    """Distribution of the requests of a class; lengths are log-normal.
 
     :param prompt: median prompt length in tokens.
     :param output: median answer length in tokens.
-    :param spread: sigma of the logarithm of both; 0 for always the median.
+    :param spread: sigma of the logarithm of both lengths; 0 for constant lengths.
     :param deadline: seconds after arrival.
-    :param prefixes: how many shared prompt heads the class has, for each tenant.
+    :param prefixes: number of shared prompt prefixes of each tenant; 0 for none.
+    :param model: model name; empty for a plain service.
+    :param repeatable: whether a call may be executed more than once.
     """
 
     name: str
@@ -46,24 +48,25 @@
         ClassProfile("call-sheet", 4000, 1200, 0.4, 150.0, prefixes=1),
     ),
 }
-"""Short, middle and long class of each deployment, in that order."""
+"""Classes with short, middle and long answers of each deployment, in that order."""
 
 SERVICE_PROFILES: dict[str, ClassProfile] = {
     "trindade": ClassProfile("order", 1, 1, 0.0, 5.0, model="", repeatable=False),
     "alliance": ClassProfile("push", 1, 1, 0.0, 5.0, model="", repeatable=False),
 }
-"""Calls of plain services that must not be repeated."""
+"""Non-repeatable calls of plain services."""
 
 TENANTS = {"trindade": 12, "alliance": 8}
-"""Tenants of each deployment."""
+"""Number of tenants of each deployment."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Flow:
-    """Requests of one class, as share of the fleet's time.
+    """Arrivals of one class.
 
-    :param level: share of the fleet's time that the class asks for, at a time.
-    :param tenants: chances of each tenant, in any unit.
+    :param load: offered load as a share of the fleet's capacity, at seconds after the
+        start.
+    :param tenants: relative probability of each tenant.
     """
 
     profile: ClassProfile
@@ -72,7 +75,7 @@
 
 
 def even_tenants(deployment: str) -> tuple[float, ...]:
-    """Return chances that fall slowly from tenant to tenant."""
+    """Return relative probabilities that fall slowly from tenant to tenant."""
     return tuple(1.0 / (1.0 + 0.15 * i) for i in range(TENANTS[deployment]))
 
 
@@ -82,9 +85,10 @@
     fleet_seconds: cabc.Callable[[ClassProfile], float],
     rng: random.Random,
 ) -> tuple[TraceRequest, ...]:
-    """Draw a trace of so many seconds.
+    """Generate a trace.
 
-    :param fleet_seconds: the whole fleet's time for a mean request of a class.
+    :param seconds: duration of the trace.
+    :param fleet_seconds: the whole fleet's seconds for a mean request of a class.
     """
     requests: list[TraceRequest] = []
     for flow in flows:
@@ -95,7 +99,7 @@
 def _draw_flow(
     flow: Flow, seconds: float, fleet_seconds: float, rng: random.Random
 ) -> list[TraceRequest]:
-    """Draw arrivals of a Poisson process whose rate follows the flow's level."""
+    """Generate Poisson arrivals whose rate follows the flow's load, by thinning."""
     requests: list[TraceRequest] = []
     now = 0.0
     peak = max(flow.level(seconds * i / 200.0) for i in range(201)) / fleet_seconds
--- a/src/bergamotmast/bench/world.py
+++ b/src/bergamotmast/bench/world.py
@@ -1,7 +1,7 @@
-"""One whole deployment in one process: real entries, sides and planner.
+"""Simulated deployment in one process: real entries, sides and planner.
 
-Only what lies behind the ports is a stand-in: engines, plain services, the instance
-list, the key-value service and the network between the processes.
+Only what lies behind the ports is simulated: engines, plain services, the instance
+list, the key-value service and the network between processes.
 """
 
 from __future__ import annotations
@@ -51,29 +51,29 @@
 from .trace import TraceRequest
 
 ROUTE = "calls"
-"""The one route of plain services."""
+"""Name of the only route of plain services."""
 
 SETTLE_SECONDS = 20.0
-"""Time before the trace begins, in which sessions open and the planner starts."""
+"""Time before the trace starts, in which sessions open and the planner starts."""
 
 KIND_LABEL = "bench-kind"
-"""Label by which the generated selectors tell engines from plain services."""
+"""Label by which the generated selectors distinguish engines and plain services."""
 
 DEFAULT_MODEL = "model"
 
 
 class FakeInstanceList:
-    """The platform's list, with withdrawals on demand."""
+    """Instance list of the platform that can mark upstreams as leaving."""
 
     def __init__(self, instances: list[InstanceInfo]) -> None:
         self.listed = {info.name: info for info in instances}
 
     async def instances(self) -> tuple[InstanceInfo, ...]:
-        """Return the list."""
+        """Return all instances."""
         return tuple(self.listed.values())
 
     def withdraw(self, name: str) -> None:
-        """Say that an upstream is leaving."""
+        """Mark an upstream as leaving."""
         info = self.listed[name]
         self.listed[name] = InstanceInfo(
             info.name,
@@ -86,7 +86,7 @@
 
 
 class FakePlainService:
-    """A plain service that takes a while, with so many calls at once."""
+    """Plain service with a constant service time and limited concurrency."""
 
     def __init__(self, part: UpstreamPart) -> None:
         self.seconds = part.call_seconds
@@ -94,7 +94,7 @@
         self.calls = 0
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
-        """Run one call."""
+        """Execute one call once a slot is free."""
         async with self.places:
             self.calls += 1
             await asyncio.sleep(self.seconds)
@@ -102,22 +102,22 @@
 
 
 class EntryView:
-    """What the planner sees of the fleet: the sessions of the entry it runs in."""
+    """The planner's view of the fleet, from the sessions of the entry it runs in."""
 
     def __init__(self, entry: EntryCore) -> None:
         self.entry = entry
 
     def instances(self) -> list[InstanceInfo]:
-        """Return the instances as last listed."""
+        """Return the instances of the last instance list."""
         return list(self.entry.membership.infos.values())
 
     def leaving(self) -> frozenset[str]:
-        """Return the upstreams that any signal says are leaving."""
+        """Return the upstreams that any source marks as leaving."""
         membership = self.entry.membership
         return frozenset(n for n in membership.infos if membership.is_leaving(n))
 
     def last_report(self, upstream: str) -> TimedReport | None:
-        """Return a side's last word."""
+        """Return the last report of a side, with the time of its receipt."""
         peer = self.entry.membership.peers.get(upstream)
         if peer is None or peer.report is None:
             return None
@@ -125,10 +125,10 @@
 
 
 class NoClaims:
-    """No call of a trace has a caller's key, so nothing is ever claimed."""
+    """Claim service that refuses all claims; calls of a trace carry no key."""
 
     async def claim(self, key: str, digest: bytes) -> ServiceAnswer | None:
-        """Refuse."""
+        """Refuse the claim."""
         raise RequestError(ResultCode.CLAIM_UNAVAILABLE)
 
     async def complete(self, key: str, answer: ServiceAnswer) -> None:
@@ -139,10 +139,12 @@
 
 
 class World:
-    """A deployment that runs while its context is open.
+    """Simulated deployment that runs while its context is open.
 
-    :param fleet: its upstreams and entries.
-    :param policy_set: the decisions of all its processes.
+    :param fleet: upstreams and entries.
+    :param policy_set: policies of all processes.
+    :param requests: trace for which the configuration is made.
+    :param seed: seed of all random sources.
     """
 
     def __init__(
@@ -190,7 +192,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def rng(self, purpose: str) -> random.Random:
-        """Return a random source of its own for each purpose."""
+        """Return a random source that is independent for each purpose."""
         return random.Random(f"{self.seed} {purpose}")
 
     def _spawn(self, coroutine: t.Coroutine[t.Any, t.Any, None]) -> None:
@@ -274,7 +276,10 @@
     # Faults
 
     async def play(self, fault: Fault, origin: float) -> None:
-        """Bring a fault about at its time and end it at its end."""
+        """Inject a fault at its start and undo it at its end.
+
+        :param origin: loop time at the start of the trace.
+        """
         loop = asyncio.get_running_loop()
         await asyncio.sleep(origin + fault.start - loop.time())
         self._begin(fault)
@@ -317,14 +322,14 @@
 
 
 def instance_info(part: UpstreamPart) -> InstanceInfo:
-    """Return an upstream as the instance list names it."""
+    """Return an upstream's record in the instance list."""
     return InstanceInfo(part.name, part.kind, part.zone, part.name, f"mem:{part.name}")
 
 
 def configuration_for(
     fleet: Fleet, requests: tuple[TraceRequest, ...]
 ) -> Configuration:
-    """Return a configuration in which every request of a trace has a place."""
+    """Return a configuration with the models, tenants and classes of a trace."""
     names = sorted({r.model for r in requests if r.model}) or [DEFAULT_MODEL]
     models = sorted({name.partition(":")[0] for name in names})
     adapters = sorted({a for a in (n.partition(":")[2] for n in names) if a})
@@ -359,7 +364,7 @@
 
 
 def carried(configuration: Configuration) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Return the models and adapters of the engines' group."""
+    """Return the models and adapters that the engines serve."""
     selector = configuration.selectors[0]
     return selector.models, selector.adapters
 
@@ -367,7 +372,7 @@
 def classes_for(
     fleet: Fleet, requests: tuple[TraceRequest, ...]
 ) -> dict[str, RequestClass]:
-    """Return the fleet's classes, and one by its deadlines for each other class."""
+    """Return the fleet's classes; other classes get objectives from their deadlines."""
     longest: dict[str, float] = {}
     for request in requests:
         longest[request.klass] = max(longest.get(request.klass, 0.0), request.deadline)
@@ -382,7 +387,7 @@
 
 INTERACTIVE_SECONDS = 10.0
 STANDARD_SECONDS = 60.0
-"""Longest deadlines of the two upper priorities, for classes without a definition."""
+"""Maximum deadlines of the two higher priorities, for classes the fleet omits."""
 
 
 def _priority(deadline: float) -> Priority:
@@ -392,5 +397,5 @@
 
 
 def first_token_seconds(configuration: Configuration) -> dict[str, float]:
-    """Return the seconds each class allows to its first token."""
+    """Return the first-token objective of each class, in seconds."""
     return {name: c.first_token for name, c in configuration.classes.items()}
