--- a/bench/engine_front.py
+++ b/bench/engine_frontend.py
@@ -71,11 +71,11 @@
     )
     assert process.stdout is not None
     url = (await process.stdout.readline()).decode().strip()
-    before = _seconds_used(process.pid)
+    before = _cpu_seconds(process.pid)
     started = time.monotonic()
     counts = await _drive(url, arguments)
     elapsed = time.monotonic() - started
-    used = _seconds_used(process.pid) - before
+    used = _cpu_seconds(process.pid) - before
     process.terminate()
     await process.wait()
     own = resource.getrusage(resource.RUSAGE_SELF)
@@ -100,7 +100,7 @@
     async with client_session() as session:
         engine = HttpEngine(session, url)
 
-        async def keep_one_open(worker: int) -> None:
+        async def run_worker(worker: int) -> None:
             while loop.time() < until:
                 counts["requests"] += 1
                 request = GenerateRequest(
@@ -116,11 +116,11 @@
 
         async with asyncio.TaskGroup() as group:
             for worker in range(arguments.streams):
-                group.create_task(keep_one_open(worker))
+                group.create_task(run_worker(worker))
     return counts
 
 
-def _seconds_used(pid: int) -> float:
+def _cpu_seconds(pid: int) -> float:
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/bench/play_days.py
+++ b/bench/play_days.py
@@ -24,13 +24,13 @@
 import tomllib
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-SWITCHES = "BERGAMOTMAST_SWITCHED_OFF"
-NOT_COPIED = shutil.ignore_patterns(
+SWITCHED_OFF_VARIABLE = "BERGAMOTMAST_SWITCHED_OFF"
+COPY_IGNORE = shutil.ignore_patterns(
     ".git", ".venv", "target", "journal", "__pycache__", ".*_cache", ".hypothesis"
 )
 
 
-def bring_journal_home(copy: pathlib.Path) -> None:
+def copy_journal_entries(copy: pathlib.Path) -> None:
     """Copy the journal entries that runs left in a copy to this checkout."""
     for entry in (copy / "journal").glob("*.json"):
         shutil.copy(entry, ROOT / "journal" / entry.name)
@@ -45,14 +45,14 @@
 
     name: str
     tree: pathlib.Path
-    off: str
+    switched_off: str
 
     @classmethod
     def read(cls, text: str) -> Variant:
         """Parse ``NAME=TREE[:DECISION,...]``."""
         name, _, rest = text.partition("=")
-        tree, _, off = rest.partition(":")
-        return cls(name, pathlib.Path(tree).resolve(), off)
+        tree, _, switched_off = rest.partition(":")
+        return cls(name, pathlib.Path(tree).resolve(), switched_off)
 
     def copy_to(self, folder: pathlib.Path) -> pathlib.Path:
         """Create a copy of the checkout in which the benchmark can run.
@@ -60,21 +60,24 @@
         The benchmark needs a Git repository, so the copy becomes a new one.
         """
         copy = folder / self.name
-        bring_journal_home(copy)
+        copy_journal_entries(copy)
         shutil.rmtree(copy, ignore_errors=True)
-        shutil.copytree(self.tree, copy, ignore=NOT_COPIED, symlinks=True)
+        shutil.copytree(self.tree, copy, ignore=COPY_IGNORE, symlinks=True)
         if (self.tree / "target" / "deps").exists():
             shutil.copytree(self.tree / "target" / "deps", copy / "target" / "deps")
-        if self.off:
+        if self.switched_off:
             deploy = copy / "deploy" / "system.toml"
-            deploy.write_text(deploy.read_text() + f'{SWITCHES} = "{self.off}"\n')
+            deploy.write_text(
+                deploy.read_text()
+                + f'{SWITCHED_OFF_VARIABLE} = "{self.switched_off}"\n'
+            )
         for command in ("git init -q", "git add -A", "git commit -qm trial"):
             subprocess.run(command.split(), cwd=copy, check=True)
         return copy
 
 
 @dataclasses.dataclass(frozen=True)
-class Play:
+class DayRun:
     """The benchmark's report on one day with one seed, served by one variant."""
 
     variant: str
@@ -83,7 +86,7 @@
     seed: int
     report: dict
 
-    def prices(self, name: str) -> float:
+    def deduction(self, name: str) -> float:
         """Return what the benchmark deducts from the score under a name."""
         return sum(row[2] for row in self.report["prices"] if row[0] == name)
 
@@ -93,12 +96,12 @@
     return [day["name"] for day in tomllib.loads(site.read_text())["day"]]
 
 
-def play(
+def run_day(
     bench: str,
     copies: dict[str, pathlib.Path],
     job: tuple[str, pathlib.Path, str, int],
     options: argparse.Namespace,
-) -> Play | None:
+) -> DayRun | None:
     """Run one day of the benchmark.
 
     :param copies: checkout of each variant.
@@ -122,14 +125,14 @@
     done = subprocess.run(
         command, cwd=copy, capture_output=True, text=True, check=False
     )
-    bring_journal_home(copy)
+    copy_journal_entries(copy)
     if not report.exists():
         print(name, day, seed, done.stdout[-600:], done.stderr[-300:], file=sys.stderr)
         return None
-    return Play(name, site.stem, day, seed, json.loads(report.read_text()))
+    return DayRun(name, site.stem, day, seed, json.loads(report.read_text()))
 
 
-def summary(plays: list[Play]) -> str:
+def summary(plays: list[DayRun]) -> str:
     """Return a one-line summary of runs of one variant."""
     worth = [p.report["G"] for p in plays]
     cells = [f"worth {statistics.median(worth):.3f} (mean {statistics.mean(worth):.3f}"]
@@ -139,8 +142,10 @@
     for weight, part in enumerate(plays[0].report["parts"]):
         values = [p.report["parts"][weight][2] for p in plays]
         cells.append(f"{part[0]} {statistics.mean(values):.3f}")
-    prices = {row[0]: 0.0 for row in plays[0].report["prices"]}
-    means = {name: statistics.mean(p.prices(name) for p in plays) for name in prices}
+    deduction = {row[0]: 0.0 for row in plays[0].report["prices"]}
+    means = {
+        name: statistics.mean(p.deduction(name) for p in plays) for name in deduction
+    }
     dearest = sorted(means.items(), key=lambda item: -item[1])[:4]
     cells.append(f"prices {sum(means.values()):.3f}")
     cells += [f"{name[:32]} {value:.4f}" for name, value in dearest]
@@ -157,7 +162,7 @@
     return "; ".join(cells)
 
 
-def difference(plays: list[Play], first: list[Play]) -> str:
+def difference(plays: list[DayRun], first: list[DayRun]) -> str:
     """Return the mean score difference from the first variant on the same days."""
     before = {(p.day, p.seed): p.report["G"] for p in first}
     pairs = [(p.report["G"], before.get((p.day, p.seed))) for p in plays]
@@ -202,7 +207,9 @@
         for variant in options.variant
     ]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        results = pool.map(lambda job: play(options.bench, copies, job, options), jobs)
+        results = pool.map(
+            lambda job: run_day(options.bench, copies, job, options), jobs
+        )
         plays = [result for result in results if result is not None]
     for site in options.site:
         print(f"== {site.stem}")
--- a/spec/check.py
+++ b/spec/check.py
@@ -21,11 +21,17 @@
 import time
 
 DIRECTORY = pathlib.Path(__file__).resolve().parent
-MEMORY_MEGABYTES = 1024
-DEPTH = 100_000
-SECONDS = 60.0
-COMPILE = ("gcc", "-w", "-DSAFETY", "-DCOLLAPSE", f"-DMEMLIM={MEMORY_MEGABYTES}")
-AT_ONCE = 4
+MAX_MEMORY_MEGABYTES = 1024
+MAX_SEARCH_DEPTH = 100_000
+TIMEOUT_SECONDS = 60.0
+COMPILE_COMMAND = (
+    "gcc",
+    "-w",
+    "-DSAFETY",
+    "-DCOLLAPSE",
+    f"-DMEMLIM={MAX_MEMORY_MEGABYTES}",
+)
+MAX_CONCURRENT_CHECKS = 4
 
 _CONDITIONAL = re.compile(r"^#ifn?def (\w+)|defined\((\w+)\)", re.MULTILINE)
 _ERRORS = re.compile(r"errors: (\d+)")
@@ -48,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
+class CheckResult:
     """Result of the model checker on one case.
 
     :param complete: whether every reachable state was visited, or a violation found.
@@ -59,18 +65,18 @@
 
     case: Case
     complete: bool
-    broken: str
+    violated: str
     states: int
     seconds: float
 
     @property
     def as_expected(self) -> bool:
         """Whether an unmodified specification held, or a mutant was rejected."""
-        return self.complete and bool(self.broken) is bool(self.case.flag)
+        return self.complete and bool(self.violated) is bool(self.case.flag)
 
     def __str__(self) -> str:
         word = "as expected" if self.as_expected else "WRONG"
-        found = f"rejected: {self.broken}" if self.broken else "holds"
+        found = f"rejected: {self.violated}" if self.violated else "holds"
         count = f"{self.states:>8} states {self.seconds:5.1f} s"
         return f"{self.case!s:36} {word:11} {count}  {found}"
 
@@ -88,7 +94,7 @@
     return [Case(name, flag) for name in names for flag in ["", *flags(name)]]
 
 
-def run(case: Case) -> Verdict:
+def run(case: Case) -> CheckResult:
     """Check one case in a temporary directory.
 
     :raises subprocess.CalledProcessError: if Spin or the compiler reports an error.
@@ -102,8 +108,8 @@
     options = ["-O0", "-DBFS"] if case.flag else ["-O2"]
     with tempfile.TemporaryDirectory() as directory:
         _call(["spin", "-a", *define, os.fspath(source)], directory)
-        _call([*COMPILE, *options, "-o", "pan", "pan.c"], directory)
-        output = _call(["./pan", f"-m{DEPTH}", "-n"], directory)
+        _call([*COMPILE_COMMAND, *options, "-o", "pan", "pan.c"], directory)
+        output = _call(["./pan", f"-m{MAX_SEARCH_DEPTH}", "-n"], directory)
     return _verdict(case, output, time.monotonic() - begin)
 
 
@@ -114,19 +120,19 @@
         check=True,
         capture_output=True,
         text=True,
-        timeout=SECONDS,
+        timeout=TIMEOUT_SECONDS,
     ).stdout
 
 
-def _verdict(case: Case, output: str, seconds: float) -> Verdict:
+def _verdict(case: Case, output: str, seconds: float) -> CheckResult:
     errors = _ERRORS.search(output)
     states = _STATES.search(output)
-    broken = _PROPERTY.search(output)
+    violated = _PROPERTY.search(output)
     cut_short = "Search not completed" in output or "max search depth" in output
-    return Verdict(
+    return CheckResult(
         case=case,
-        complete=errors is not None and (bool(broken) or not cut_short),
-        broken=broken.group(1) if broken else "",
+        complete=errors is not None and (bool(violated) or not cut_short),
+        violated=violated.group(1) if violated else "",
         states=int(states.group(1)) if states else 0,
         seconds=seconds,
     )
@@ -141,7 +147,7 @@
     names = parser.parse_args().names
     chosen = [case for case in cases() if not names or case.name in names]
     failed = 0
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_CHECKS) as pool:
         for verdict in pool.map(run, chosen):
             failed += not verdict.as_expected
             print(verdict, flush=True)
--- a/src/bergamotmast/bench/capacity.py
+++ b/src/bergamotmast/bench/capacity.py
@@ -35,7 +35,7 @@
 from ..policy.subset import choose_subset
 from .capacity_fleet import MODEL
 from .capacity_fleet import ZONES
-from .capacity_fleet import Fleet
+from .capacity_fleet import IdleFleet
 from .capacity_fleet import document
 from .capacity_fleet import side_names
 from .capacity_fleet import tenant
@@ -47,20 +47,20 @@
 from .capacity_samples import SubsetSample
 
 MEASURED_SECONDS = 60.0
-ENTRIES = (2, 4, 8, 16, 32, 64)
-SIDES = (4, 10, 20, 50, 100, 200)
-TENANTS = (10, 100, 1000)
-SMALL_TENANTS = 10
-LETTER_ENTRIES = 330
-LETTER_SIDES = 600
-LETTER_MODELS = 7
+ENTRY_COUNTS = (2, 4, 8, 16, 32, 64)
+SIDE_COUNTS = (4, 10, 20, 50, 100, 200)
+TENANT_COUNTS = (10, 100, 1000)
+MIN_TENANT_COUNT = 10
+TARGET_ENTRIES = 330
+TARGET_SIDES = 600
+TARGET_MODELS = 7
 """Size of the largest fleet to support, with one group of engines for each model."""
 
-EDITS = 20
-EDIT_EVERY = 3.0
+EDIT_COUNT = 20
+EDIT_INTERVAL_SECONDS = 3.0
 """Interval between the edits of a burst."""
 
-APPLICATIONS = 20
+REPETITIONS = 20
 """Repetitions of a timed operation, of which the mean is reported."""
 
 _T = t.TypeVar("_T")
@@ -68,30 +68,36 @@
 
 async def measure_control(entries: int, sides: int) -> ControlSample:
     """Measure the control traffic of an idle fleet."""
-    fleet = Fleet(SMALL_TENANTS, entries, sides)
+    fleet = IdleFleet(MIN_TENANT_COUNT, entries, sides)
     await fleet.start()
     kv = fleet.kv
     fleet.network.clear()
     before = (kv.reads, kv.writes + kv.keep_alives, fleet.list.reads)
-    begin = time.process_time()
+    started_at = time.process_time()
     await asyncio.sleep(MEASURED_SECONDS)
-    cpu = time.process_time() - begin
+    cpu = time.process_time() - started_at
     after = (kv.reads, kv.writes + kv.keep_alives, fleet.list.reads)
     reads, writes, list_reads = (
         (b - a) / MEASURED_SECONDS for a, b in zip(before, after, strict=True)
     )
-    working = [p for e in fleet.entries for p in fleet.peers(e, observers=False)]
-    watching = [p for e in fleet.entries for p in fleet.peers(e, observers=True)]
+    request_peers = [p for e in fleet.entries for p in fleet.peers(e, observers=False)]
+    observer_peers = [p for e in fleet.entries for p in fleet.peers(e, observers=True)]
     network = fleet.network
     sample = ControlSample(
         entries=entries,
         sides=sides,
-        sessions=len(working),
-        entry_bytes=network.bytes_of(working) / entries / MEASURED_SECONDS,
-        side_bytes=network.bytes_of(working + watching) / sides / MEASURED_SECONDS,
-        observer_bytes=network.bytes_of(watching) / MEASURED_SECONDS,
-        session_frames=network.frames_of(working) / len(working) / MEASURED_SECONDS,
-        session_bytes=network.bytes_of(working) / len(working) / MEASURED_SECONDS,
+        sessions=len(request_peers),
+        entry_bytes=network.bytes_of(request_peers) / entries / MEASURED_SECONDS,
+        side_bytes=network.bytes_of(request_peers + observer_peers)
+        / sides
+        / MEASURED_SECONDS,
+        observer_bytes=network.bytes_of(observer_peers) / MEASURED_SECONDS,
+        session_frames=network.frames_of(request_peers)
+        / len(request_peers)
+        / MEASURED_SECONDS,
+        session_bytes=network.bytes_of(request_peers)
+        / len(request_peers)
+        / MEASURED_SECONDS,
         cpu_us_per_frame=cpu / network.frames.total() * 1e6,
         kv_reads=reads,
         kv_writes=writes,
@@ -109,29 +115,29 @@
     Four fleets, with few and many of each, determine the three slopes: the growth
     beyond what entries and sides add separately belongs to the sessions.
     """
-    few, many = 4, 16
-    held = {}
-    for entries in (few, many):
-        for sides in (few, many):
-            held[entries, sides] = await _traced(entries, sides)
-    step = many - few
+    low, high = 4, 16
+    memory = {}
+    for entries in (low, high):
+        for sides in (low, high):
+            memory[entries, sides] = await _traced_bytes(entries, sides)
+    step = high - low
     session = (
-        held[many, many] - held[many, few] - held[few, many] + held[few, few]
+        memory[high, high] - memory[high, low] - memory[low, high] + memory[low, low]
     ) / step**2
-    entry = (held[many, few] - held[few, few]) / step - few * session
-    side = (held[few, many] - held[few, few]) / step - few * session
+    entry = (memory[high, low] - memory[low, low]) / step - low * session
+    side = (memory[low, high] - memory[low, low]) / step - low * session
     return MemorySample(entry, side, session)
 
 
-async def _traced(entries: int, sides: int) -> int:
+async def _traced_bytes(entries: int, sides: int) -> int:
     tracemalloc.start()
-    fleet = Fleet(SMALL_TENANTS, entries, sides)
+    fleet = IdleFleet(MIN_TENANT_COUNT, entries, sides)
     await fleet.start()
     gc.collect()
-    held, _ = tracemalloc.get_traced_memory()
+    memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     await fleet.stop()
-    return held
+    return memory
 
 
 async def measure_config(tenants: int, sides: int) -> ConfigSample:
@@ -140,34 +146,34 @@
         encode_configuration(
             msgspec.structs.replace(document(tenants, sides), generation=generation)
         )
-        for generation in range(1, APPLICATIONS + 1)
+        for generation in range(1, REPETITIONS + 1)
     ]
     holder = ConfigHolder("entry-0000", NullHistory())
-    begin = time.process_time()
+    started_at = time.process_time()
     for data in documents:
         holder.offer(data)
         holder.selection.knows_model(MODEL)
-    spent = time.process_time() - begin
+    elapsed = time.process_time() - started_at
     gc.collect()
     tracemalloc.start()
     fresh = ConfigHolder("entry-0000", NullHistory())
     fresh.offer(bytes(bytearray(documents[0])))
     fresh.selection.knows_model(MODEL)
-    held, _ = tracemalloc.get_traced_memory()
+    memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return ConfigSample(
-        tenants, sides, len(documents[0]), spent / APPLICATIONS * 1e3, held
+        tenants, sides, len(documents[0]), elapsed / REPETITIONS * 1e3, memory
     )
 
 
 async def measure_edits(tenants: int, entries: int, sides: int) -> EditSample:
     """Measure a series of edits of one tenant, beyond the cost of an idle fleet."""
-    fleet = Fleet(tenants, entries, sides)
+    fleet = IdleFleet(tenants, entries, sides)
     await fleet.start()
     processes = entries + sides
-    rest = await _spent(fleet, EDITS * EDIT_EVERY, edits=False)
-    busy = await _spent(fleet, EDITS * EDIT_EVERY, edits=True)
-    per_edit = EDITS * processes
+    rest = await _measure_usage(fleet, EDIT_COUNT * EDIT_INTERVAL_SECONDS, edits=False)
+    busy = await _measure_usage(fleet, EDIT_COUNT * EDIT_INTERVAL_SECONDS, edits=True)
+    per_edit = EDIT_COUNT * processes
     sample = EditSample(
         tenants=tenants,
         processes=processes,
@@ -182,7 +188,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Spent:
+class _Usage:
     reads: int
     read_bytes: int
     peer_bytes: int
@@ -190,30 +196,30 @@
     slowest: float
 
 
-async def _spent(fleet: Fleet, seconds: float, edits: bool) -> _Spent:
+async def _measure_usage(fleet: IdleFleet, seconds: float, edits: bool) -> _Usage:
     loop = asyncio.get_running_loop()
     reads = fleet.kv.reads
     read_bytes = sum(c.read_bytes for c in fleet.clients.values())
     fleet.network.clear()
     slowest = 0.0
-    begin = time.process_time()
+    started_at = time.process_time()
     end = loop.time() + seconds
-    while edits and loop.time() + EDIT_EVERY <= end:
+    while edits and loop.time() + EDIT_INTERVAL_SECONDS <= end:
         slowest = max(slowest, await _edit(fleet))
     await asyncio.sleep(max(0.0, end - loop.time()))
-    return _Spent(
+    return _Usage(
         fleet.kv.reads - reads,
         sum(c.read_bytes for c in fleet.clients.values()) - read_bytes,
         fleet.network.bytes.total(),
-        time.process_time() - begin,
+        time.process_time() - started_at,
         slowest,
     )
 
 
-async def _edit(fleet: Fleet) -> float:
+async def _edit(fleet: IdleFleet) -> float:
     """Change one tenant; return the seconds until every process applied the edit."""
     loop = asyncio.get_running_loop()
-    begin = loop.time()
+    started_at = loop.time()
     current = (await fleet.store.read()).configuration
     weight = current.tenants["tenant-0000"].weight + 1.0
     tenants = current.tenants | {"tenant-0000": tenant("tenant-0000", weight)}
@@ -222,8 +228,8 @@
     await fleet.store.propose(proposed, generation, "operator", f"edit-{generation}")
     holders = [e.holder for e in fleet.entries] + [p.holder for p in fleet.sides]
     await asyncio.gather(*(holder.wait_for_newer(generation) for holder in holders))
-    in_force = loop.time() - begin
-    await asyncio.sleep(max(0.0, begin + EDIT_EVERY - loop.time()))
+    in_force = loop.time() - started_at
+    await asyncio.sleep(max(0.0, started_at + EDIT_INTERVAL_SECONDS - loop.time()))
     return in_force
 
 
@@ -234,7 +240,7 @@
     per_entry: list[int] = []
     largest = 0
     for number in range(entries):
-        own = 0
+        session_count = 0
         for group in range(groups):
             members = {
                 name: f"zone-{place % ZONES}"
@@ -245,8 +251,8 @@
             zones = collections.Counter(members[name] for name in chosen)
             largest = max(largest, *zones.values())
             per_side.update(chosen)
-            own += len(chosen)
-        per_entry.append(own)
+            session_count += len(chosen)
+        per_entry.append(session_count)
     counts = [per_side[name] for name in names]
     return SubsetSample(
         entries=entries,
@@ -262,22 +268,22 @@
 
 async def measure_list(count: int) -> ListSample:
     """Measure the size of the instance list and the time to decode it."""
-    fleet = Fleet(SMALL_TENANTS, 0, count)
+    fleet = IdleFleet(MIN_TENANT_COUNT, 0, count)
     data = msgspec.json.encode(await fleet.list.instances())
     decoder = msgspec.json.Decoder(tuple[InstanceInfo, ...])
-    begin = time.process_time()
-    for _ in range(APPLICATIONS):
+    started_at = time.process_time()
+    for _ in range(REPETITIONS):
         decoder.decode(data)
-    spent = time.process_time() - begin
-    return ListSample(count, len(data), spent / APPLICATIONS * 1e3)
+    elapsed = time.process_time() - started_at
+    return ListSample(count, len(data), elapsed / REPETITIONS * 1e3)
 
 
-def on_new_loop(measuring: cabc.Coroutine[t.Any, t.Any, _T]) -> _T:
+def run_in_virtual_time(measurement: cabc.Coroutine[t.Any, t.Any, _T]) -> _T:
     """Run a measurement on a new event loop with virtual time."""
     loop = looptime.new_event_loop(noop_cycles=0)
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(measuring)
+        return loop.run_until_complete(measurement)
     finally:
         asyncio.set_event_loop(None)
         loop.close()
@@ -288,15 +294,15 @@
 
     :param quick: whether to measure the smallest fleets only.
     """
-    entries = ENTRIES[:2] if quick else ENTRIES
-    sides = SIDES[:2] if quick else SIDES
+    entries = ENTRY_COUNTS[:2] if quick else ENTRY_COUNTS
+    sides = SIDE_COUNTS[:2] if quick else SIDE_COUNTS
     yield from (measure_control(count, SUBSET_SIZE) for count in entries)
     yield from (measure_control(4, count) for count in sides)
     yield measure_memory()
-    yield from (measure_config(count, LETTER_SIDES) for count in TENANTS)
-    yield from (measure_edits(count, 4, 10) for count in TENANTS)
-    yield measure_subsets(LETTER_ENTRIES, LETTER_SIDES, LETTER_MODELS)
-    yield from (measure_list(count) for count in (10, 100, LETTER_SIDES))
+    yield from (measure_config(count, TARGET_SIDES) for count in TENANT_COUNTS)
+    yield from (measure_edits(count, 4, 10) for count in TENANT_COUNTS)
+    yield measure_subsets(TARGET_ENTRIES, TARGET_SIDES, TARGET_MODELS)
+    yield from (measure_list(count) for count in (10, 100, TARGET_SIDES))
 
 
 def main(argv: cabc.Sequence[str] | None = None) -> int:
@@ -307,8 +313,8 @@
     )
     quick = parser.parse_args(argv).quick
     logging.disable(logging.WARNING)
-    for measuring in measurements(quick):
-        sample = on_new_loop(measuring)
+    for measurement in measurements(quick):
+        sample = run_in_virtual_time(measurement)
         line = msgspec.json.encode(sample).decode()
         print(type(sample).__name__, line, flush=True)
     return 0
--- a/src/bergamotmast/bench/capacity_fleet.py
+++ b/src/bergamotmast/bench/capacity_fleet.py
@@ -93,9 +93,9 @@
 
     async def range(self, prefix: str) -> RangeResult:
         """Read every key with a prefix."""
-        found = await super().range(prefix)
-        self.read_bytes += sum(len(i.key) + len(i.value) for i in found.items)
-        return found
+        result = await super().range(prefix)
+        self.read_bytes += sum(len(i.key) + len(i.value) for i in result.items)
+        return result
 
 
 def side_names(count: int) -> list[str]:
@@ -121,7 +121,7 @@
     return Tenant(weight=weight, keys=(hashlib.sha256(name.encode()).hexdigest(),))
 
 
-class Fleet:
+class IdleFleet:
     """Entries and sides that receive no requests.
 
     :param tenants: number of tenants in the configuration.
@@ -146,7 +146,7 @@
         zone = f"zone-{int(name[-4:]) % ZONES}"
         return InstanceInfo(name, UpstreamKind.ENGINE, zone, name, f"http://{name}")
 
-    def _parts(self, name: str, zone: str) -> ProcessDependencies:
+    def _dependencies(self, name: str, zone: str) -> ProcessDependencies:
         client = CountingClient(self.kv, name)
         self.clients[name] = client
         return ProcessDependencies(
@@ -174,13 +174,13 @@
         assignment = Assignment(Role.MIXED, (MODEL,))
         engine = EngineStandIn(name, assignment=assignment)
         listener = self.network.listen(name)
-        side = engine_side(self._parts(name, "zone-0"), listener, engine)
+        side = engine_side(self._dependencies(name, "zone-0"), listener, engine)
         self.sides.append(side)
         self._run(side.run())
 
     def _start_entry(self, name: str, zone: str) -> None:
-        parts = self._parts(name, zone)
-        entry = EntryProcess(parts, self.network, self.list)
+        dependencies = self._dependencies(name, zone)
+        entry = EntryProcess(dependencies, self.network, self.list)
         self.entries.append(entry)
         self._run(entry.run())
 
--- a/src/bergamotmast/bench/capacity_processes.py
+++ b/src/bergamotmast/bench/capacity_processes.py
@@ -33,16 +33,16 @@
 FLEETS = ((1, 4), (1, 20), (2, 40), (8, 20), (24, 8))
 """Entries and sides of each fleet, whose sides share one engine stand-in."""
 
-TENANTS = 100
+TENANT_COUNT = 100
 SETTLE_SECONDS = 15.0
 MEASURED_SECONDS = 20.0
-START_SECONDS = 90.0
-MOST_AT_ONCE = 8
+START_TIMEOUT_SECONDS = 90.0
+MAX_CONCURRENT_STARTS = 8
 """Limit of processes that are starting at the same time."""
 
-TICK = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-MEGABYTE = 1 << 20
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+MEGABYTE_BYTES = 1 << 20
 
 
 class ProcessSample(msgspec.Struct, frozen=True):
@@ -71,7 +71,7 @@
     def __init__(self, directory: pathlib.Path) -> None:
         self.directory = directory
         self.running: dict[str, asyncio.subprocess.Process] = {}
-        self.starting = asyncio.Semaphore(MOST_AT_ONCE)
+        self.starting = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
     async def start(self, name: str, *command: str) -> str:
         """Start a daemon and return the line that it prints once it is ready.
@@ -90,7 +90,7 @@
                 )
             self.running[name] = process
             assert process.stdout is not None
-            async with asyncio.timeout(START_SECONDS):
+            async with asyncio.timeout(START_TIMEOUT_SECONDS):
                 line = await process.stdout.readline()
         if not line:
             raise RuntimeError((self.directory / f"{name}.log").read_text())
@@ -108,12 +108,12 @@
         """Return the user and system time that a process has used, in seconds."""
         text = pathlib.Path(f"/proc/{self.running[name].pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICK
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     def resident(self, name: str) -> float:
         """Return the resident memory of a process, MiB."""
         text = pathlib.Path(f"/proc/{self.running[name].pid}/statm").read_text()
-        return int(text.split()[1]) * PAGE / MEGABYTE
+        return int(text.split()[1]) * PAGE_BYTES / MEGABYTE_BYTES
 
 
 def free_address() -> str:
@@ -151,12 +151,19 @@
         "list", "standin", "instance-list", "--options", _json({"instances": infos})
     )
     await _configure(kv, sides)
-    shared = ("--zone", "zone-0", "--key-value-url", kv, "--instance-list-url", listed)
-    quiet = ("--log-level", "error")
+    common_flags = (
+        "--zone",
+        "zone-0",
+        "--key-value-url",
+        kv,
+        "--instance-list-url",
+        listed,
+    )
+    log_flags = ("--log-level", "error")
     starts = [
         daemons.start(
             f"side-{name}",
-            *("side", "--name", name, *shared, *quiet),
+            *("side", "--name", name, *common_flags, *log_flags),
             *("--listen-address", addresses[name]),
             *("--upstream-url", engine, "--upstream-kind", "engine"),
         )
@@ -165,7 +172,7 @@
     starts += [
         daemons.start(
             f"entry-{number}",
-            *("entry", "--name", f"entry-{number}", *shared, *quiet),
+            *("entry", "--name", f"entry-{number}", *common_flags, *log_flags),
             *("--planner", "no", "--listen-address", free_address()),
         )
         for number in range(entries)
@@ -177,7 +184,7 @@
     async with aiohttp.ClientSession() as session:
         service = HttpKeyValueService(session, kv, "operator")
         store = ConfigStore(service, NullHistory())
-        await store.propose(document(TENANTS, sides), 0, "operator", "first")
+        await store.propose(document(TENANT_COUNT, sides), 0, "operator", "first")
 
 
 def _json(value: object) -> str:
@@ -191,16 +198,20 @@
     spent = {name: daemons.cpu(name) - before[name] for name in names}
     samples = []
     for role, sessions in (("entry", min(sides, 20)), ("side", 0)):
-        own = [name for name in names if name.startswith(f"{role}-")]
-        share = entries * min(sides, 20) // sides if role == "side" else sessions
+        role_names = [name for name in names if name.startswith(f"{role}-")]
+        session_count = (
+            entries * min(sides, 20) // sides if role == "side" else sessions
+        )
         samples.append(
             ProcessSample(
                 role=role,
                 entries=entries,
                 sides=sides,
-                sessions=share,
-                core_percent=_mean(spent[n] for n in own) / MEASURED_SECONDS * 100,
-                resident_megabytes=_mean(daemons.resident(n) for n in own),
+                sessions=session_count,
+                core_percent=_mean(spent[n] for n in role_names)
+                / MEASURED_SECONDS
+                * 100,
+                resident_megabytes=_mean(daemons.resident(n) for n in role_names),
             )
         )
     return samples
--- a/src/bergamotmast/bench/cli.py
+++ b/src/bergamotmast/bench/cli.py
@@ -15,8 +15,8 @@
 from .runner import Job
 from .runner import run_jobs
 from .scenarios import scenario_names
+from .summary import format_table
 from .summary import summarise
-from .summary import table
 
 DEFAULT_PROCESSES = 4
 """Runs in parallel."""
@@ -56,7 +56,7 @@
     if args.json:
         sys.stdout.buffer.write(msgspec.json.encode(results, order="sorted") + b"\n")
     else:
-        print(table(summarise(results)))
+        print(format_table(summarise(results)))
     if args.report:
         write_report(pathlib.Path(args.report), results)
     return 0
--- a/src/bergamotmast/bench/world.py
+++ b/src/bergamotmast/bench/environment.py
@@ -47,7 +47,7 @@
 from .faults import Fault
 from .faults import FaultKind
 from .fleet import Fleet
-from .fleet import UpstreamPart
+from .fleet import FleetUpstream
 from .trace import TraceRequest
 
 ROUTE = "calls"
@@ -88,14 +88,14 @@
 class FakePlainService:
     """Plain service with a constant service time and limited concurrency."""
 
-    def __init__(self, part: UpstreamPart) -> None:
+    def __init__(self, part: FleetUpstream) -> None:
         self.seconds = part.call_seconds
-        self.places = asyncio.Semaphore(part.max_calls)
+        self.slots = asyncio.Semaphore(part.max_calls)
         self.calls = 0
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
         """Execute one call once a slot is free."""
-        async with self.places:
+        async with self.slots:
             self.calls += 1
             await asyncio.sleep(self.seconds)
         return ServiceAnswer(200, b"", "text/plain")
@@ -138,7 +138,7 @@
         """Keep nothing."""
 
 
-class World:
+class BenchEnvironment:
     """Simulated deployment that runs while its context is open.
 
     :param fleet: upstreams and entries.
@@ -171,7 +171,7 @@
         self.entries: list[EntryCore] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> BenchEnvironment:
         first_roles = self.policy_set.first_roles(len(self.fleet.engines()))
         for part, role in zip(self.fleet.engines(), first_roles, strict=True):
             self._start_engine(part, role)
@@ -203,8 +203,8 @@
         holder.offer(self.document)
         return holder
 
-    def _start_engine(self, part: UpstreamPart, role: Role) -> None:
-        models, adapters = carried(self.configuration)
+    def _start_engine(self, part: FleetUpstream, role: Role) -> None:
+        models, adapters = models_and_adapters(self.configuration)
         engine = EngineStandIn(
             part.name,
             self.fleet.spec(part),
@@ -225,7 +225,7 @@
         self._spawn(reconciler.run())
 
     def _start_side(
-        self, part: UpstreamPart, runner: EngineRunner | ServiceRunner
+        self, part: FleetUpstream, runner: EngineRunner | ServiceRunner
     ) -> SideCore:
         side = SideCore(
             part.name,
@@ -275,20 +275,20 @@
 
     # Faults
 
-    async def play(self, fault: Fault, origin: float) -> None:
+    async def inject(self, fault: Fault, origin: float) -> None:
         """Inject a fault at its start and undo it at its end.
 
         :param origin: loop time at the start of the trace.
         """
         loop = asyncio.get_running_loop()
         await asyncio.sleep(origin + fault.start - loop.time())
-        self._begin(fault)
+        self._start_fault(fault)
         if fault.kind is FaultKind.WITHDRAWAL:
             return
         await asyncio.sleep(origin + fault.end - loop.time())
-        self._finish(fault)
+        self._end_fault(fault)
 
-    def _begin(self, fault: Fault) -> None:
+    def _start_fault(self, fault: Fault) -> None:
         name = self.fleet.engines()[fault.engine].name
         match fault.kind:
             case FaultKind.ENGINE_SPEED:
@@ -296,13 +296,13 @@
             case FaultKind.ENGINE_CRASH:
                 self.engines[name].crash()
             case FaultKind.ENGINES_UNREACHABLE:
-                self._reach(False)
+                self._set_engines_reachable(False)
             case FaultKind.WITHDRAWAL:
                 self.instance_list.withdraw(name)
             case FaultKind.KEY_VALUE_DOWN:
                 self.kv.down = True
 
-    def _finish(self, fault: Fault) -> None:
+    def _end_fault(self, fault: Fault) -> None:
         name = self.fleet.engines()[fault.engine].name
         match fault.kind:
             case FaultKind.ENGINE_SPEED:
@@ -310,18 +310,18 @@
             case FaultKind.ENGINE_CRASH:
                 self.engines[name].restart()
             case FaultKind.ENGINES_UNREACHABLE:
-                self._reach(True)
+                self._set_engines_reachable(True)
             case FaultKind.KEY_VALUE_DOWN:
                 self.kv.down = False
 
-    def _reach(self, reachable: bool) -> None:
+    def _set_engines_reachable(self, reachable: bool) -> None:
         for engine in self.engines.values():
             engine.reachable = reachable
             if not reachable:
                 engine.break_connections()
 
 
-def instance_info(part: UpstreamPart) -> InstanceInfo:
+def instance_info(part: FleetUpstream) -> InstanceInfo:
     """Return an upstream's record in the instance list."""
     return InstanceInfo(part.name, part.kind, part.zone, part.name, f"mem:{part.name}")
 
@@ -363,7 +363,9 @@
     )
 
 
-def carried(configuration: Configuration) -> tuple[tuple[str, ...], tuple[str, ...]]:
+def models_and_adapters(
+    configuration: Configuration,
+) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """Return the models and adapters that the engines serve."""
     selector = configuration.selectors[0]
     return selector.models, selector.adapters
@@ -373,27 +375,33 @@
     fleet: Fleet, requests: tuple[TraceRequest, ...]
 ) -> dict[str, RequestClass]:
     """Return the fleet's classes; other classes get objectives from their deadlines."""
-    longest: dict[str, float] = {}
+    max_deadlines: dict[str, float] = {}
     for request in requests:
-        longest[request.klass] = max(longest.get(request.klass, 0.0), request.deadline)
-    made = {
+        max_deadlines[request.klass] = max(
+            max_deadlines.get(request.klass, 0.0), request.deadline
+        )
+    derived = {
         name: RequestClass(
             priority=_priority(deadline), first_token=deadline, total=deadline
         )
-        for name, deadline in sorted(longest.items())
+        for name, deadline in sorted(max_deadlines.items())
     }
-    return made | fleet.classes
+    return derived | fleet.classes
 
 
-INTERACTIVE_SECONDS = 10.0
-STANDARD_SECONDS = 60.0
+MAX_INTERACTIVE_DEADLINE_SECONDS = 10.0
+MAX_STANDARD_DEADLINE_SECONDS = 60.0
 """Maximum deadlines of the two higher priorities, for classes the fleet omits."""
 
 
 def _priority(deadline: float) -> Priority:
-    if deadline <= INTERACTIVE_SECONDS:
+    if deadline <= MAX_INTERACTIVE_DEADLINE_SECONDS:
         return Priority.INTERACTIVE
-    return Priority.STANDARD if deadline <= STANDARD_SECONDS else Priority.BATCH
+    return (
+        Priority.STANDARD
+        if deadline <= MAX_STANDARD_DEADLINE_SECONDS
+        else Priority.BATCH
+    )
 
 
 def first_token_seconds(configuration: Configuration) -> dict[str, float]:
--- a/src/bergamotmast/bench/fleet.py
+++ b/src/bergamotmast/bench/fleet.py
@@ -20,7 +20,7 @@
 """Decode steps between chunks; larger chunks shorten long simulations."""
 
 
-class RatesPart(msgspec.Struct, frozen=True, kw_only=True):
+class FleetRates(msgspec.Struct, frozen=True, kw_only=True):
     """Speed of an engine in one role; see :class:`RoleRates` for the fields."""
 
     prefill_rate: float
@@ -31,7 +31,7 @@
     max_streams: int
 
 
-class UpstreamPart(msgspec.Struct, frozen=True, kw_only=True):
+class FleetUpstream(msgspec.Struct, frozen=True, kw_only=True):
     """One upstream of a fleet file.
 
     :param rates: speed in each role; other roles take the fleet's rates.
@@ -43,7 +43,7 @@
     zone: str = "zone-1"
     kind: UpstreamKind = UpstreamKind.ENGINE
     labels: dict[str, str] = {}
-    rates: dict[Role, RatesPart] = {}
+    rates: dict[Role, FleetRates] = {}
     call_seconds: float = 0.05
     max_calls: int = 32
 
@@ -67,10 +67,10 @@
     """
 
     name: str = "fleet"
-    upstreams: tuple[UpstreamPart, ...]
+    upstreams: tuple[FleetUpstream, ...]
     entries: int = 3
     zones: tuple[str, ...] = ("zone-1", "zone-2", "zone-3", "zone-4")
-    rates: dict[Role, RatesPart] = {}
+    rates: dict[Role, FleetRates] = {}
     classes: dict[str, RequestClass] = {}
     tenants: dict[str, Tenant] = {}
     kv_capacity: int = 100_000
@@ -81,15 +81,15 @@
     load_lag: float = 1.0
     tokens_per_chunk: int = TOKENS_PER_CHUNK
 
-    def engines(self) -> tuple[UpstreamPart, ...]:
+    def engines(self) -> tuple[FleetUpstream, ...]:
         """Return the engines."""
         return tuple(u for u in self.upstreams if u.kind is UpstreamKind.ENGINE)
 
-    def services(self) -> tuple[UpstreamPart, ...]:
+    def services(self) -> tuple[FleetUpstream, ...]:
         """Return the plain services."""
         return tuple(u for u in self.upstreams if u.kind is UpstreamKind.SERVICE)
 
-    def role_rates(self, upstream: UpstreamPart, role: Role) -> RoleRates:
+    def role_rates(self, upstream: FleetUpstream, role: Role) -> RoleRates:
         """Return the speed of one engine in one role."""
         part = upstream.rates.get(role) or self.rates.get(role)
         if part is None:
@@ -103,7 +103,7 @@
             part.max_streams,
         )
 
-    def spec(self, upstream: UpstreamPart) -> EngineSpec:
+    def spec(self, upstream: FleetUpstream) -> EngineSpec:
         """Return the specification of an engine's stand-in."""
         return EngineSpec(
             roles={role: self.role_rates(upstream, role) for role in Role},
@@ -129,7 +129,7 @@
     return RequestClass(priority=priority, first_token=first_token, total=total)
 
 
-CLASSES: dict[str, dict[str, RequestClass]] = {
+DEPLOYMENT_CLASSES: dict[str, dict[str, RequestClass]] = {
     "trindade": {
         "hold-check": _class(Priority.INTERACTIVE, 2.0, 5.0),
         "question": _class(Priority.STANDARD, 4.0, 30.0),
@@ -168,11 +168,11 @@
     service = "counter" if name == "trindade" else "notify"
     zones = ("zone-1", "zone-2", "zone-3", "zone-4")
     upstreams = [
-        UpstreamPart(name=f"model-{i}", zone=zones[i % 4], labels={"pool": "models"})
+        FleetUpstream(name=f"model-{i}", zone=zones[i % 4], labels={"pool": "models"})
         for i in range(engines)
     ]
     upstreams += [
-        UpstreamPart(
+        FleetUpstream(
             name=f"{service}-{i}",
             zone=zones[i % 4],
             kind=UpstreamKind.SERVICE,
@@ -180,4 +180,6 @@
         )
         for i in range(services)
     ]
-    return Fleet(name=name, upstreams=tuple(upstreams), classes=CLASSES[name])
+    return Fleet(
+        name=name, upstreams=tuple(upstreams), classes=DEPLOYMENT_CLASSES[name]
+    )
--- a/src/bergamotmast/bench/metrics.py
+++ b/src/bergamotmast/bench/metrics.py
@@ -15,12 +15,12 @@
 from ..errors import ResultCode
 from .trace import TraceRequest
 
-DIGITS = 6
+DECIMAL_PLACES = 6
 """Precision of numbers in results."""
 
 
 @dataclasses.dataclass(slots=True)
-class RequestLog:
+class RequestRecord:
     """One request as its caller saw it.
 
     :param code: final result.
@@ -35,10 +35,10 @@
     first_at: float | None = None
     ended_at: float = 0.0
     tokens: int = 0
-    tries: int = 1
+    attempts: int = 1
 
     @property
-    def verdict(self) -> str:
+    def status(self) -> str:
         """``met``, ``late``, ``refused``, ``unknown`` or ``failed``."""
         if self.code is ResultCode.OK:
             due = self.request.at + self.request.deadline
@@ -94,7 +94,7 @@
     first_token_kept: float
 
 
-class Point(msgspec.Struct, frozen=True):
+class TimelinePoint(msgspec.Struct, frozen=True):
     """State of the fleet over one step of the timeline.
 
     :param at: end of the step, seconds after the start of the trace.
@@ -153,59 +153,61 @@
     shed_share: float
     fairness: float
     least_tenant: float
-    timeline: list[Point]
+    timeline: list[TimelinePoint]
 
 
-def counts(logs: cabc.Sequence[RequestLog]) -> Counts:
+def counts(records: cabc.Sequence[RequestRecord]) -> Counts:
     """Count requests by final status."""
-    by = collections.Counter(log.verdict for log in logs)
-    share = by["met"] / len(logs) if logs else 1.0
+    by = collections.Counter(record.status for record in records)
+    share = by["met"] / len(records) if records else 1.0
     return Counts(
-        len(logs),
+        len(records),
         by["met"],
         by["late"],
         by["refused"],
         by["unknown"],
         by["failed"],
-        round(share, DIGITS),
+        round(share, DECIMAL_PLACES),
     )
 
 
-def useful_tokens(logs: cabc.Iterable[RequestLog]) -> int:
+def useful_tokens(records: cabc.Iterable[RequestRecord]) -> int:
     """Return the output tokens of the model requests that were met."""
     return sum(
-        log.request.output_tokens
-        for log in logs
-        if log.verdict == "met" and log.request.model
+        record.request.output_tokens
+        for record in records
+        if record.status == "met" and record.request.model
     )
 
 
 def by_class(
-    logs: cabc.Sequence[RequestLog], first_token: cabc.Mapping[str, float]
+    records: cabc.Sequence[RequestRecord], first_token: cabc.Mapping[str, float]
 ) -> dict[str, ClassResult]:
     """Return the results by request class.
 
     :param first_token: first-token objective of each class, seconds.
     """
-    groups = _grouped(logs, lambda log: log.request.klass)
+    groups = _grouped(records, lambda record: record.request.klass)
     return {
         name: _class_result(group, first_token.get(name, math.inf))
         for name, group in groups.items()
     }
 
 
-def by_tenant(logs: cabc.Sequence[RequestLog]) -> dict[str, Counts]:
+def by_tenant(records: cabc.Sequence[RequestRecord]) -> dict[str, Counts]:
     """Return the counts by tenant."""
-    groups = _grouped(logs, lambda log: log.request.tenant)
+    groups = _grouped(records, lambda record: record.request.tenant)
     return {name: counts(group) for name, group in groups.items()}
 
 
 def jain(shares: cabc.Sequence[float]) -> float:
     """Return Jain's fairness index: 1 if all are equal, 1/n if one has all."""
-    squares = sum(s * s for s in shares)
-    if squares == 0.0:
+    sum_of_squares = sum(s * s for s in shares)
+    if sum_of_squares == 0.0:
         return 1.0
-    return float(round(sum(shares) ** 2 / (len(shares) * squares), DIGITS))
+    return float(
+        round(sum(shares) ** 2 / (len(shares) * sum_of_squares), DECIMAL_PLACES)
+    )
 
 
 def quantiles(values: cabc.Sequence[float]) -> Quantiles:
@@ -213,29 +215,33 @@
     if not values:
         return Quantiles(None, None, None)
     if len(values) == 1:
-        only = round(values[0], DIGITS)
+        only = round(values[0], DECIMAL_PLACES)
         return Quantiles(only, only, only)
-    cuts = statistics.quantiles(values, n=100, method="inclusive")
-    return Quantiles(*(round(cuts[p - 1], DIGITS) for p in (50, 95, 99)))
+    percentiles = statistics.quantiles(values, n=100, method="inclusive")
+    return Quantiles(*(round(percentiles[p - 1], DECIMAL_PLACES) for p in (50, 95, 99)))
 
 
 def _grouped(
-    logs: cabc.Sequence[RequestLog], key: cabc.Callable[[RequestLog], str]
-) -> dict[str, list[RequestLog]]:
-    groups: dict[str, list[RequestLog]] = {}
-    for log in logs:
-        groups.setdefault(key(log), []).append(log)
+    records: cabc.Sequence[RequestRecord], key: cabc.Callable[[RequestRecord], str]
+) -> dict[str, list[RequestRecord]]:
+    groups: dict[str, list[RequestRecord]] = {}
+    for record in records:
+        groups.setdefault(key(record), []).append(record)
     return dict(sorted(groups.items()))
 
 
-def _class_result(logs: list[RequestLog], allowed: float) -> ClassResult:
-    waits = [log.first_at - log.request.at for log in logs if log.first_at is not None]
+def _class_result(records: list[RequestRecord], objective: float) -> ClassResult:
+    waits = [
+        record.first_at - record.request.at
+        for record in records
+        if record.first_at is not None
+    ]
     gaps = [
-        (log.ended_at - log.first_at) / (log.tokens - 1)
-        for log in logs
-        if log.first_at is not None and log.tokens > 1
+        (record.ended_at - record.first_at) / (record.tokens - 1)
+        for record in records
+        if record.first_at is not None and record.tokens > 1
     ]
-    kept = sum(wait <= allowed for wait in waits) / len(logs)
+    kept = sum(wait <= objective for wait in waits) / len(records)
     return ClassResult(
-        counts(logs), quantiles(waits), quantiles(gaps), round(kept, DIGITS)
+        counts(records), quantiles(waits), quantiles(gaps), round(kept, DECIMAL_PLACES)
     )
--- a/src/bergamotmast/bench/oracle.py
+++ b/src/bergamotmast/bench/oracle.py
@@ -27,7 +27,7 @@
 
 from ..model import Role
 from .fleet import Fleet
-from .fleet import UpstreamPart
+from .fleet import FleetUpstream
 from .trace import TraceRequest
 
 if t.TYPE_CHECKING:
@@ -64,7 +64,7 @@
     step: float
 
 
-def best_rates(fleet: Fleet, upstream: UpstreamPart) -> BestRates:
+def best_rates(fleet: Fleet, upstream: FleetUpstream) -> BestRates:
     """Return the maximum rates of an engine over all roles."""
     rates = [fleet.role_rates(upstream, role) for role in Role]
     return BestRates(
@@ -74,7 +74,7 @@
     )
 
 
-def overlap(fleet: Fleet, upstream: UpstreamPart, best: BestRates) -> float:
+def concurrency_factor(fleet: Fleet, upstream: FleetUpstream, best: BestRates) -> float:
     """Return the engine-seconds of work that an engine can do in a second, at least 1.
 
     A role can prefill and decode concurrently. Measured by the best rates of each, this
@@ -108,17 +108,17 @@
     if not engines or not model_requests:
         return 0.0
     rates = _fleet_rates(fleet)
-    works = _works(model_requests, rates, fleet.shared_share)
+    works = _feasible_work(model_requests, rates, fleet.shared_share)
     end = max(r.at + r.deadline for r in model_requests)
-    most = max(overlap(fleet, engine, rates) for engine in engines)
-    slack = most * _slack(fleet, end, outages)
-    return _fill(works, slack)
+    max_factor = max(concurrency_factor(fleet, engine, rates) for engine in engines)
+    slack = max_factor * _slack(fleet, end, outages)
+    return _greedy_fill(works, slack)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Work:
-    first: int
-    last: int
+    first_step: int
+    last_step: int
     seconds: float
     tokens: int
 
@@ -132,7 +132,7 @@
     )
 
 
-def _works(
+def _feasible_work(
     requests: cabc.Sequence[TraceRequest], rates: BestRates, shared: float
 ) -> list[_Work]:
     seen: set[str] = set()
@@ -143,8 +143,8 @@
             prompt *= 1.0 - shared
         if request.prefix:
             seen.add(request.prefix)
-        quickest = prompt / rates.prefill + (request.output_tokens - 1) * rates.step
-        if quickest > request.deadline:
+        min_seconds = prompt / rates.prefill + (request.output_tokens - 1) * rates.step
+        if min_seconds > request.deadline:
             continue
         works.append(
             _Work(
@@ -154,7 +154,9 @@
                 request.output_tokens,
             )
         )
-    return sorted(works, key=lambda w: (-w.tokens / w.seconds, w.first, w.last))
+    return sorted(
+        works, key=lambda w: (-w.tokens / w.seconds, w.first_step, w.last_step)
+    )
 
 
 def _slack(
@@ -175,15 +177,15 @@
     return np.where(slack > 0.0, slack, np.inf)
 
 
-def _fill(
+def _greedy_fill(
     works: cabc.Sequence[_Work], slack: np.ndarray[t.Any, np.dtype[np.float64]]
 ) -> float:
     tokens = 0.0
     for work in works:
-        around = slack[: work.first + 1, work.last :]
-        room = max(0.0, float(around.min()))
-        taken = min(work.seconds, room)
-        if taken > 0.0:
-            around -= taken
-            tokens += work.tokens * taken / work.seconds
+        containing = slack[: work.first_step + 1, work.last_step :]
+        available = max(0.0, float(containing.min()))
+        used = min(work.seconds, available)
+        if used > 0.0:
+            containing -= used
+            tokens += work.tokens * used / work.seconds
     return tokens
--- a/src/bergamotmast/bench/report.py
+++ b/src/bergamotmast/bench/report.py
@@ -58,9 +58,9 @@
 
 
 def _table(summaries: cabc.Sequence[PolicySummary]) -> str:
-    head = "".join(f"<th>{title}</th>" for title, _ in _COLUMNS)
+    header = "".join(f"<th>{title}</th>" for title, _ in _COLUMNS)
     rows = "".join(_row(s) for s in summaries)
-    return f"<table><tr><th>scenario</th><th>policy</th>{head}</tr>{rows}</table>"
+    return f"<table><tr><th>scenario</th><th>policy</th>{header}</tr>{rows}</table>"
 
 
 def _row(summary: PolicySummary) -> str:
--- a/src/bergamotmast/bench/runner.py
+++ b/src/bergamotmast/bench/runner.py
@@ -18,7 +18,7 @@
 from .metrics import RunResult
 from .run import run
 from .scenarios import Scenario
-from .scenarios import build
+from .scenarios import build_scenario
 from .trace import read_trace
 
 
@@ -70,7 +70,7 @@
     """Return the scenario of a job, generated or read from its files."""
     fleet = read_fleet(job.fleet) if job.fleet else None
     if job.trace is None:
-        return build(job.scenario, job.seed, fleet)
+        return build_scenario(job.scenario, job.seed, fleet)
     requests = read_trace(job.trace)
     seconds = max((r.at for r in requests), default=1.0)
     return Scenario(
--- a/src/bergamotmast/bench/scenarios.py
+++ b/src/bergamotmast/bench/scenarios.py
@@ -21,28 +21,28 @@
 from .oracle import best_rates
 from .oracle import engine_seconds
 from .trace import TraceRequest
-from .workload import PROFILES
+from .workload import MODEL_PROFILES
 from .workload import SERVICE_PROFILES
 from .workload import ClassProfile
 from .workload import Flow
-from .workload import Level
-from .workload import draw
-from .workload import even_tenants
+from .workload import LoadFunction
+from .workload import generate_requests
+from .workload import tenant_weights
 
 Deployment: t.TypeAlias = t.Literal["trindade", "alliance"]
 DEPLOYMENTS: tuple[Deployment, ...] = ("trindade", "alliance")
 
-HEAVY_SHARE = 0.7
+HEAVY_TENANT_SHARE = 0.7
 """Share of all requests that the heavy tenant sends, with its own prefixes."""
 
-FLAP_PERIOD = 20.0
-FLAP_DOWN = 5.0
+FLAP_PERIOD_SECONDS = 20.0
+FLAP_DOWNTIME_SECONDS = 5.0
 """Time between two crashes of a flapping engine, and from a crash to its restart."""
 
-OSCILLATION_PERIOD = 20.0
+OSCILLATION_PERIOD_SECONDS = 20.0
 """Period too short for a role change to pay off."""
 
-FOREVER = 1e9
+NEVER_ENDS_SECONDS = 1e9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Shape:
+class _LoadShape:
     """Load of a scenario over time, for any deployment.
 
     :param seconds: duration of arrivals.
@@ -75,27 +75,29 @@
     """
 
     seconds: float
-    short: Level
-    middle: Level
-    long: Level
+    short: LoadFunction
+    middle: LoadFunction
+    long: LoadFunction
     faults: tuple[Fault, ...] = ()
     callers_retry: bool = False
-    heavy: bool = False
+    heavy_tenant: bool = False
     load_lag: float | None = None
-    only: Deployment | None = None
+    only_deployment: Deployment | None = None
 
 
-def level(value: float) -> Level:
+def constant_load(value: float) -> LoadFunction:
     """Return a constant load."""
     return lambda now: value
 
 
-def ramp(start: float, end: float, seconds: float) -> Level:
+def linear_ramp(start: float, end: float, seconds: float) -> LoadFunction:
     """Return a load that changes linearly and then stays at its end value."""
     return lambda now: start + (end - start) * min(1.0, now / seconds)
 
 
-def swing(middle: float, amplitude: float, period: float, phase: float = 0.0) -> Level:
+def sine_wave(
+    middle: float, amplitude: float, period: float, phase: float = 0.0
+) -> LoadFunction:
     """Return a load that follows a sine wave.
 
     :param period: seconds.
@@ -106,9 +108,9 @@
     )
 
 
-def steps(
+def pulses(
     base: float, high: float, windows: cabc.Sequence[tuple[float, float]]
-) -> Level:
+) -> LoadFunction:
     """Return a load that is high within time windows.
 
     :param windows: start and end of each, seconds.
@@ -116,7 +118,7 @@
     return lambda now: high if any(a <= now < b for a, b in windows) else base
 
 
-def oscillation(low: float, high: float, period: float, late: bool) -> Level:
+def square_wave(low: float, high: float, period: float, late: bool) -> LoadFunction:
     """Return a square wave.
 
     :param period: seconds.
@@ -126,78 +128,104 @@
 
 
 def _flaps(seconds: float) -> tuple[Fault, ...]:
-    count = int((seconds - 40.0) // FLAP_PERIOD)
-    starts = [30.0 + FLAP_PERIOD * i for i in range(count)]
-    return tuple(Fault(FaultKind.ENGINE_CRASH, s, s + FLAP_DOWN) for s in starts)
+    count = int((seconds - 40.0) // FLAP_PERIOD_SECONDS)
+    starts = [30.0 + FLAP_PERIOD_SECONDS * i for i in range(count)]
+    return tuple(
+        Fault(FaultKind.ENGINE_CRASH, s, s + FLAP_DOWNTIME_SECONDS) for s in starts
+    )
 
 
-def _saturation(load: float) -> _Shape:
-    return _Shape(150.0, level(0.2 * load), level(0.2 * load), level(0.6 * load))
+def _saturation(load: float) -> _LoadShape:
+    return _LoadShape(
+        150.0,
+        constant_load(0.2 * load),
+        constant_load(0.2 * load),
+        constant_load(0.6 * load),
+    )
 
 
 _WRAP = ((80.0, 200.0),)
 _BURSTS = ((60.0, 85.0), (130.0, 155.0), (200.0, 225.0))
 
-SHAPES: dict[str, _Shape] = {
-    "slow-drift": _Shape(
-        400.0, ramp(0.04, 0.36, 400.0), level(0.08), ramp(0.42, 0.08, 400.0)
+LOAD_SHAPES: dict[str, _LoadShape] = {
+    "slow-drift": _LoadShape(
+        400.0,
+        linear_ramp(0.04, 0.36, 400.0),
+        constant_load(0.08),
+        linear_ramp(0.42, 0.08, 400.0),
     ),
-    "half-day-swing": _Shape(
+    "half-day-swing": _LoadShape(
         480.0,
-        swing(0.2, 0.16, 480.0, -0.25),
-        level(0.08),
-        swing(0.25, 0.17, 480.0, 0.25),
+        sine_wave(0.2, 0.16, 480.0, -0.25),
+        constant_load(0.08),
+        sine_wave(0.25, 0.17, 480.0, 0.25),
     ),
-    "burst": _Shape(260.0, steps(0.03, 0.4, _BURSTS), level(0.08), level(0.4)),
-    "wrap-hour": _Shape(
+    "burst": _LoadShape(
+        260.0, pulses(0.03, 0.4, _BURSTS), constant_load(0.08), constant_load(0.4)
+    ),
+    "wrap-hour": _LoadShape(
         260.0,
-        steps(0.05, 0.15, _WRAP),
-        steps(0.12, 0.2, _WRAP),
-        steps(0.15, 0.6, _WRAP),
-        only="alliance",
+        pulses(0.05, 0.15, _WRAP),
+        pulses(0.12, 0.2, _WRAP),
+        pulses(0.15, 0.6, _WRAP),
+        only_deployment="alliance",
     ),
-    "fast-oscillation": _Shape(
+    "fast-oscillation": _LoadShape(
         300.0,
-        oscillation(0.05, 0.4, OSCILLATION_PERIOD, False),
-        level(0.08),
-        oscillation(0.1, 0.45, OSCILLATION_PERIOD, True),
+        square_wave(0.05, 0.4, OSCILLATION_PERIOD_SECONDS, False),
+        constant_load(0.08),
+        square_wave(0.1, 0.45, OSCILLATION_PERIOD_SECONDS, True),
     ),
-    "heavy-tenant": _Shape(200.0, level(0.2), level(0.2), level(0.8), heavy=True),
-    "slow-upstream": _Shape(
+    "heavy-tenant": _LoadShape(
         200.0,
-        level(0.12),
-        level(0.1),
-        level(0.28),
-        faults=(Fault(FaultKind.ENGINE_SPEED, 40.0, FOREVER, 1, 0.25),),
+        constant_load(0.2),
+        constant_load(0.2),
+        constant_load(0.8),
+        heavy_tenant=True,
     ),
-    "flapping-upstream": _Shape(
-        200.0, level(0.12), level(0.1), level(0.28), faults=_flaps(200.0)
+    "slow-upstream": _LoadShape(
+        200.0,
+        constant_load(0.12),
+        constant_load(0.1),
+        constant_load(0.28),
+        faults=(Fault(FaultKind.ENGINE_SPEED, 40.0, NEVER_ENDS_SECONDS, 1, 0.25),),
+    ),
+    "flapping-upstream": _LoadShape(
+        200.0,
+        constant_load(0.12),
+        constant_load(0.1),
+        constant_load(0.28),
+        faults=_flaps(200.0),
     ),
     "saturation-1.0": _saturation(1.0),
     "saturation-1.5": _saturation(1.5),
     "saturation-3.0": _saturation(3.0),
-    "withdrawal-at-peak": _Shape(
+    "withdrawal-at-peak": _LoadShape(
         200.0,
-        level(0.1),
-        level(0.1),
-        steps(0.2, 0.45, ((50.0, 150.0),)),
-        faults=(Fault(FaultKind.WITHDRAWAL, 90.0, FOREVER),),
+        constant_load(0.1),
+        constant_load(0.1),
+        pulses(0.2, 0.45, ((50.0, 150.0),)),
+        faults=(Fault(FaultKind.WITHDRAWAL, 90.0, NEVER_ENDS_SECONDS),),
     ),
-    "key-value-down": _Shape(
+    "key-value-down": _LoadShape(
         300.0,
-        ramp(0.04, 0.36, 300.0),
-        level(0.08),
-        ramp(0.4, 0.08, 300.0),
+        linear_ramp(0.04, 0.36, 300.0),
+        constant_load(0.08),
+        linear_ramp(0.4, 0.08, 300.0),
         faults=(Fault(FaultKind.KEY_VALUE_DOWN, 60.0, 240.0),),
     ),
-    "late-reports": _Shape(
-        260.0, steps(0.04, 0.3, _BURSTS), level(0.1), level(0.3), load_lag=5.0
+    "late-reports": _LoadShape(
+        260.0,
+        pulses(0.04, 0.3, _BURSTS),
+        constant_load(0.1),
+        constant_load(0.3),
+        load_lag=5.0,
     ),
-    "retry-storm": _Shape(
+    "retry-storm": _LoadShape(
         200.0,
-        level(0.15),
-        level(0.12),
-        level(0.3),
+        constant_load(0.15),
+        constant_load(0.12),
+        constant_load(0.3),
         faults=(Fault(FaultKind.ENGINES_UNREACHABLE, 60.0, 80.0),),
         callers_retry=True,
     ),
@@ -207,50 +235,59 @@
 def scenario_names() -> tuple[str, ...]:
     """Return the names of all scenarios, as ``deployment/shape``."""
     return tuple(
-        f"{place}/{shape}"
-        for place in DEPLOYMENTS
-        for shape in SHAPES
-        if SHAPES[shape].only in (None, place)
+        f"{deployment_name}/{shape}"
+        for deployment_name in DEPLOYMENTS
+        for shape in LOAD_SHAPES
+        if LOAD_SHAPES[shape].only_deployment in (None, deployment_name)
     )
 
 
-def build(name: str, seed: int, fleet: Fleet | None = None) -> Scenario:
+def build_scenario(name: str, seed: int, fleet: Fleet | None = None) -> Scenario:
     """Generate a scenario with random requests.
 
     :param fleet: replaces the deployment's fleet.
     :raises KeyError: if no scenario has that name.
     """
-    place, _, shape_name = name.partition("/")
-    if place not in DEPLOYMENTS or name not in scenario_names():
+    deployment_name, _, shape_name = name.partition("/")
+    if deployment_name not in DEPLOYMENTS or name not in scenario_names():
         raise KeyError(name)
-    shape = SHAPES[shape_name]
-    fleet = fleet or deployment(place)
+    shape = LOAD_SHAPES[shape_name]
+    fleet = fleet or deployment(deployment_name)
     if shape.load_lag is not None:
         fleet = msgspec.structs.replace(fleet, load_lag=shape.load_lag)
     rng = random.Random(f"{name} {seed}")
-    requests = draw(
-        _flows(place, shape), shape.seconds, lambda p: _fleet_seconds(fleet, p), rng
+    requests = generate_requests(
+        _flows(deployment_name, shape),
+        shape.seconds,
+        lambda p: _fleet_seconds(fleet, p),
+        rng,
     )
     return Scenario(
         name, fleet, requests, shape.faults, shape.callers_retry, shape.seconds
     )
 
 
-def _flows(place: Deployment, shape: _Shape) -> list[Flow]:
-    tenants = even_tenants(place)
-    if shape.heavy:
+def _flows(deployment_name: Deployment, shape: _LoadShape) -> list[Flow]:
+    tenants = tenant_weights(deployment_name)
+    if shape.heavy_tenant:
         rest = sum(tenants[1:])
-        tenants = (rest * HEAVY_SHARE / (1.0 - HEAVY_SHARE), *tenants[1:])
+        tenants = (rest * HEAVY_TENANT_SHARE / (1.0 - HEAVY_TENANT_SHARE), *tenants[1:])
     levels = (shape.short, shape.middle, shape.long)
     flows = [
-        Flow(profile, moved, tenants)
-        for profile, moved in zip(PROFILES[place], levels, strict=True)
+        Flow(profile, load_function, tenants)
+        for profile, load_function in zip(
+            MODEL_PROFILES[deployment_name], levels, strict=True
+        )
     ]
-    calls = Flow(SERVICE_PROFILES[place], level(SERVICE_CALLS), tenants)
+    calls = Flow(
+        SERVICE_PROFILES[deployment_name],
+        constant_load(SERVICE_CALLS_PER_SECOND),
+        tenants,
+    )
     return [*flows, calls]
 
 
-SERVICE_CALLS = 2.0
+SERVICE_CALLS_PER_SECOND = 2.0
 """Rate of non-repeatable calls of plain services."""
 
 
@@ -263,8 +300,10 @@
         return 1.0
     engine = fleet.engines()[0]
     mean = math.exp(profile.spread**2 / 2.0)
-    fresh = 1.0 - fleet.shared_share if profile.prefixes else 1.0
+    uncached_share = 1.0 - fleet.shared_share if profile.prefixes else 1.0
     seconds = engine_seconds(
-        profile.prompt * mean * fresh, profile.output * mean, best_rates(fleet, engine)
+        profile.prompt * mean * uncached_share,
+        profile.output * mean,
+        best_rates(fleet, engine),
     )
     return seconds / len(fleet.engines())
--- a/src/bergamotmast/bench/sockets.py
+++ b/src/bergamotmast/bench/sockets.py
@@ -18,25 +18,25 @@
 import aiohttp
 import msgspec
 
-from .sockets_client import Callers
-from .sockets_client import EngineCaller
-from .sockets_client import EntryCaller
-from .sockets_client import Sample
+from .sockets_client import CallerPool
+from .sockets_client import CallSample
+from .sockets_client import EngineRequestFormat
+from .sockets_client import EntryRequestFormat
 from .sockets_fleet import SocketsFleet
 from .sockets_fleet import sockets_fleet
 from .sockets_report import Cost
-from .sockets_report import Measured
-from .sockets_report import as_text
-from .sockets_report import cost_of
-from .sockets_report import latency_of
-from .sockets_report import report_of
+from .sockets_report import Measurement
+from .sockets_report import build_report
+from .sockets_report import compute_cost
+from .sockets_report import compute_latency
+from .sockets_report import format_report
 
 WARM_UP_SECONDS = 1.0
 """Load before the measurement, for connections and predictions to settle."""
 
-ENGINES = 2
+ENGINE_COUNT = 2
 
-TURNS = 3
+ROUNDS = 3
 """Rounds in which the paths are loaded in turn, within each cost measurement."""
 
 LATENCY_CALLERS = 8
@@ -47,14 +47,14 @@
 STREAM_TOKENS = 150
 """Long answers, for the cost per token."""
 
-CHECK_CALLERS = 16
-CHECK_TOKENS = 1
+SHORT_ANSWER_CALLERS = 16
+SHORT_ANSWER_TOKENS = 1
 """Answers of one token, for the cost per request."""
 
 
 async def measure(
     seconds: float, profile_directory: pathlib.Path | None = None
-) -> Measured:
+) -> Measurement:
     """Start the processes, measure and stop them.
 
     :param seconds: duration of each of the five load phases; calls in flight at its end
@@ -63,29 +63,38 @@
     """
     connector = aiohttp.TCPConnector(limit=0)
     async with (
-        sockets_fleet(ENGINES, profile_directory) as fleet,
+        sockets_fleet(ENGINE_COUNT, profile_directory) as fleet,
         aiohttp.ClientSession(connector=connector) as session,
     ):
         paths = {
-            "engine": Callers(session, EngineCaller(), fleet.urls["engine-1"]),
-            "passthrough": Callers(session, EngineCaller(), fleet.urls["passthrough"]),
-            "entry": Callers(session, EntryCaller(), fleet.urls["entry"]),
+            "engine": CallerPool(
+                session, EngineRequestFormat(), fleet.urls["engine-1"]
+            ),
+            "passthrough": CallerPool(
+                session, EngineRequestFormat(), fleet.urls["passthrough"]
+            ),
+            "entry": CallerPool(session, EntryRequestFormat(), fleet.urls["entry"]),
         }
-        await _side_by_side(paths, WARM_UP_SECONDS)
-        samples = await _side_by_side(paths, seconds)
-        through = {path: paths[path] for path in ("passthrough", "entry")}
-        return Measured(
-            latency={path: latency_of(found) for path, found in samples.items()},
+        await _measure_concurrently(paths, WARM_UP_SECONDS)
+        samples = await _measure_concurrently(paths, seconds)
+        proxied = {path: paths[path] for path in ("passthrough", "entry")}
+        return Measurement(
+            latency={
+                path: compute_latency(call_samples)
+                for path, call_samples in samples.items()
+            },
             streams=await _costs(
-                fleet, through, STREAM_CALLERS, STREAM_TOKENS, seconds
+                fleet, proxied, STREAM_CALLERS, STREAM_TOKENS, seconds
+            ),
+            checks=await _costs(
+                fleet, proxied, SHORT_ANSWER_CALLERS, SHORT_ANSWER_TOKENS, seconds
             ),
-            checks=await _costs(fleet, through, CHECK_CALLERS, CHECK_TOKENS, seconds),
         )
 
 
-async def _side_by_side(
-    paths: dict[str, Callers], seconds: float
-) -> dict[str, list[Sample]]:
+async def _measure_concurrently(
+    paths: dict[str, CallerPool], seconds: float
+) -> dict[str, list[CallSample]]:
     """Load all paths concurrently, so that other load of the machine affects each."""
     work = [c.run(LATENCY_CALLERS, LATENCY_TOKENS, seconds) for c in paths.values()]
     return dict(zip(paths, await asyncio.gather(*work), strict=True))
@@ -93,28 +102,28 @@
 
 async def _costs(
     fleet: SocketsFleet,
-    paths: dict[str, Callers],
+    paths: dict[str, CallerPool],
     count: int,
     tokens: int,
     seconds: float,
 ) -> dict[str, Cost]:
     """Load the paths in turn, so that the machine's other load affects all alike."""
     costs: dict[str, Cost] = {}
-    for _ in range(TURNS):
+    for _ in range(ROUNDS):
         for path, callers in paths.items():
-            cost = await _cost(fleet, callers, count, tokens, seconds / TURNS)
+            cost = await _cost(fleet, callers, count, tokens, seconds / ROUNDS)
             costs[path] = costs[path].plus(cost) if path in costs else cost
     return costs
 
 
 async def _cost(
-    fleet: SocketsFleet, callers: Callers, count: int, tokens: int, seconds: float
+    fleet: SocketsFleet, callers: CallerPool, count: int, tokens: int, seconds: float
 ) -> Cost:
     loop = asyncio.get_running_loop()
     before = fleet.cpu()
     start = loop.time()
     samples = await callers.run(count, tokens, seconds)
-    return cost_of(samples, loop.time() - start, before, fleet.cpu())
+    return compute_cost(samples, loop.time() - start, before, fleet.cpu())
 
 
 def main(arguments: cabc.Sequence[str] | None = None) -> None:
@@ -131,11 +140,11 @@
         help="profile all processes into a directory",
     )
     parsed = parser.parse_args(arguments)
-    report = report_of(asyncio.run(measure(parsed.seconds, parsed.profile)))
+    report = build_report(asyncio.run(measure(parsed.seconds, parsed.profile)))
     if parsed.json:
         sys.stdout.write(msgspec.json.encode(report).decode() + "\n")
     else:
-        sys.stdout.write(as_text(report))
+        sys.stdout.write(format_report(report))
 
 
 if __name__ == "__main__":
--- a/src/bergamotmast/bench/sockets_client.py
+++ b/src/bergamotmast/bench/sockets_client.py
@@ -20,10 +20,10 @@
 PROMPT_TOKENS = 50
 
 _EVENT = b"data: "
-_END = b"\n\ndata: [DONE]\n\n"
+_END_OF_STREAM = b"\n\ndata: [DONE]\n\n"
 
 
-class WrongAnswerError(BergamotmastError):
+class UnexpectedAnswerError(BergamotmastError):
     """A call's answer is incomplete or differs from the expected one."""
 
 
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sample:
+class CallSample:
     """Latencies of one call.
 
     :param tokens: length of the answer.
@@ -52,21 +52,21 @@
     gaps: tuple[float, ...]
 
 
-class Caller(t.Protocol):
+class RequestFormat(t.Protocol):
     """Format of the requests that one kind of target accepts."""
 
-    def body(self, number: str, prompt: str, tokens: int) -> bytes:
+    def body(self, request_id: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
         ...
 
 
-class EngineCaller:
+class EngineRequestFormat:
     """Requests of an engine, or of a pass-through before one."""
 
-    def body(self, number: str, prompt: str, tokens: int) -> bytes:
+    def body(self, request_id: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
         request = GenerateRequest(
-            stream_id=number,
+            stream_id=request_id,
             model=MODEL,
             prompt=prompt,
             prompt_tokens=PROMPT_TOKENS,
@@ -76,32 +76,32 @@
         return msgspec.json.encode(request)
 
 
-class EntryCaller:
+class EntryRequestFormat:
     """Requests of an entry."""
 
-    def body(self, number: str, prompt: str, tokens: int) -> bytes:
+    def body(self, request_id: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
         fields = {"model": MODEL, "prompt": prompt, "max_tokens": tokens}
         return msgspec.json.encode(fields | {"stream": True})
 
 
-class Callers:
+class CallerPool:
     """Concurrent callers of one target that share an HTTP session.
 
     :param caller: format of the target's requests.
     :param url: base address of the target.
     """
 
-    _numbers = itertools.count(1)
+    _request_numbers = itertools.count(1)
 
     def __init__(
-        self, session: aiohttp.ClientSession, caller: Caller, url: str
+        self, session: aiohttp.ClientSession, caller: RequestFormat, url: str
     ) -> None:
         self.session = session
         self.caller = caller
         self.url = url + "/v1/completions"
 
-    async def run(self, callers: int, tokens: int, seconds: float) -> list[Sample]:
+    async def run(self, callers: int, tokens: int, seconds: float) -> list[CallSample]:
         """Run callers that each make one call after the other.
 
         :param callers: number of concurrent callers.
@@ -112,27 +112,27 @@
         work = (self._repeat(tokens, until) for _ in range(callers))
         return [s for samples in await asyncio.gather(*work) for s in samples]
 
-    async def _repeat(self, tokens: int, until: float) -> list[Sample]:
+    async def _repeat(self, tokens: int, until: float) -> list[CallSample]:
         samples = []
         while asyncio.get_running_loop().time() < until:
             samples.append(await self.call(tokens))
         return samples
 
-    async def call(self, tokens: int) -> Sample:
+    async def call(self, tokens: int) -> CallSample:
         """Make one call.
 
         :raises UnexpectedAnswerError: if the answer is incomplete or differs.
         """
-        number = f"n{next(self._numbers)}"
-        head = f"[out={tokens}] {number} "
+        request_id = f"n{next(self._request_numbers)}"
+        head = f"[out={tokens}] {request_id} "
         prompt = head + "word " * (PROMPT_TOKENS - 2)
         headers = {
             "X-Tenant": "t",
             "X-Request-Class": REQUEST_CLASS,
-            "X-Request-Id": number,
+            "X-Request-Id": request_id,
             "Content-Type": "application/json",
         }
-        body = self.caller.body(number, prompt, tokens)
+        body = self.caller.body(request_id, prompt, tokens)
         loop = asyncio.get_running_loop()
         times = [loop.time()]
         parts = []
@@ -141,8 +141,10 @@
                 parts.append(part)
                 times += [loop.time()] * part.count(_EVENT)
         if answer_text(b"".join(parts)) != expected_text(MODEL, prompt, tokens):
-            raise WrongAnswerError(f"call {number} of {self.url}: unexpected text")
-        return sample(tokens, times)
+            raise UnexpectedAnswerError(
+                f"call {request_id} of {self.url}: unexpected text"
+            )
+        return call_sample(tokens, times)
 
 
 def answer_text(stream: bytes) -> str:
@@ -150,14 +152,16 @@
 
     :raises UnexpectedAnswerError: if the end-of-stream event is missing.
     """
-    if not stream.endswith(_END):
-        raise WrongAnswerError(f"stream without its final event: {stream[-200:]!r}")
-    events = stream.removesuffix(_END).split(b"\n\n")
+    if not stream.endswith(_END_OF_STREAM):
+        raise UnexpectedAnswerError(
+            f"stream without its final event: {stream[-200:]!r}"
+        )
+    events = stream.removesuffix(_END_OF_STREAM).split(b"\n\n")
     decoded = (_DECODER.decode(event.removeprefix(_EVENT)) for event in events)
     return "".join(event.choices[0].text for event in decoded)
 
 
-def sample(tokens: int, times: list[float]) -> Sample:
+def call_sample(tokens: int, times: list[float]) -> CallSample:
     """Return the latencies of a call.
 
     :param times: when the call was sent, then when each event arrived, the final event
@@ -165,4 +169,4 @@
     """
     events = times[1:-1]
     gaps = tuple(b - a for a, b in itertools.pairwise(events))
-    return Sample(tokens, events[0] - times[0], gaps)
+    return CallSample(tokens, events[0] - times[0], gaps)
--- a/src/bergamotmast/bench/sockets_fleet.py
+++ b/src/bergamotmast/bench/sockets_fleet.py
@@ -34,13 +34,13 @@
 REQUEST_CLASS = "c"
 ZONE = "zone-a"
 
-START_TIMEOUT = 30.0
+START_TIMEOUT_SECONDS = 30.0
 """Time within which a process must be ready."""
 
-STOP_TIMEOUT = 10.0
+STOP_TIMEOUT_SECONDS = 10.0
 """Time after SIGTERM at which a process is killed."""
 
-ANSWER_SECONDS = 60.0
+REQUEST_DEADLINE_SECONDS = 60.0
 """Deadline of all requests; long enough that none is refused because of it."""
 
 STEP_SECONDS = 0.01
@@ -50,7 +50,7 @@
 _USER_FIELD = 11
 """Index of ``utime`` after the command name in ``/proc/<pid>/stat``."""
 
-RATES = RoleRates(
+ENGINE_RATES = RoleRates(
     prefill_rate=1e6,
     prefill_share=1.0,
     step_base=STEP_SECONDS,
@@ -114,7 +114,7 @@
             "name": name,
             "assignment": Assignment(Role.MIXED, (f"{MODEL}@1",)),
             "spec": EngineSpec(
-                roles=dict.fromkeys(Role, RATES), kv_capacity=100_000_000
+                roles=dict.fromkeys(Role, ENGINE_RATES), kv_capacity=100_000_000
             ),
         }
         await self._start_standin(name, "engine", options)
@@ -132,7 +132,7 @@
             selectors=(Selector("models", "pool=main", models=(f"{MODEL}@1",)),),
             classes={
                 REQUEST_CLASS: RequestClass(
-                    first_token=ANSWER_SECONDS, total=ANSWER_SECONDS
+                    first_token=REQUEST_DEADLINE_SECONDS, total=REQUEST_DEADLINE_SECONDS
                 )
             },
         )
@@ -144,7 +144,7 @@
     async def _start_side(self, name: str, address: str) -> None:
         arguments = (
             "side",
-            *self._shared(name),
+            *self._common_flags(name),
             "--listen-address",
             address,
             "--upstream-url",
@@ -159,16 +159,16 @@
         self.urls["entry"] = f"http://{address}"
         arguments = (
             "entry",
-            *self._shared("entry"),
+            *self._common_flags("entry"),
             "--listen-address",
             address,
             "--planner",
             "false",
         )
         await self._launch("entry", "bergamotmast", arguments)
-        await self._until_serving()
+        await self._wait_until_serving()
 
-    def _shared(self, name: str) -> tuple[str, ...]:
+    def _common_flags(self, name: str) -> tuple[str, ...]:
         return (
             "--name",
             name,
@@ -182,9 +182,9 @@
             "warning",
         )
 
-    async def _until_serving(self) -> None:
+    async def _wait_until_serving(self) -> None:
         async with aiohttp.ClientSession() as session:
-            async with asyncio.timeout(START_TIMEOUT):
+            async with asyncio.timeout(START_TIMEOUT_SECONDS):
                 while True:
                     async with session.get(self.urls["entry"] + "/health/sides") as r:
                         if int(await r.text()) >= len(self.engines):
@@ -203,7 +203,7 @@
         )
         self.processes[name] = process
         assert process.stdout is not None
-        async with asyncio.timeout(START_TIMEOUT):
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             line = await process.stdout.readline()
         if not line:
             raise RuntimeError(f"process {name} exited before it was ready")
@@ -229,7 +229,7 @@
             with contextlib.suppress(ProcessLookupError):
                 process.terminate()
             try:
-                async with asyncio.timeout(STOP_TIMEOUT):
+                async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
                     await process.wait()
             except TimeoutError:
                 process.kill()
--- a/src/bergamotmast/bench/sockets_report.py
+++ b/src/bergamotmast/bench/sockets_report.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 from ..load import percentile
-from .sockets_client import Sample
+from .sockets_client import CallSample
 
 MILLISECONDS = 1000.0
 
@@ -67,7 +67,7 @@
         )
 
 
-def latency_of(samples: cabc.Sequence[Sample]) -> Latency:
+def compute_latency(samples: cabc.Sequence[CallSample]) -> Latency:
     """Return the latency percentiles of calls."""
     firsts = [s.first for s in samples]
     gaps = [gap for s in samples for gap in s.gaps]
@@ -79,8 +79,8 @@
     )
 
 
-def cost_of(
-    samples: cabc.Sequence[Sample],
+def compute_cost(
+    samples: cabc.Sequence[CallSample],
     seconds: float,
     before: dict[str, float],
     after: dict[str, float],
@@ -96,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Measured:
+class Measurement:
     """Measured values of one run.
 
     :param latency: latency by path: ``engine``, ``passthrough`` and ``entry``.
@@ -135,13 +135,13 @@
     :param added_to_floor: latency that the entry adds to that of the pass-through.
     """
 
-    measured: Measured
+    measured: Measurement
     per_core: dict[str, PerCore]
     added_to_engine: dict[str, Latency]
     added_to_floor: Latency
 
 
-def report_of(measured: Measured) -> Report:
+def build_report(measured: Measurement) -> Report:
     """Return the report of a run."""
     latency = measured.latency
     floor = latency["engine"]
@@ -157,7 +157,7 @@
     )
 
 
-def _per_core(measured: Measured, kind: str) -> PerCore:
+def _per_core(measured: Measurement, kind: str) -> PerCore:
     path = "passthrough" if kind == "passthrough" else "entry"
     tokens = measured.streams[path].tokens_per_core(kind)
     requests = measured.checks[path].requests_per_core(kind)
@@ -166,7 +166,7 @@
     return PerCore(tokens, requests, tokens / floor_tokens, requests / floor_requests)
 
 
-def as_text(report: Report) -> str:
+def format_report(report: Report) -> str:
     """Return the report as a text table."""
     lines = ["a core second of       tokens  of floor  requests  of floor"]
     for kind, core in report.per_core.items():
--- a/src/bergamotmast/bench/summary.py
+++ b/src/bergamotmast/bench/summary.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .metrics import DIGITS
+from .metrics import DECIMAL_PLACES
 from .metrics import RunResult
 
 
@@ -69,16 +69,16 @@
 
 
 def _median(values: cabc.Sequence[float]) -> float:
-    return round(statistics.median(values), DIGITS)
+    return round(statistics.median(values), DECIMAL_PLACES)
 
 
-def table(summaries: cabc.Sequence[PolicySummary]) -> str:
+def format_table(summaries: cabc.Sequence[PolicySummary]) -> str:
     """Return the summaries as a text table."""
-    head = (
+    header = (
         f"{'scenario':28} {'policy':18} {'goodput':>8} {'oracle':>7} {'met':>6} "
         f"{'changes':>7} {'lost s':>7} {'wasted':>7} {'shed':>6} {'least':>6}  kept"
     )
-    return "\n".join([head, *(_row(s) for s in summaries)])
+    return "\n".join([header, *(_row(s) for s in summaries)])
 
 
 def _row(s: PolicySummary) -> str:
--- a/src/bergamotmast/bench/workload.py
+++ b/src/bergamotmast/bench/workload.py
@@ -10,7 +10,7 @@
 
 from .trace import TraceRequest
 
-Level: t.TypeAlias = cabc.Callable[[float], float]
+LoadFunction: t.TypeAlias = cabc.Callable[[float], float]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     repeatable: bool = True
 
 
-PROFILES: dict[str, tuple[ClassProfile, ...]] = {
+MODEL_PROFILES: dict[str, tuple[ClassProfile, ...]] = {
     "trindade": (
         ClassProfile("hold-check", 700, 2, 0.4, 5.0, prefixes=2),
         ClassProfile("question", 900, 120, 0.5, 30.0, prefixes=1),
@@ -56,7 +56,7 @@
 }
 """Non-repeatable calls of plain services."""
 
-TENANTS = {"trindade": 12, "alliance": 8}
+TENANT_COUNTS = {"trindade": 12, "alliance": 8}
 """Number of tenants of each deployment."""
 
 
@@ -70,16 +70,16 @@
     """
 
     profile: ClassProfile
-    level: Level
+    load: LoadFunction
     tenants: tuple[float, ...]
 
 
-def even_tenants(deployment: str) -> tuple[float, ...]:
+def tenant_weights(deployment: str) -> tuple[float, ...]:
     """Return relative probabilities that fall slowly from tenant to tenant."""
-    return tuple(1.0 / (1.0 + 0.15 * i) for i in range(TENANTS[deployment]))
+    return tuple(1.0 / (1.0 + 0.15 * i) for i in range(TENANT_COUNTS[deployment]))
 
 
-def draw(
+def generate_requests(
     flows: cabc.Sequence[Flow],
     seconds: float,
     fleet_seconds: cabc.Callable[[ClassProfile], float],
@@ -92,24 +92,24 @@
     """
     requests: list[TraceRequest] = []
     for flow in flows:
-        requests += _draw_flow(flow, seconds, fleet_seconds(flow.profile), rng)
+        requests += _generate_flow(flow, seconds, fleet_seconds(flow.profile), rng)
     return tuple(sorted(requests, key=lambda r: r.at))
 
 
-def _draw_flow(
+def _generate_flow(
     flow: Flow, seconds: float, fleet_seconds: float, rng: random.Random
 ) -> list[TraceRequest]:
     """Generate Poisson arrivals whose rate follows the flow's load, by thinning."""
     requests: list[TraceRequest] = []
     now = 0.0
-    peak = max(flow.level(seconds * i / 200.0) for i in range(201)) / fleet_seconds
+    peak = max(flow.load(seconds * i / 200.0) for i in range(201)) / fleet_seconds
     if peak <= 0.0:
         return []
     while True:
         now += rng.expovariate(peak)
         if now >= seconds:
             return requests
-        if rng.random() * peak * fleet_seconds <= flow.level(now):
+        if rng.random() * peak * fleet_seconds <= flow.load(now):
             requests.append(_request(flow, now, rng))
 
 
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -14,7 +14,7 @@
 from bergamotmast.bench.metrics import jain
 from bergamotmast.bench.oracle import Outage
 from bergamotmast.bench.oracle import oracle_tokens
-from bergamotmast.bench.scenarios import build
+from bergamotmast.bench.scenarios import build_scenario
 from bergamotmast.bench.scenarios import scenario_names
 from bergamotmast.bench.trace import TraceError
 from bergamotmast.bench.trace import TraceRequest
@@ -114,9 +114,9 @@
 
 @pytest.mark.parametrize("name", scenario_names())
 def test_scenarios_are_drawn_by_seed(name: str) -> None:
-    drawn = build(name, 1)
-    assert drawn.requests == build(name, 1).requests
-    assert drawn.requests != build(name, 2).requests
+    drawn = build_scenario(name, 1)
+    assert drawn.requests == build_scenario(name, 1).requests
+    assert drawn.requests != build_scenario(name, 2).requests
 
 
 def test_fleet_files_of_both_deployments_are_in_the_examples() -> None:
--- a/tests/test_bench_sockets.py
+++ b/tests/test_bench_sockets.py
@@ -8,18 +8,18 @@
 from aiohttp import web
 
 from bergamotmast.bench.passthrough import PassThrough
-from bergamotmast.bench.sockets_client import WrongAnswerError
+from bergamotmast.bench.sockets_client import UnexpectedAnswerError
 from bergamotmast.bench.sockets_client import answer_text
-from bergamotmast.bench.sockets_client import sample
+from bergamotmast.bench.sockets_client import call_sample
 from bergamotmast.bench.sockets_fleet import TICKS_PER_SECOND
 from bergamotmast.bench.sockets_fleet import cpu_seconds
 from bergamotmast.bench.sockets_report import Cost
 from bergamotmast.bench.sockets_report import Latency
-from bergamotmast.bench.sockets_report import Measured
-from bergamotmast.bench.sockets_report import as_text
-from bergamotmast.bench.sockets_report import cost_of
-from bergamotmast.bench.sockets_report import latency_of
-from bergamotmast.bench.sockets_report import report_of
+from bergamotmast.bench.sockets_report import Measurement
+from bergamotmast.bench.sockets_report import build_report
+from bergamotmast.bench.sockets_report import compute_cost
+from bergamotmast.bench.sockets_report import compute_latency
+from bergamotmast.bench.sockets_report import format_report
 from bergamotmast.standins.http_common import serving
 
 SHARED = {"side-engine-1": 0.5, "side-engine-2": 0.5, "entry": 2.0, "passthrough": 0.0}
@@ -27,7 +27,7 @@
 
 
 def measured():
-    return Measured(
+    return Measurement(
         latency={
             "engine": Latency(0.005, 0.010, 0.010, 0.012),
             "passthrough": Latency(0.006, 0.012, 0.010, 0.013),
@@ -45,7 +45,7 @@
 
 
 def test_a_core_carries_what_its_processor_time_says():
-    report = report_of(measured())
+    report = build_report(measured())
     assert report.per_core["passthrough"].tokens == 2000
     assert report.per_core["entry"].tokens_share == 0.25
     assert report.per_core["side"].requests == 100
@@ -53,27 +53,30 @@
 
 
 def test_added_latency_is_a_difference_of_percentiles():
-    report = report_of(measured())
+    report = build_report(measured())
     assert report.added_to_engine["entry"].first_p95 == pytest.approx(0.010)
     assert report.added_to_floor.first_p50 == pytest.approx(0.004)
 
 
 def test_text_names_every_path_and_kind():
-    lines = as_text(report_of(measured())).splitlines()
+    lines = format_report(build_report(measured())).splitlines()
     assert "entry                     500      0.25        50      0.25" in lines
     assert "added to floor          4.00      8.00         0.00      2.00" in lines
     assert "streams by entry: 2 requests/s, 250 tokens/s" in lines
 
 
 def test_json_carries_the_same():
-    decoded = msgspec.json.decode(msgspec.json.encode(report_of(measured())))
+    decoded = msgspec.json.decode(msgspec.json.encode(build_report(measured())))
     assert decoded["per_core"]["entry"]["tokens"] == 500
     assert decoded["measured"]["checks"]["entry"]["cpu"] == SHARED
 
 
 def test_cost_counts_only_the_stretch():
-    samples = [sample(2, [0.0, 0.1, 0.3, 0.3]), sample(3, [0.0, 0.2, 0.2, 0.4, 0.4])]
-    cost = cost_of(samples, 1.0, {"entry": 1.0}, {"entry": 1.5})
+    samples = [
+        call_sample(2, [0.0, 0.1, 0.3, 0.3]),
+        call_sample(3, [0.0, 0.2, 0.2, 0.4, 0.4]),
+    ]
+    cost = compute_cost(samples, 1.0, {"entry": 1.0}, {"entry": 1.5})
     assert (cost.requests, cost.tokens, cost.cpu) == (2, 5, {"entry": 0.5})
 
 
@@ -83,10 +86,10 @@
 
 
 def test_the_end_of_a_stream_is_no_token():
-    seen = sample(3, [1.0, 1.5, 1.5, 1.75, 9.0])
+    seen = call_sample(3, [1.0, 1.5, 1.5, 1.75, 9.0])
     assert seen.first == 0.5
     assert seen.gaps == (0.0, 0.25)
-    assert latency_of([seen]).between_p95 == 0.25
+    assert compute_latency([seen]).between_p95 == 0.25
 
 
 def test_processor_time_is_read_behind_any_command_name():
@@ -103,7 +106,7 @@
 
 @pytest.mark.parametrize("stream", [EVENT, EVENT + b"data: [DONE]", EVENT[:-1]])
 def test_a_stream_that_breaks_off_is_an_error(stream):
-    with pytest.raises(WrongAnswerError):
+    with pytest.raises(UnexpectedAnswerError):
         answer_text(stream)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -3,12 +3,12 @@
 from bergamotmast.bench.capacity import measure_config
 from bergamotmast.bench.capacity import measure_control
 from bergamotmast.bench.capacity import measure_edits
-from bergamotmast.bench.capacity import on_new_loop
+from bergamotmast.bench.capacity import run_in_virtual_time
 
 
 def test_a_session_costs_the_same_in_a_fleet_twice_the_size():
-    small = on_new_loop(measure_control(2, 4))
-    large = on_new_loop(measure_control(4, 4))
+    small = run_in_virtual_time(measure_control(2, 4))
+    large = run_in_virtual_time(measure_control(4, 4))
     assert (small.sessions, large.sessions) == (8, 16)
     assert abs(large.session_bytes - small.session_bytes) < 0.1 * small.session_bytes
     assert large.kv_watches == small.kv_watches + 2
@@ -17,8 +17,8 @@
 def test_an_edit_does_not_carry_the_whole_document():
     # With a thousand tenants a document is some 200 kB; every process reads only what
     # an edit changed, or a burst of edits would spend the whole network budget.
-    config = on_new_loop(measure_config(1000, 4))
-    edits = on_new_loop(measure_edits(1000, 1, 4))
+    config = run_in_virtual_time(measure_config(1000, 4))
+    edits = run_in_virtual_time(measure_edits(1000, 1, 4))
     assert config.document_bytes > 100_000
     assert edits.read_bytes < 0.05 * config.document_bytes
     assert edits.slowest_seconds < 18.0
