--- a/bench/engine_frontend.py
+++ b/bench/engine_frontend.py
@@ -75,19 +75,19 @@
     started = time.monotonic()
     counts = await _drive(url, arguments)
     elapsed = time.monotonic() - started
-    used = _cpu_seconds(process.pid) - before
+    cpu_seconds = _cpu_seconds(process.pid) - before
     process.terminate()
     await process.wait()
-    own = resource.getrusage(resource.RUSAGE_SELF)
+    usage = resource.getrusage(resource.RUSAGE_SELF)
     result = {
         "streams": arguments.streams,
         "tokens_per_chunk": arguments.tokens_per_chunk,
         "tokens": counts["tokens"],
         "requests": counts["requests"],
         "elapsed_seconds": round(elapsed, 2),
-        "standin_core_seconds": round(used, 2),
-        "tokens_per_core_second": round(counts["tokens"] / used),
-        "client_core_seconds": round(own.ru_utime + own.ru_stime, 2),
+        "standin_core_seconds": round(cpu_seconds, 2),
+        "tokens_per_core_second": round(counts["tokens"] / cpu_seconds),
+        "client_core_seconds": round(usage.ru_utime + usage.ru_stime, 2),
     }
     print(json.dumps(result))
 
@@ -95,13 +95,13 @@
 async def _drive(url: str, arguments: argparse.Namespace) -> dict[str, int]:
     counts = {"tokens": 0, "requests": 0}
     loop = asyncio.get_running_loop()
-    until = loop.time() + arguments.seconds
+    end = loop.time() + arguments.seconds
     prompt = f"[out={arguments.output_tokens}]"
     async with client_session() as session:
         engine = HttpEngine(session, url)
 
         async def run_worker(worker: int) -> None:
-            while loop.time() < until:
+            while loop.time() < end:
                 counts["requests"] += 1
                 request = GenerateRequest(
                     f"{worker}-{counts['requests']}",
--- a/bench/engine_virtual_time.py
+++ b/bench/engine_virtual_time.py
@@ -36,7 +36,7 @@
     loop = looptime.new_event_loop(noop_cycles=arguments.noop_cycles)
     started = time.process_time()
     tokens, first_tokens = loop.run_until_complete(drive(arguments))
-    used = time.process_time() - started
+    cpu_seconds = time.process_time() - started
     first_tokens.sort()
     result = {
         **vars(arguments),
@@ -44,8 +44,8 @@
         "virtual_seconds": round(loop.time(), 3),
         "first_token_p50": round(first_tokens[len(first_tokens) // 2], 3),
         "first_token_p95": round(first_tokens[len(first_tokens) * 95 // 100], 3),
-        "core_seconds": round(used, 2),
-        "requests_per_core_second": round(arguments.requests / used),
+        "core_seconds": round(cpu_seconds, 2),
+        "requests_per_core_second": round(arguments.requests / cpu_seconds),
     }
     print(json.dumps(result))
 
--- a/bench/play_days.py
+++ b/bench/play_days.py
@@ -122,55 +122,66 @@
         command.append("--no-cpu")
     if options.small:
         command.append("--small")
-    done = subprocess.run(
+    completed = subprocess.run(
         command, cwd=copy, capture_output=True, text=True, check=False
     )
     copy_journal_entries(copy)
     if not report.exists():
-        print(name, day, seed, done.stdout[-600:], done.stderr[-300:], file=sys.stderr)
+        print(
+            name,
+            day,
+            seed,
+            completed.stdout[-600:],
+            completed.stderr[-300:],
+            file=sys.stderr,
+        )
         return None
     return DayRun(name, site.stem, day, seed, json.loads(report.read_text()))
 
 
-def summary(plays: list[DayRun]) -> str:
+def summary(runs: list[DayRun]) -> str:
     """Return a one-line summary of runs of one variant."""
-    worth = [p.report["G"] for p in plays]
-    cells = [f"worth {statistics.median(worth):.3f} (mean {statistics.mean(worth):.3f}"]
-    cells[0] += f", {min(worth):.3f} to {max(worth):.3f})"
+    scores = [p.report["G"] for p in runs]
+    cells = [
+        f"worth {statistics.median(scores):.3f} (mean {statistics.mean(scores):.3f}"
+    ]
+    cells[0] += f", {min(scores):.3f} to {max(scores):.3f})"
     for key in ("served", "refused", "failed"):
-        cells.append(f"{key} {statistics.mean(p.report[key] for p in plays):.3f}")
-    for weight, part in enumerate(plays[0].report["parts"]):
-        values = [p.report["parts"][weight][2] for p in plays]
+        cells.append(f"{key} {statistics.mean(p.report[key] for p in runs):.3f}")
+    for weight, part in enumerate(runs[0].report["parts"]):
+        values = [p.report["parts"][weight][2] for p in runs]
         cells.append(f"{part[0]} {statistics.mean(values):.3f}")
-    deduction = {row[0]: 0.0 for row in plays[0].report["prices"]}
-    means = {
-        name: statistics.mean(p.deduction(name) for p in plays) for name in deduction
-    }
-    dearest = sorted(means.items(), key=lambda item: -item[1])[:4]
+    names = {row[0]: 0.0 for row in runs[0].report["prices"]}
+    means = {name: statistics.mean(p.deduction(name) for p in runs) for name in names}
+    largest = sorted(means.items(), key=lambda item: -item[1])[:4]
     cells.append(f"prices {sum(means.values()):.3f}")
-    cells += [f"{name[:32]} {value:.4f}" for name, value in dearest]
-    broken = [
+    cells += [f"{name[:32]} {value:.4f}" for name, value in largest]
+    violations = [
         f"{p.day}/{p.seed}:{','.join(p.report['breaks'])}"
-        for p in plays
+        for p in runs
         if p.report["breaks"]
     ]
-    missed = sum(bool(p.report["missed"]) for p in plays)
-    if broken:
-        cells.append(f"BROKEN {' '.join(broken)}")
-    if missed:
-        cells.append(f"floors missed in {missed}")
+    missed_count = sum(bool(p.report["missed"]) for p in runs)
+    if violations:
+        cells.append(f"BROKEN {' '.join(violations)}")
+    if missed_count:
+        cells.append(f"floors missed in {missed_count}")
     return "; ".join(cells)
 
 
-def difference(plays: list[DayRun], first: list[DayRun]) -> str:
+def difference(runs: list[DayRun], baseline: list[DayRun]) -> str:
     """Return the mean score difference from the first variant on the same days."""
-    before = {(p.day, p.seed): p.report["G"] for p in first}
-    pairs = [(p.report["G"], before.get((p.day, p.seed))) for p in plays]
-    found = [now - then for now, then in pairs if then is not None]
-    if not found:
+    baseline_scores = {(p.day, p.seed): p.report["G"] for p in baseline}
+    pairs = [(p.report["G"], baseline_scores.get((p.day, p.seed))) for p in runs]
+    differences = [
+        score - baseline_score
+        for score, baseline_score in pairs
+        if baseline_score is not None
+    ]
+    if not differences:
         return "nothing to compare"
-    error = statistics.pstdev(found) / len(found) ** 0.5
-    return f"{statistics.mean(found):+.3f} (standard error {error:.3f})"
+    error = statistics.pstdev(differences) / len(differences) ** 0.5
+    return f"{statistics.mean(differences):+.3f} (standard error {error:.3f})"
 
 
 def main() -> None:
@@ -210,23 +221,24 @@
         results = pool.map(
             lambda job: run_day(options.bench, copies, job, options), jobs
         )
-        plays = [result for result in results if result is not None]
+        runs = [result for result in results if result is not None]
     for site in options.site:
         print(f"== {site.stem}")
-        here = [p for p in plays if p.site == site.stem]
-        first = [p for p in here if p.variant == options.variant[0].name]
+        site_runs = [p for p in runs if p.site == site.stem]
+        baseline = [p for p in site_runs if p.variant == options.variant[0].name]
         for variant in options.variant:
-            own = [p for p in here if p.variant == variant.name]
-            if own:
-                print(f"{variant.name:20} {len(own):3} plays: {summary(own)}")
-                print(" " * 21 + f"against the first: {difference(own, first)}")
+            own_runs = [p for p in site_runs if p.variant == variant.name]
+            if own_runs:
+                print(f"{variant.name:20} {len(own_runs):3} plays: {summary(own_runs)}")
+                print(" " * 21 + f"against the first: {difference(own_runs, baseline)}")
                 by_day: dict[str, list[float]] = {}
-                for p in own:
+                for p in own_runs:
                     by_day.setdefault(p.day, []).append(p.report["G"])
                 print(
                     " " * 21
                     + "  ".join(
-                        f"{d} {statistics.median(w):.3f}" for d, w in by_day.items()
+                        f"{d} {statistics.median(day_scores):.3f}"
+                        for d, day_scores in by_day.items()
                     )
                 )
 
--- a/spec/check.py
+++ b/spec/check.py
@@ -75,10 +75,10 @@
         return self.complete and bool(self.violated) is bool(self.case.flag)
 
     def __str__(self) -> str:
-        word = "as expected" if self.as_expected else "WRONG"
+        status = "as expected" if self.as_expected else "WRONG"
         found = f"rejected: {self.violated}" if self.violated else "holds"
         count = f"{self.states:>8} states {self.seconds:5.1f} s"
-        return f"{self.case!s:36} {word:11} {count}  {found}"
+        return f"{self.case!s:36} {status:11} {count}  {found}"
 
 
 def flags(name: str) -> list[str]:
@@ -100,7 +100,7 @@
     :raises subprocess.CalledProcessError: if Spin or the compiler reports an error.
     :raises subprocess.TimeoutExpired: if a step takes longer than allowed.
     """
-    begin = time.monotonic()
+    start = time.monotonic()
     source = DIRECTORY / f"{case.name}.pml"
     define = [f"-D{case.flag}"] if case.flag else []
     # Breadth-first search finds the shortest counterexample of a mutant, and early. The
@@ -110,7 +110,7 @@
         _call(["spin", "-a", *define, os.fspath(source)], directory)
         _call([*COMPILE_COMMAND, *options, "-o", "pan", "pan.c"], directory)
         output = _call(["./pan", f"-m{MAX_SEARCH_DEPTH}", "-n"], directory)
-    return _verdict(case, output, time.monotonic() - begin)
+    return _parse_output(case, output, time.monotonic() - start)
 
 
 def _call(command: list[str], directory: str) -> str:
@@ -124,7 +124,7 @@
     ).stdout
 
 
-def _verdict(case: Case, output: str, seconds: float) -> CheckResult:
+def _parse_output(case: Case, output: str, seconds: float) -> CheckResult:
     errors = _ERRORS.search(output)
     states = _STATES.search(output)
     violated = _PROPERTY.search(output)
