--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -63,7 +63,7 @@
         read_trace(path)
 
 
-def test_foreign_fleet_runs(
+def test_custom_fleet_file_runs(
     trace: pathlib.Path,
     tmp_path: pathlib.Path,
     capfdbinary: pytest.CaptureFixture[bytes],
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("policy", ["default", *BASELINES])
-def test_same_seed_gives_the_same_bytes(
+def test_same_seed_gives_identical_output(
     policy: str, trace: pathlib.Path, capfdbinary: pytest.CaptureFixture[bytes]
 ) -> None:
     outputs = []
@@ -107,16 +107,16 @@
         ([], "--trace"),
     ],
 )
-def test_errors_say_what_is_allowed(flags: list[str], message: str) -> None:
+def test_errors_name_what_is_allowed(flags: list[str], message: str) -> None:
     with pytest.raises(SettingError, match=message):
         cli.run(arguments(*flags))
 
 
 @pytest.mark.parametrize("name", scenario_names())
-def test_scenarios_are_drawn_by_seed(name: str) -> None:
-    drawn = build_scenario(name, 1)
-    assert drawn.requests == build_scenario(name, 1).requests
-    assert drawn.requests != build_scenario(name, 2).requests
+def test_scenarios_are_reproducible_from_the_seed(name: str) -> None:
+    scenario = build_scenario(name, 1)
+    assert scenario.requests == build_scenario(name, 1).requests
+    assert scenario.requests != build_scenario(name, 2).requests
 
 
 def test_fleet_files_of_both_deployments_are_in_the_examples() -> None:
@@ -125,34 +125,36 @@
         assert read_fleet(directory / f"{name}.json") == deployment(name)  # type: ignore[arg-type]
 
 
-def _long(at: float, deadline: float) -> TraceRequest:
+def long_request(at: float, deadline: float) -> TraceRequest:
     return TraceRequest(
         at=at, model="m", prompt_tokens=1, output_tokens=1000, deadline=deadline
     )
 
 
-def _one_engine() -> Fleet:
+def fleet_of_one_engine() -> Fleet:
     fleet = deployment("trindade")
     return msgspec.structs.replace(fleet, upstreams=fleet.engines()[:1])
 
 
-def test_bound_of_what_fits_is_all_of_it() -> None:
-    assert oracle_tokens([_long(0.0, 60.0)], _one_engine()) == pytest.approx(1000)
+def test_oracle_bound_of_feasible_load_is_the_whole_load() -> None:
+    assert oracle_tokens(
+        [long_request(0.0, 60.0)], fleet_of_one_engine()
+    ) == pytest.approx(1000)
 
 
-def test_bound_of_an_overload_is_the_capacity() -> None:
-    # An engine decodes 1538 tokens a second at best; all must end within 20 s.
-    requests = [_long(0.0, 20.0)] * 100
-    bound = oracle_tokens(requests, _one_engine())
+def test_oracle_bound_of_overload_is_the_capacity() -> None:
+    # An engine decodes at most 1538 tokens a second; all requests must end in 20 s.
+    requests = [long_request(0.0, 20.0)] * 100
+    bound = oracle_tokens(requests, fleet_of_one_engine())
     assert bound == pytest.approx(20.0 * 1538, rel=0.01)
 
 
-def test_bound_knows_outages_and_impossible_requests() -> None:
-    away = [Outage("model-0", 0.0, 10.0)]
-    requests = [_long(0.0, 20.0)] * 100
-    bound = oracle_tokens(requests, _one_engine(), away)
+def test_oracle_bound_excludes_outages_and_infeasible_requests() -> None:
+    outages = [Outage("model-0", 0.0, 10.0)]
+    requests = [long_request(0.0, 20.0)] * 100
+    bound = oracle_tokens(requests, fleet_of_one_engine(), outages)
     assert bound == pytest.approx(10.0 * 1538, rel=0.01)
-    assert oracle_tokens([_long(0.0, 5.0)], _one_engine()) == 0.0
+    assert oracle_tokens([long_request(0.0, 5.0)], fleet_of_one_engine()) == 0.0
 
 
 def test_jain_index() -> None:
--- a/tests/test_bench_sockets.py
+++ b/tests/test_bench_sockets.py
@@ -1,4 +1,4 @@
-"""The measurement on real sockets: its figures and their form, without timing."""
+"""Report and load generator of the measurement on real sockets, without timing."""
 
 from __future__ import annotations
 
@@ -22,11 +22,21 @@
 from bergamotmast.bench.sockets_report import format_report
 from bergamotmast.standins.http_common import serving
 
-SHARED = {"side-engine-1": 0.5, "side-engine-2": 0.5, "entry": 2.0, "passthrough": 0.0}
-FLOOR = {"side-engine-1": 0.0, "side-engine-2": 0.0, "entry": 0.0, "passthrough": 0.5}
-
-
-def measured():
+ENTRY_CPU = {
+    "side-engine-1": 0.5,
+    "side-engine-2": 0.5,
+    "entry": 2.0,
+    "passthrough": 0.0,
+}
+PASSTHROUGH_CPU = {
+    "side-engine-1": 0.0,
+    "side-engine-2": 0.0,
+    "entry": 0.0,
+    "passthrough": 0.5,
+}
+
+
+def measurement():
     return Measurement(
         latency={
             "engine": Latency(0.005, 0.010, 0.010, 0.012),
@@ -34,18 +44,18 @@
             "entry": Latency(0.010, 0.020, 0.010, 0.015),
         },
         streams={
-            "passthrough": Cost(10, 1000, 2.0, FLOOR),
-            "entry": Cost(10, 1000, 4.0, SHARED),
+            "passthrough": Cost(10, 1000, 2.0, PASSTHROUGH_CPU),
+            "entry": Cost(10, 1000, 4.0, ENTRY_CPU),
         },
         checks={
-            "passthrough": Cost(100, 100, 1.0, FLOOR),
-            "entry": Cost(100, 100, 1.0, SHARED),
+            "passthrough": Cost(100, 100, 1.0, PASSTHROUGH_CPU),
+            "entry": Cost(100, 100, 1.0, ENTRY_CPU),
         },
     )
 
 
-def test_a_core_carries_what_its_processor_time_says():
-    report = build_report(measured())
+def test_throughput_per_core_follows_processor_time():
+    report = build_report(measurement())
     assert report.per_core["passthrough"].tokens == 2000
     assert report.per_core["entry"].tokens_share == 0.25
     assert report.per_core["side"].requests == 100
@@ -53,25 +63,25 @@
 
 
 def test_added_latency_is_a_difference_of_percentiles():
-    report = build_report(measured())
+    report = build_report(measurement())
     assert report.added_to_engine["entry"].first_p95 == pytest.approx(0.010)
     assert report.added_to_floor.first_p50 == pytest.approx(0.004)
 
 
-def test_text_names_every_path_and_kind():
-    lines = format_report(build_report(measured())).splitlines()
+def test_text_report_lists_every_path_and_kind():
+    lines = format_report(build_report(measurement())).splitlines()
     assert "entry                     500      0.25        50      0.25" in lines
     assert "added to floor          4.00      8.00         0.00      2.00" in lines
     assert "streams by entry: 2 requests/s, 250 tokens/s" in lines
 
 
-def test_json_carries_the_same():
-    decoded = msgspec.json.decode(msgspec.json.encode(build_report(measured())))
+def test_json_report_holds_the_same_figures():
+    decoded = msgspec.json.decode(msgspec.json.encode(build_report(measurement())))
     assert decoded["per_core"]["entry"]["tokens"] == 500
-    assert decoded["measured"]["checks"]["entry"]["cpu"] == SHARED
+    assert decoded["measured"]["checks"]["entry"]["cpu"] == ENTRY_CPU
 
 
-def test_cost_counts_only_the_stretch():
+def test_cost_excludes_earlier_processor_time():
     samples = [
         call_sample(2, [0.0, 0.1, 0.3, 0.3]),
         call_sample(3, [0.0, 0.2, 0.2, 0.4, 0.4]),
@@ -80,19 +90,19 @@
     assert (cost.requests, cost.tokens, cost.cpu) == (2, 5, {"entry": 0.5})
 
 
-def test_turns_add_up():
-    whole = Cost(1, 2, 3.0, {"entry": 0.5}).plus(Cost(10, 20, 30.0, {"entry": 0.25}))
-    assert whole == Cost(11, 22, 33.0, {"entry": 0.75})
+def test_costs_of_rounds_add_up():
+    total = Cost(1, 2, 3.0, {"entry": 0.5}).plus(Cost(10, 20, 30.0, {"entry": 0.25}))
+    assert total == Cost(11, 22, 33.0, {"entry": 0.75})
 
 
-def test_the_end_of_a_stream_is_no_token():
-    seen = call_sample(3, [1.0, 1.5, 1.5, 1.75, 9.0])
-    assert seen.first == 0.5
-    assert seen.gaps == (0.0, 0.25)
-    assert compute_latency([seen]).between_p95 == 0.25
+def test_end_of_stream_event_is_no_token():
+    latencies = call_sample(3, [1.0, 1.5, 1.5, 1.75, 9.0])
+    assert latencies.first == 0.5
+    assert latencies.gaps == (0.0, 0.25)
+    assert compute_latency([latencies]).between_p95 == 0.25
 
 
-def test_processor_time_is_read_behind_any_command_name():
+def test_processor_time_is_parsed_after_any_command_name():
     fields = " ".join(str(number) for number in range(20))
     assert cpu_seconds(f"7 (a) b) S {fields}") == (10 + 11) / TICKS_PER_SECOND
 
@@ -100,17 +110,17 @@
 EVENT = b'data: {"choices":[{"text":"one "}]}\n\n'
 
 
-def test_text_of_a_whole_stream():
+def test_text_of_a_complete_stream():
     assert answer_text(EVENT * 2 + b"data: [DONE]\n\n") == "one one "
 
 
 @pytest.mark.parametrize("stream", [EVENT, EVENT + b"data: [DONE]", EVENT[:-1]])
-def test_a_stream_that_breaks_off_is_an_error(stream):
+def test_incomplete_stream_is_an_error(stream):
     with pytest.raises(UnexpectedAnswerError):
         answer_text(stream)
 
 
-async def test_the_pass_through_changes_nothing():
+async def test_pass_through_forwards_requests_and_responses_unchanged():
     async def echo(request):
         body = await request.read()
         return web.Response(status=418, body=body[::-1], content_type="text/x")
@@ -118,8 +128,14 @@
     engine = web.Application()
     engine.router.add_post("/some/path", echo)
     async with aiohttp.ClientSession() as session, serving(engine) as url:
-        floor = PassThrough(session, url).application()
-        async with serving(floor) as floor_url:
-            async with session.post(floor_url + "/some/path", data=b"abc") as response:
-                seen = response.status, response.content_type, await response.read()
-    assert seen == (418, "text/x", b"cba")
+        proxy = PassThrough(session, url).application()
+        async with serving(proxy) as passthrough_url:
+            async with session.post(
+                passthrough_url + "/some/path", data=b"abc"
+            ) as response:
+                received = (
+                    response.status,
+                    response.content_type,
+                    await response.read(),
+                )
+    assert received == (418, "text/x", b"cba")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,7 +6,7 @@
 from bergamotmast.bench.capacity import run_in_virtual_time
 
 
-def test_a_session_costs_the_same_in_a_fleet_twice_the_size():
+def test_session_traffic_is_independent_of_fleet_size():
     small = run_in_virtual_time(measure_control(2, 4))
     large = run_in_virtual_time(measure_control(4, 4))
     assert (small.sessions, large.sessions) == (8, 16)
@@ -14,9 +14,9 @@
     assert large.kv_watches == small.kv_watches + 2
 
 
-def test_an_edit_does_not_carry_the_whole_document():
-    # With a thousand tenants a document is some 200 kB; every process reads only what
-    # an edit changed, or a burst of edits would spend the whole network budget.
+def test_edit_does_not_transfer_the_whole_document():
+    # With a thousand tenants a document has some 200 kB. Every process must read only
+    # what an edit changed: otherwise a burst of edits uses the whole network budget.
     config = run_in_virtual_time(measure_config(1000, 4))
     edits = run_in_virtual_time(measure_edits(1000, 1, 4))
     assert config.document_bytes > 100_000
--- a/tests/test_spec.py
+++ b/tests/test_spec.py
@@ -10,7 +10,7 @@
 SPEC = pathlib.Path(__file__).resolve().parent.parent / "spec"
 
 
-def _load():
+def load_check_module():
     spec = importlib.util.spec_from_file_location("spec_check", SPEC / "check.py")
     module = importlib.util.module_from_spec(spec)
     sys.modules[spec.name] = module
@@ -18,20 +18,20 @@
     return module
 
 
-CHECK = _load()
+CHECK = load_check_module()
 
 
 @pytest.mark.parametrize("case", CHECK.cases(), ids=str)
-def test_the_whole_holds_and_every_broken_twin_is_rejected(case):
+def test_specification_holds_and_mutants_are_rejected(case):
     if shutil.which("spin") is None:
-        # A run that passes without having checked anything would say too much.
+        # Fails instead of skipping, as a skipped check would look like a passed one.
         pytest.fail("Spin is not installed; spec/install.sh installs it")
-    verdict = CHECK.run(case)
-    assert verdict.as_expected, str(verdict)
+    result = CHECK.run(case)
+    assert result.as_expected, str(result)
 
 
 @pytest.mark.parametrize("name", sorted({case.name for case in CHECK.cases()}))
-def test_each_flag_is_explained_at_the_head_of_its_specification(name):
-    head = (SPEC / f"{name}.pml").read_text().partition("*/")[0]
+def test_each_flag_is_documented_in_its_specification(name):
+    header = (SPEC / f"{name}.pml").read_text().partition("*/")[0]
     assert CHECK.flags(name)
-    assert [flag for flag in CHECK.flags(name) if flag not in head] == []
+    assert [flag for flag in CHECK.flags(name) if flag not in header] == []
