--- a/src/bergamotmast/checker/fleet.py
+++ b/src/bergamotmast/checker/fleet.py
@@ -43,17 +43,17 @@
     in_progress: dict[str, OrderTaken] = {}
     for record in records:
         if isinstance(record, OrderTaken):
-            held = in_progress.get(record.engine)
-            if held is not None and not _same_order(held, record):
+            previous = in_progress.get(record.engine)
+            if previous is not None and not _same_order(previous, record):
                 detail = (
-                    f"{_order_text(record)} accepted while {_order_text(held)} "
+                    f"{_order_text(record)} accepted while {_order_text(previous)} "
                     f"was in progress"
                 )
                 yield Violation(Rule.ONE_ORDER, record.at, record.engine, detail)
             in_progress[record.engine] = record
         elif isinstance(record, OrderEnded):
-            held = in_progress.get(record.engine)
-            if held is not None and _token(held) == _token(record):
+            previous = in_progress.get(record.engine)
+            if previous is not None and _token(previous) == _token(record):
                 del in_progress[record.engine]
 
 
--- a/src/bergamotmast/faults/callers.py
+++ b/src/bergamotmast/faults/callers.py
@@ -60,9 +60,9 @@
         self.keys: list[str] = []
         self.restores = 0
 
-    async def run(self, until: float) -> None:
+    async def run(self, end_at: float) -> None:
         """Send requests until a point in time."""
-        while self.environment.now() < until:
+        while self.environment.now() < end_at:
             await asyncio.sleep(self.rng.expovariate(REQUESTS_PER_SECOND))
             self._send()
 
--- a/src/bergamotmast/faults/environment.py
+++ b/src/bergamotmast/faults/environment.py
@@ -59,7 +59,7 @@
 KEY_VALUE_DELAY_SECONDS = 0.004
 
 
-def first_configuration() -> Configuration:
+def initial_configuration() -> Configuration:
     """Return the initial configuration of every run."""
     labels = {name: {"pool": "models"} for name in ENGINES}
     labels |= {name: {"pool": "counter"} for name in SERVICES}
@@ -93,12 +93,13 @@
     """One running entry or side.
 
     :param gate: pauses and kills the process.
+    :param app: the entry or side itself.
     :param reachable: whether the history records the process as reachable.
     """
 
     name: str
     gate: Gate
-    body: EntryProcess | SideProcess
+    app: EntryProcess | SideProcess
     reachable: bool = True
 
 
@@ -156,31 +157,31 @@
 
     async def start(self) -> None:
         """Store the initial configuration and start every process."""
-        await self.store.propose(first_configuration(), 0, "operator", "first")
+        await self.store.propose(initial_configuration(), 0, "operator", "first")
         for name in (*ENGINES, *SERVICES, *ENTRIES):
             self.start_process(name)
 
     def start_process(self, name: str) -> None:
         """Start an entry or a side."""
-        body = self._entry(name) if name in ENTRIES else self._side(name)
-        process = Process(name, Gate(), body)
+        app = self._entry(name) if name in ENTRIES else self._side(name)
+        process = Process(name, Gate(), app)
         self.processes[name] = process
         self.history.record(ProcessStarted(at=self.now(), process=name))
-        process.gate.run(body.run())
+        process.gate.run(app.run())
         self.record_reachability()
 
     async def kill(self, name: str) -> None:
         """Kill a process, as with SIGKILL."""
         process = self.processes.pop(name)
         self.history.record(ProcessStopped(at=self.now(), process=name))
-        if isinstance(process.body, SideProcess):
-            process.body.listener.close()
+        if isinstance(process.app, SideProcess):
+            process.app.listener.close()
         await process.gate.kill()
 
     async def stop_gracefully(self, name: str) -> None:
         """Shut a process down, as on its first SIGTERM."""
         process = self.processes[name]
-        await process.gate.run(process.body.close())
+        await process.gate.run(process.app.close())
         if self.processes.get(name) is process:
             await self.kill(name)
 
@@ -195,14 +196,14 @@
         Callers use ready entries only, as the load balancer would choose for them.
         """
         process = self.processes.get(name)
-        if process is None or not isinstance(process.body, EntryProcess):
+        if process is None or not isinstance(process.app, EntryProcess):
             return None
-        return process.body if process.body.core.is_ready else None
+        return process.app if process.app.core.is_ready else None
 
     def gate_of(self, entry: EntryProcess) -> Gate | None:
         """Return the gate of an entry, or ``None`` if its process has ended."""
         for process in self.processes.values():
-            if process.body is entry:
+            if process.app is entry:
                 return process.gate
         return None
 
@@ -241,9 +242,9 @@
             for name in ENTRIES
         )
 
-    # Parts
+    # Construction of processes
 
-    def _parts(self, name: str) -> ProcessDependencies:
+    def _dependencies(self, name: str) -> ProcessDependencies:
         return ProcessDependencies(
             name=name,
             zone=ZONES[0],
@@ -257,21 +258,23 @@
 
     def _entry(self, name: str) -> EntryProcess:
         return EntryProcess(
-            self._parts(name), self.network, self.instance_list, self.weights
+            self._dependencies(name), self.network, self.instance_list, self.weights
         )
 
     def _side(self, name: str) -> SideProcess:
         listener = self.network.listen(name)
-        parts = self._parts(name)
+        dependencies = self._dependencies(name)
         if name in self.engines:
-            return engine_side(parts, listener, self.engines[name])
-        return service_side(parts, listener, self.services[name], SERVICE_CONCURRENCY)
+            return engine_side(dependencies, listener, self.engines[name])
+        return service_side(
+            dependencies, listener, self.services[name], SERVICE_CONCURRENCY
+        )
 
     def now(self) -> float:
         """Return seconds on the clock of the run."""
         return asyncio.get_running_loop().time()
 
-    def pick(self, names: t.Iterable[str]) -> str | None:
+    def pick_random(self, names: t.Iterable[str]) -> str | None:
         """Return a random name of some, or ``None`` if there are none."""
         choices = sorted(names)
         return self.rng.choice(choices) if choices else None
--- a/src/bergamotmast/faults/run.py
+++ b/src/bergamotmast/faults/run.py
@@ -66,12 +66,12 @@
     """Run a seed on the running event loop."""
     environment = FaultEnvironment(seed)
     callers = Callers(environment, random.Random(f"callers {seed}"))
-    faults = FaultInjector(environment, random.Random(f"faults {seed}"))
+    injector = FaultInjector(environment, random.Random(f"faults {seed}"))
     await environment.start()
     await asyncio.sleep(WARM_UP_SECONDS)
     end = environment.now() + FAULT_SECONDS
     calling = asyncio.get_running_loop().create_task(callers.run(end))
-    await faults.run(end)
+    await injector.run(end)
     await calling
     await callers.finish()
     await asyncio.sleep(RECOVERY_SECONDS)
@@ -82,6 +82,6 @@
         summary=summary(records),
         violations=tuple(check(records)),
         errors=tuple("".join(traceback.format_exception(e)) for e in callers.errors),
-        log=tuple(faults.log),
+        log=tuple(injector.log),
         records=records,
     )
--- a/src/bergamotmast/faults/schedule.py
+++ b/src/bergamotmast/faults/schedule.py
@@ -86,7 +86,7 @@
             progress; empty for none.
         """
         free = [name for name in names if name not in self.reserved_names]
-        chosen = self.environment.pick(free)
+        chosen = self.environment.pick_random(free)
         if exclusive in self.reserved_names or chosen is None:
             yield None
             return
@@ -121,52 +121,52 @@
         await asyncio.sleep(min(max_seconds, self.rng.expovariate(3.0 / max_seconds)))
 
 
-async def kill_side(faults: FaultInjector) -> None:
+async def kill_side(injector: FaultInjector) -> None:
     """Kill a side and restart it."""
-    with faults.reserve("kill side", (*ENGINES, *SERVICES)) as name:
+    with injector.reserve("kill side", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
-        await faults.environment.kill(name)
-        await faults.random_delay(15.0)
-        faults.environment.start_process(name)
+        await injector.environment.kill(name)
+        await injector.random_delay(15.0)
+        injector.environment.start_process(name)
 
 
-async def kill_entry(faults: FaultInjector) -> None:
+async def kill_entry(injector: FaultInjector) -> None:
     """Kill an entry and restart it; the other entry keeps running."""
-    with faults.reserve("kill entry", ENTRIES, "entry") as name:
+    with injector.reserve("kill entry", ENTRIES, "entry") as name:
         if name is None:
             return
-        await faults.environment.kill(name)
-        await faults.random_delay(15.0)
-        faults.environment.start_process(name)
+        await injector.environment.kill(name)
+        await injector.random_delay(15.0)
+        injector.environment.start_process(name)
 
 
-async def pause(faults: FaultInjector) -> None:
+async def pause(injector: FaultInjector) -> None:
     """Pause a process and resume it."""
-    with faults.reserve("pause", (*ENGINES, *SERVICES, *ENTRIES)) as name:
+    with injector.reserve("pause", (*ENGINES, *SERVICES, *ENTRIES)) as name:
         if name is None:
             return
-        gate = faults.environment.processes[name].gate
+        gate = injector.environment.processes[name].gate
         gate.pause()
-        faults.environment.record_reachability()
-        await faults.random_delay(25.0)
+        injector.environment.record_reachability()
+        await injector.random_delay(25.0)
         gate.resume()
-        faults.environment.record_reachability()
+        injector.environment.record_reachability()
 
 
-async def partition(faults: FaultInjector) -> None:
+async def partition(injector: FaultInjector) -> None:
     """Partition a side from the entries, and at times from the key-value service."""
-    with faults.reserve("partition", (*ENGINES, *SERVICES)) as name:
+    with injector.reserve("partition", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
-        environment = faults.environment
+        environment = injector.environment
         environment.network.partition(name)
-        from_key_value_too = faults.rng.random() < 0.5
+        from_key_value_too = injector.rng.random() < 0.5
         if from_key_value_too:
             environment.kv.cut(name)
             environment.cut_from_kv.add(name)
         environment.record_reachability()
-        await faults.random_delay(25.0)
+        await injector.random_delay(25.0)
         environment.network.heal(name)
         if from_key_value_too:
             environment.kv.heal(name)
@@ -174,114 +174,116 @@
         environment.record_reachability()
 
 
-async def restart_side(faults: FaultInjector) -> None:
+async def restart_side(injector: FaultInjector) -> None:
     """Shut a side down gracefully and restart it."""
-    with faults.reserve("restart side", (*ENGINES, *SERVICES)) as name:
+    with injector.reserve("restart side", (*ENGINES, *SERVICES)) as name:
         if name is None:
             return
-        environment = faults.environment
+        environment = injector.environment
         environment.history.record(
             PlannedChange(at=environment.now(), upstream=name, change="restart")
         )
         await environment.stop_gracefully(name)
-        await faults.random_delay(3.0)
+        await injector.random_delay(3.0)
         environment.start_process(name)
 
 
-async def restart_entry(faults: FaultInjector) -> None:
+async def restart_entry(injector: FaultInjector) -> None:
     """Shut an entry down gracefully and restart it."""
-    with faults.reserve("restart entry", ENTRIES, "entry") as name:
+    with injector.reserve("restart entry", ENTRIES, "entry") as name:
         if name is None:
             return
-        await faults.environment.stop_gracefully(name)
-        faults.environment.start_process(name)
+        await injector.environment.stop_gracefully(name)
+        injector.environment.start_process(name)
 
 
-async def crash_engine(faults: FaultInjector) -> None:
+async def crash_engine(injector: FaultInjector) -> None:
     """Crash an engine, possibly during a role change, and restart it."""
-    with faults.reserve("crash engine", (f"upstream {n}" for n in ENGINES)) as reserved:
+    with injector.reserve(
+        "crash engine", (f"upstream {n}" for n in ENGINES)
+    ) as reserved:
         if reserved is None:
             return
-        engine = faults.environment.engines[reserved.removeprefix("upstream ")]
-        engine.crash(faults.rng.random() < 0.5, faults.rng.random() < 0.3)
-        await faults.random_delay(15.0)
+        engine = injector.environment.engines[reserved.removeprefix("upstream ")]
+        engine.crash(injector.rng.random() < 0.5, injector.rng.random() < 0.3)
+        await injector.random_delay(15.0)
         engine.restart()
 
 
-async def crash_service(faults: FaultInjector) -> None:
+async def crash_service(injector: FaultInjector) -> None:
     """Crash a plain service and restart it."""
-    with faults.reserve(
+    with injector.reserve(
         "crash service", (f"upstream {n}" for n in SERVICES)
     ) as reserved:
         if reserved is None:
             return
-        service = faults.environment.services[reserved.removeprefix("upstream ")]
+        service = injector.environment.services[reserved.removeprefix("upstream ")]
         service.crash()
-        await faults.random_delay(8.0)
+        await injector.random_delay(8.0)
         service.restart()
 
 
-async def lose_replies(faults: FaultInjector) -> None:
+async def lose_replies(injector: FaultInjector) -> None:
     """Lose replies of a service, an engine and the key-value service."""
-    environment = faults.environment
-    environment.kv.lose_next_reply(count=faults.rng.randint(0, 2))
-    environment.services[faults.rng.choice(SERVICES)].lost_replies += 1
-    engine = environment.engines[faults.rng.choice(ENGINES)]
+    environment = injector.environment
+    environment.kv.lose_next_reply(count=injector.rng.randint(0, 2))
+    environment.services[injector.rng.choice(SERVICES)].lost_replies += 1
+    engine = environment.engines[injector.rng.choice(ENGINES)]
     engine.lost_order_replies += 1
-    if engine.up and faults.rng.random() < 0.5:
+    if engine.up and injector.rng.random() < 0.5:
         engine.break_connections()
-    faults.note(f"lost replies, {engine.name}")
+    injector.note(f"lost replies, {engine.name}")
 
 
-async def key_value_down(faults: FaultInjector) -> None:
+async def key_value_down(injector: FaultInjector) -> None:
     """Take the key-value service down; at times it comes back with older content."""
-    with faults.reserve("key-value down", ("key-value",)) as name:
+    with injector.reserve("key-value down", ("key-value",)) as name:
         if name is None:
             return
-        environment = faults.environment
+        environment = injector.environment
         older = environment.kv.snapshot()
-        await faults.random_delay(10.0)
-        await faults.wait_until_propagated()
+        await injector.random_delay(10.0)
+        await injector.wait_until_propagated()
         environment.kv.down = True
         environment.record_reachability()
-        await faults.random_delay(30.0)
-        if faults.rng.random() < 0.3:
-            faults.note("key-value restored")
+        await injector.random_delay(30.0)
+        if injector.rng.random() < 0.3:
+            injector.note("key-value restored")
             environment.kv.restore(older)
             environment.restores += 1
         environment.kv.down = False
         environment.record_reachability()
 
 
-async def silence_watches(faults: FaultInjector) -> None:
+async def silence_watches(injector: FaultInjector) -> None:
     """Stop delivering events to all open watches, without an error."""
-    faults.note("watches silent")
-    faults.environment.kv.silence_watches()
+    injector.note("watches silent")
+    injector.environment.kv.silence_watches()
 
 
-async def instance_list_down(faults: FaultInjector) -> None:
+async def instance_list_down(injector: FaultInjector) -> None:
     """Take the instance list down."""
-    with faults.reserve("instance list down", ("instance-list",)) as name:
+    with injector.reserve("instance list down", ("instance-list",)) as name:
         if name is None:
             return
-        faults.environment.instance_list.down = True
-        await faults.random_delay(20.0)
-        faults.environment.instance_list.down = False
+        injector.environment.instance_list.down = True
+        await injector.random_delay(20.0)
+        injector.environment.instance_list.down = False
 
 
-async def leave_by_list(faults: FaultInjector) -> None:
+async def leave_by_list(injector: FaultInjector) -> None:
     """Mark an engine as leaving in the instance list, and withdraw it later."""
-    with faults.reserve("leaving", ENGINES, "instance-list") as name:
+    with injector.reserve("leaving", ENGINES, "instance-list") as name:
         if name is None:
             return
-        environment = faults.environment
+        environment = injector.environment
         environment.instance_list.set_leaving(name)
         # The list is the only signal here, so no process can know before it shows it.
         await asyncio.sleep(LIST_LAG_SECONDS)
         environment.history.record(
             LeavingAnnounced(at=environment.now(), upstream=name)
         )
-        await faults.random_delay(20.0)
+        await injector.random_delay(20.0)
         environment.history.record(
             StayingAnnounced(at=environment.now(), upstream=name)
         )
@@ -289,14 +291,14 @@
         await asyncio.sleep(LIST_LAG_SECONDS)
 
 
-async def drain(faults: FaultInjector) -> None:
+async def drain(injector: FaultInjector) -> None:
     """Drain an engine by changing its label, as operators do, and undo it later."""
-    with faults.reserve(
+    with injector.reserve(
         "drain", (f"label {n}" for n in ENGINES), "draining"
     ) as reserved:
         if reserved is None:
             return
-        environment = faults.environment
+        environment = injector.environment
         name = reserved.removeprefix("label ")
 
         def drained(now: Configuration) -> Configuration:
@@ -305,64 +307,64 @@
         def taken_back(now: Configuration) -> Configuration:
             return with_labels(now, name, {"pool": "models"})
 
-        if not await edit(faults, drained):
+        if not await edit(injector, drained):
             return
         environment.history.record(
             LeavingAnnounced(at=environment.now(), upstream=name)
         )
-        await faults.random_delay(30.0)
+        await injector.random_delay(30.0)
         # The guarantee ends with the first attempt: an edit whose reply was lost may
         # have been accepted.
         environment.history.record(
             StayingAnnounced(at=environment.now(), upstream=name)
         )
-        while not await edit(faults, taken_back):
+        while not await edit(injector, taken_back):
             await asyncio.sleep(1.0)
 
 
-async def change_roles(faults: FaultInjector) -> None:
+async def change_roles(injector: FaultInjector) -> None:
     """Change the minimum number of engines in a role, so that the planner acts."""
-    role = faults.rng.choice((Role.PREFILL, Role.DECODE, Role.MIXED))
-    least = faults.rng.randint(0, 3)
+    role = injector.rng.choice((Role.PREFILL, Role.DECODE, Role.MIXED))
+    min_engines = injector.rng.randint(0, 3)
 
     def changed(now: Configuration) -> Configuration:
         (models,) = (s for s in now.selectors if s.name == "models")
-        return with_selector(now, with_min_engines(models, role, least))
+        return with_selector(now, with_min_engines(models, role, min_engines))
 
-    await edit(faults, changed)
+    await edit(injector, changed)
 
 
-def with_min_engines(selector: Selector, role: Role, least: int) -> Selector:
+def with_min_engines(selector: Selector, role: Role, min_engines: int) -> Selector:
     """Return a copy of a selector with a minimum number of engines in one role."""
     return Selector(
         name=selector.name,
         group=selector.group,
         match=selector.match,
         models=selector.models,
-        roles={role: RoleBounds(least=least)},
+        roles={role: RoleBounds(least=min_engines)},
     )
 
 
 async def edit(
-    faults: FaultInjector, change: cabc.Callable[[Configuration], Configuration]
+    injector: FaultInjector, change: cabc.Callable[[Configuration], Configuration]
 ) -> bool:
     """Edit the configuration as an entry knows it; return whether it was accepted."""
-    environment = faults.environment
-    entry = environment.entry(faults.rng.choice(ENTRIES))
+    environment = injector.environment
+    entry = environment.entry(injector.rng.choice(ENTRIES))
     if entry is None:
         return False
     before = entry.holder.current
-    faults.edits += 1
-    nonce = f"edit-{faults.edits}"
+    injector.edits += 1
+    nonce = f"edit-{injector.edits}"
     try:
         accepted = await environment.store.propose(
             change(before), before.generation, "operator", nonce
         )
     except BergamotmastError as error:
-        faults.note(f"edit refused: {error.message}")
+        injector.note(f"edit refused: {error.message}")
         return False
-    faults.accepted_at = environment.now()
-    faults.note(f"edit accepted: generation {accepted.generation}")
+    injector.accepted_at = environment.now()
+    injector.note(f"edit accepted: generation {accepted.generation}")
     return True
 
 
--- a/src/bergamotmast/standins/engine.py
+++ b/src/bergamotmast/standins/engine.py
@@ -33,9 +33,9 @@
 from .engine_orders import OrderExecutor
 from .engine_orders import load_instantly
 from .engine_spec import EngineSpec
-from .engine_text import Answer
-from .engine_text import answer_to
+from .engine_text import GeneratedAnswer
 from .engine_text import directive
+from .engine_text import generate_answer
 from .kv_exchange import KvExchange
 
 DEFAULT_ASSIGNMENT = Assignment(Role.MIXED, ("model@1",))
@@ -128,7 +128,7 @@
             self.spec.honours_fencing,
             loader,
             self.history,
-            self._on_settled,
+            self._on_order_ended,
         )
         self.role = assignment.role
         self._reset()
@@ -178,7 +178,7 @@
         :raises ReplyLostError: if the order was accepted and its reply is lost.
         """
         self._check_reachable()
-        self.orders.take(order)
+        self.orders.accept(order)
         for stream_id, chunk_queue in list(self._chunk_queues.items()):
             if chunk_queue.stream and not self.orders.serves_model(
                 chunk_queue.stream.request.model
@@ -219,6 +219,7 @@
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
         """Return the cache events after a sequence number, delayed and with gaps.
+
         :raises NotReachedError: if the engine is down or unreachable.
         """
         self._check_reachable()
@@ -284,7 +285,7 @@
         self._samples.append(_LoadSample(-NEVER, 0, 0, 0))
 
     def _accept_stream(self, request: GenerateRequest) -> _ChunkQueue:
-        answer = answer_to(request.model, request.prompt, request.max_tokens)
+        answer = generate_answer(request.model, request.prompt, request.max_tokens)
         self._check_admissible(request, answer)
         self.history.record(
             Execution(at=_now(), upstream=self.name, request=request.stream_id)
@@ -301,7 +302,9 @@
         self._on_batch_changed()
         return chunk_queue
 
-    def _check_admissible(self, request: GenerateRequest, answer: Answer) -> None:
+    def _check_admissible(
+        self, request: GenerateRequest, answer: GeneratedAnswer
+    ) -> None:
         self._check_reachable()
         if not self.orders.serves_model(request.model):
             raise NotReachedError(f"{self.name} does not serve {request.model} now")
@@ -315,7 +318,10 @@
             raise NotReachedError(f"stream {request.stream_id} is running")
 
     def _new_stream(
-        self, request: GenerateRequest, answer: Answer, chunk_queue: _ChunkQueue
+        self,
+        request: GenerateRequest,
+        answer: GeneratedAnswer,
+        chunk_queue: _ChunkQueue,
     ) -> Stream:
         imported = self.exchange.take(request.kv_handle) if request.kv_handle else None
         return Stream(
@@ -380,7 +386,7 @@
             self.batch.remove(chunk_queue.stream)
         self._on_batch_changed()
 
-    def _on_settled(self) -> None:
+    def _on_order_ended(self) -> None:
         """Switch to the rates of a new role, which also empties the prefix cache."""
         assignment = self.orders.assignment
         if assignment is not None and assignment.role is not self.role:
--- a/src/bergamotmast/standins/engine_batch.py
+++ b/src/bergamotmast/standins/engine_batch.py
@@ -19,7 +19,7 @@
 from ..model import TokenChunk
 from .engine_cache import PrefixCache
 from .engine_spec import RoleRates
-from .engine_text import Answer
+from .engine_text import GeneratedAnswer
 
 NEVER = math.inf
 
@@ -59,7 +59,7 @@
     """
 
     request: GenerateRequest
-    answer: Answer
+    answer: GeneratedAnswer
     prefix_tokens: int
     emit: cabc.Callable[[TokenChunk], None]
     next_index: int
@@ -91,7 +91,8 @@
         returns its handle.
     :param on_admitted: called on the admission of a stream that imports a KV cache;
         the import may start.
-    :param speed: multiple of the rates; 0 for an engine that hangs.
+    :param speed: factor of the rates: 1 as specified, less for a slow engine, 0 for
+        one that hangs.
     :param kv_used: KV memory reserved by admitted streams, in tokens.
     :param prefilled: prompt tokens prefilled so far.
     :param decoded: output tokens generated so far.
--- a/src/bergamotmast/standins/engine_orders.py
+++ b/src/bergamotmast/standins/engine_orders.py
@@ -29,9 +29,10 @@
     :param honours_fencing: whether an order is refused unless its fencing token is
         higher than the previous one.
     :param loader: loads a version.
-    :param on_order_ended: called when an order is complete, has failed or was lost in a
-        crash.
-    :param last: fencing token of the last accepted order since the engine started.
+    :param on_order_ended: called when an order is complete, has failed or was lost in
+        a crash.
+    :param last_token: fencing token of the last order accepted since the engine's
+        start.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.loader = loader
         self.history = history
         self.on_order_ended = on_order_ended
-        self.last = NO_FENCING_TOKEN
+        self.last_token = NO_FENCING_TOKEN
         self._order: Order | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -66,7 +67,7 @@
     @property
     def token(self) -> FencingToken:
         """Token of the last order; ``NO_FENCING_TOKEN`` if tokens are ignored."""
-        return self.last if self.honours_fencing else NO_FENCING_TOKEN
+        return self.last_token if self.honours_fencing else NO_FENCING_TOKEN
 
     def serves_model(self, model: str) -> bool:
         """Return whether a request for this model can be served now.
@@ -81,7 +82,7 @@
             self.target is None or _assignment_serves(self.target, model)
         )
 
-    def take(self, order: Order) -> None:
+    def accept(self, order: Order) -> None:
         """Accept an order and start to execute it.
 
         :raises OrderRefusedError: for a stale fencing token, or while another order
@@ -89,9 +90,9 @@
         """
         if self.target is not None:
             raise OrderRefusedError(f"{self.engine} is changing")
-        if self.honours_fencing and order.token <= self.last:
-            raise OrderRefusedError(f"{self.engine} has seen {self.last}")
-        self.last = order.token
+        if self.honours_fencing and order.token <= self.last_token:
+            raise OrderRefusedError(f"{self.engine} has seen {self.last_token}")
+        self.last_token = order.token
         self.target = order.assignment
         self._order = order
         self.history.record(
@@ -120,7 +121,7 @@
             self._finish(self.target if change_done else self.assignment, change_done)
         if incomplete:
             self.assignment = None
-        self.last = NO_FENCING_TOKEN
+        self.last_token = NO_FENCING_TOKEN
 
     async def _execute(self, order: Order) -> None:
         wanted = order.assignment
--- a/src/bergamotmast/standins/engine_spec.py
+++ b/src/bergamotmast/standins/engine_spec.py
@@ -23,7 +23,8 @@
     :param step_base: seconds of a decode step with an empty batch.
     :param step_per_stream: seconds that each stream adds to a decode step.
     :param interference: factor by which a prefill lengthens concurrent decode steps.
-    :param max_streams: maximum number of admitted streams, in prefill or decode.
+    :param max_streams: maximum number of streams admitted at the same time, in
+        prefill or decode.
     """
 
     prefill_rate: float
--- a/src/bergamotmast/standins/engine_text.py
+++ b/src/bergamotmast/standins/engine_text.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class GeneratedAnswer:
     """The whole answer to one request.
 
     :param offset: index of the first token in the table of tokens.
@@ -54,7 +54,7 @@
         return head + self.text(end - missing, end)
 
 
-def answer_to(model: str, prompt: str, max_tokens: int) -> Answer:
+def generate_answer(model: str, prompt: str, max_tokens: int) -> GeneratedAnswer:
     """Return the whole answer to a prompt.
 
     :param max_tokens: maximum length, counted from the first token also if the answer
@@ -66,12 +66,12 @@
         wanted = MIN_HASHED_TOKENS + (seed >> 32) % HASHED_TOKENS_RANGE
     tokens = max(1, min(wanted, max_tokens))
     finish = "stop" if wanted <= max_tokens else "length"
-    return Answer(seed % TABLE_TOKENS, tokens, finish)
+    return GeneratedAnswer(seed % TABLE_TOKENS, tokens, finish)
 
 
 def expected_text(model: str, prompt: str, max_tokens: int) -> str:
     """Return the text of the whole answer to a prompt."""
-    answer = answer_to(model, prompt, max_tokens)
+    answer = generate_answer(model, prompt, max_tokens)
     return answer.text(0, answer.tokens)
 
 
