--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -25,7 +25,6 @@
 _LEAVING_BY_STATE = {"ready": False, "draining": True}
 """Whether an upstream in each state is leaving."""
 
-
 MIN_CALLER_TIMEOUT_MS = 2_000.0
 CALLER_TIMEOUT_OBJECTIVES = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
