--- a/src/bergamotmast/direct/liveness.py
+++ b/src/bergamotmast/direct/liveness.py
@@ -94,7 +94,7 @@
             self.placer.engine_load(engine).last_reply_at = loop.time()
         ms = round((loop.time() - started_at) * 1e3, 1)
         logger.info(
-            "unresponsive engine was probed",
+            "silent engine is asked",
             extra={"upstream": engine.name, "lives": is_alive, "ms": ms},
         )
         return is_alive
--- a/src/bergamotmast/direct/remote_prefill.py
+++ b/src/bergamotmast/direct/remote_prefill.py
@@ -18,8 +18,9 @@
 MAX_PREFILL_ATTEMPTS = 2
 """Maximum number of engines tried before the decode engine prefills the prompt."""
 
-UNRESPONSIVE = "the engine is unresponsive"
-PREFILL_OVERDUE = "the prefill is overdue"
+UNRESPONSIVE = "the engine is silent"
+PREFILL_OVERDUE = "the prompt is overdue"
+"""Reasons for aborting a call, as operators see them in the log."""
 
 BUDGET_RETRY_AFTER_SECONDS = 0.5
 """Minimum delay after which a caller may retry if the retry budget was exhausted."""
