--- a/src/bergamotmast/direct/decode_attempt.py
+++ b/src/bergamotmast/direct/decode_attempt.py
@@ -206,9 +206,7 @@
             for event in splitter.feed(data):
                 yield event
             if len(splitter.rest) > MAX_EVENT_BYTES:
-                raise BrokenStreamError(
-                    f"event is longer than the limit of {MAX_EVENT_BYTES} bytes"
-                )
+                raise BrokenStreamError("event is longer than the limit")
         if splitter.rest:
             raise BrokenStreamError("the stream ended within an event")
 
