--- a/src/bergamotmast/adapters/engine_http.py
+++ b/src/bergamotmast/adapters/engine_http.py
@@ -110,7 +110,7 @@
                 data = event.removeprefix(b"data: ")
                 if data == DONE:
                     return
-                yield _chunk(data)
+                yield _decode_chunk(data)
         raise ReplyLostError("the stream ended without its last event")
 
     async def cancel(self, stream_id: str) -> None:
@@ -155,7 +155,7 @@
     raise ReplyLostError(message)
 
 
-def _chunk(data: bytes) -> TokenChunk:
+def _decode_chunk(data: bytes) -> TokenChunk:
     try:
         event = _EVENT.decode(data)
         choice = event.choices[0]
--- a/src/bergamotmast/adapters/upstream_http.py
+++ b/src/bergamotmast/adapters/upstream_http.py
@@ -234,7 +234,9 @@
 
 def _new_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return made
+    new_socket = socket.socket(family, kind, protocol)
+    new_socket.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
+    )
+    new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return new_socket
--- a/src/bergamotmast/config/checks.py
+++ b/src/bergamotmast/config/checks.py
@@ -121,7 +121,7 @@
     unknown = (
         problem
         for index, key in enumerate(configuration.admin_keys)
-        for problem in _unknown(
+        for problem in _unknown_name_problems(
             "selector", key.groups, names, ("admin_keys", index, "groups")
         )
     )
@@ -211,13 +211,13 @@
     for field in ("models", "adapters"):
         seen: dict[str, str] = {}
         for index, item in enumerate(getattr(selector, field)):
-            here = (*path, field, index)
+            item_path = (*path, field, index)
             if not _NAME_AT_VERSION.fullmatch(item):
-                yield Problem(here, f"{item!r} is not name@version")
+                yield Problem(item_path, f"{item!r} is not name@version")
                 continue
             name = item.partition("@")[0]
             if name in seen:
-                yield Problem(here, f"{seen[name]!r} is there already")
+                yield Problem(item_path, f"{seen[name]!r} is there already")
             seen[name] = item
 
 
@@ -225,12 +225,18 @@
     configuration: Configuration, match: Match, model_names: set[str], path: Path
 ) -> cabc.Iterator[Problem]:
     classes = {DEFAULT_CLASS, *configuration.classes}
-    yield from _unknown("class", match.classes, classes, (*path, "classes"))
-    yield from _unknown(
+    yield from _unknown_name_problems(
+        "class", match.classes, classes, (*path, "classes")
+    )
+    yield from _unknown_name_problems(
         "tenant", match.tenants, configuration.tenants, (*path, "tenants")
     )
-    yield from _unknown("route", match.routes, configuration.routes, (*path, "routes"))
-    yield from _unknown("model", match.models, model_names, (*path, "models"))
+    yield from _unknown_name_problems(
+        "route", match.routes, configuration.routes, (*path, "routes")
+    )
+    yield from _unknown_name_problems(
+        "model", match.models, model_names, (*path, "models")
+    )
 
 
 def _model_names(configuration: Configuration) -> set[str]:
@@ -240,11 +246,11 @@
         models = [item.partition("@")[0] for item in selector.models]
         adapters = [item.partition("@")[0] for item in selector.adapters]
         names.update(models)
-        names.update(f"{model}:{own}" for model in models for own in adapters)
+        names.update(f"{model}:{adapter}" for model in models for adapter in adapters)
     return names
 
 
-def _unknown(
+def _unknown_name_problems(
     what: str, names: tuple[str, ...], known: cabc.Collection[str], path: Path
 ) -> cabc.Iterator[Problem]:
     for index, name in enumerate(names):
@@ -257,7 +263,7 @@
     for name, request_class in configuration.classes.items():
         path = ("classes", name)
         for field in ("first_token", "total", "between_tokens"):
-            yield from _positive(getattr(request_class, field), (*path, field))
+            yield from _positive_problems(getattr(request_class, field), (*path, field))
         yield from _total_problems(request_class, path)
 
 
@@ -267,7 +273,7 @@
         yield Problem((*path, "total"), message)
 
 
-def _positive(value: float, path: Path) -> cabc.Iterator[Problem]:
+def _positive_problems(value: float, path: Path) -> cabc.Iterator[Problem]:
     if not (math.isfinite(value) and value > 0):
         yield Problem(path, f"{value:g} is not above 0")
 
@@ -276,12 +282,12 @@
     owners: dict[str, str] = {}
     for name, tenant in configuration.tenants.items():
         path = ("tenants", name)
-        yield from _positive(tenant.weight, (*path, "weight"))
+        yield from _positive_problems(tenant.weight, (*path, "weight"))
         for index, digest in enumerate(tenant.keys):
-            here = (*path, "keys", index)
-            yield from _digest_problems(digest, here)
+            item_path = (*path, "keys", index)
+            yield from _digest_problems(digest, item_path)
             if owners.setdefault(digest, name) != name:
-                yield Problem(here, f"tenant {owners[digest]!r} has the same key")
+                yield Problem(item_path, f"tenant {owners[digest]!r} has the same key")
 
 
 def _digest_problems(digest: str, path: Path) -> cabc.Iterator[Problem]:
@@ -300,7 +306,9 @@
         if owners.setdefault(prefix, name) != name:
             message = f"route {owners[prefix]!r} has the same prefix"
             yield Problem((*path, "prefix"), message)
-        yield from _unknown("class", (route.request_class,), classes, path)
+        yield from _unknown_name_problems(
+            "class", (route.request_class,), classes, path
+        )
 
 
 def _admin_key_problems(configuration: Configuration) -> cabc.Iterator[Problem]:
--- a/src/bergamotmast/config/diff.py
+++ b/src/bergamotmast/config/diff.py
@@ -29,10 +29,10 @@
     def show(self) -> str:
         """Return the change as one line."""
         if self.before is None:
-            return f"+ {self.path}: {_text(self.after)}"
+            return f"+ {self.path}: {_to_json(self.after)}"
         if self.after is None:
-            return f"- {self.path}: {_text(self.before)}"
-        return f"~ {self.path}: {_text(self.before)} -> {_text(self.after)}"
+            return f"- {self.path}: {_to_json(self.before)}"
+        return f"~ {self.path}: {_to_json(self.before)} -> {_to_json(self.after)}"
 
 
 def diff(before: Configuration, after: Configuration) -> tuple[Change, ...]:
@@ -83,5 +83,5 @@
     return f"{path}.{key}"
 
 
-def _text(value: t.Any) -> str:
+def _to_json(value: t.Any) -> str:
     return msgspec.json.encode(value).decode()
--- a/src/bergamotmast/config/file.py
+++ b/src/bergamotmast/config/file.py
@@ -144,7 +144,7 @@
 def _decode_json(data: bytes, name: str) -> t.Any:
     try:
         content = msgspec.json.decode(data)
-        json.loads(data, object_pairs_hook=_refuse_duplicates)
+        json.loads(data, object_pairs_hook=_reject_duplicates)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{name}:{_json_line(data, error)}: {error}") from error
     except ValueError as error:
@@ -154,7 +154,7 @@
     return content
 
 
-def _refuse_duplicates(pairs: list[tuple[str, t.Any]]) -> None:
+def _reject_duplicates(pairs: list[tuple[str, t.Any]]) -> None:
     keys = [key for key, _ in pairs]
     if len(set(keys)) < len(keys):
         duplicate = next(key for key in keys if keys.count(key) > 1)
@@ -215,7 +215,7 @@
 
     def build(self, node: yaml.Node, path: Path) -> t.Any:
         self.lines.setdefault(path, node.start_mark.line + 1)
-        self.refuse_alias(node)
+        self.reject_alias(node)
         if isinstance(node, yaml.MappingNode):
             return self.build_mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
@@ -231,9 +231,9 @@
                 raise self.error(key_node, "a key must be a word")
             if key in content:
                 raise self.error(key_node, f"{key!r} is there already")
-            here = (*path, key)
-            self.lines[here] = key_node.start_mark.line + 1
-            content[key] = self.build(value_node, here)
+            item_path = (*path, key)
+            self.lines[item_path] = key_node.start_mark.line + 1
+            content[key] = self.build(value_node, item_path)
         return content
 
     def build_scalar(self, node: yaml.Node) -> t.Any:
@@ -244,7 +244,7 @@
         except (ValueError, KeyError, IndexError, OverflowError) as error:
             raise self.error(node, f"{node.value!r} has no value") from error
 
-    def refuse_alias(self, node: yaml.Node) -> None:
+    def reject_alias(self, node: yaml.Node) -> None:
         # A few lines of nested aliases can expand to more content than memory holds.
         if id(node) in self.seen:
             raise self.error(node, "aliases are not allowed")
--- a/src/bergamotmast/config/permissions.py
+++ b/src/bergamotmast/config/permissions.py
@@ -16,7 +16,7 @@
 """Fields of which a key limited to some selectors may change a part."""
 
 
-_NONE: frozenset[str] = frozenset()
+_NO_SELECTORS: frozenset[str] = frozenset()
 
 
 def find_key(configuration: Configuration, secret: str) -> AdminKey | None:
@@ -89,7 +89,10 @@
     """Reject changes of labels or groups of upstreams that a key does not cover."""
     old, new = selectors_by_upstream(before), selectors_by_upstream(after)
     for upstream in sorted(before.labels.keys() | after.labels.keys()):
-        was, will_be = old.get(upstream, _NONE), new.get(upstream, _NONE)
+        was, will_be = (
+            old.get(upstream, _NO_SELECTORS),
+            new.get(upstream, _NO_SELECTORS),
+        )
         same_labels = before.labels.get(upstream) == after.labels.get(upstream)
         beyond = (was | will_be) - allowed
         if beyond and not (same_labels and was == will_be):
--- a/src/bergamotmast/config/store.py
+++ b/src/bergamotmast/config/store.py
@@ -137,12 +137,12 @@
         item = await self.kv.get(CURRENT_KEY)
         if item is None:
             return StoredConfiguration(Configuration(), b"", 0)
-        return _stored(item)
+        return _decode_stored(item)
 
     async def read_record(self, generation: int) -> ConfigRecord | None:
         """Read the record of a generation; ``None`` if it does not exist (any more)."""
         item = await self.kv.get(history_key(generation))
-        return None if item is None else _record(item)
+        return None if item is None else _decode_record(item)
 
     async def read_delta(self, generation: int) -> bytes | None:
         """Read the delta to a generation; ``None`` if it is not kept."""
@@ -160,7 +160,7 @@
         """Read the newest records, newest first."""
         found = await self.kv.range(HISTORY_PREFIX)
         newest = sorted(found.items, key=lambda item: item.key, reverse=True)
-        return tuple(_record(item) for item in newest[:limit])
+        return tuple(_decode_record(item) for item in newest[:limit])
 
     async def propose(
         self,
@@ -306,8 +306,8 @@
     is derived from the document itself and was read before it, so that both conditions
     together hold for this document only.
     """
-    own = [Compare(item.key, item.mod_revision) for item in digest_keys]
-    return [Compare(CURRENT_KEY, stored.mod_revision), *own]
+    conditions = [Compare(item.key, item.mod_revision) for item in digest_keys]
+    return [Compare(CURRENT_KEY, stored.mod_revision), *conditions]
 
 
 def _writes(
@@ -333,7 +333,7 @@
     return msgspec.structs.replace(configuration, generation=generation)
 
 
-def _stored(item: KeyValue) -> StoredConfiguration:
+def _decode_stored(item: KeyValue) -> StoredConfiguration:
     try:
         configuration = decode_configuration(item.value)
     except msgspec.DecodeError as error:
@@ -341,7 +341,7 @@
     return StoredConfiguration(configuration, item.value, item.mod_revision)
 
 
-def _record(item: KeyValue) -> ConfigRecord:
+def _decode_record(item: KeyValue) -> ConfigRecord:
     try:
         return _RECORD_DECODER.decode(item.value)
     except msgspec.DecodeError as error:
--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -108,9 +108,10 @@
             read = msgspec.json.decode(value, type=_Config)
             return Routing(
                 generation=read.version,
-                routes=tuple(map(_route, read.routes)),
+                routes=tuple(map(_to_route, read.routes)),
                 groups={
-                    s.name: Group(s.name, _engine(s.engine)) for s in read.services
+                    s.name: Group(s.name, _to_engine_traits(s.engine))
+                    for s in read.services
                 },
                 limits=CallerLimits(
                     read.limits.max_header_bytes,
@@ -150,7 +151,7 @@
         raise ValueError(f"address {address!r} is not host:port")
 
 
-def _route(route: _Route) -> Route:
+def _to_route(route: _Route) -> Route:
     split = route.traffic_split or (_Split(route.service),)
     return Route(
         name=route.name,
@@ -175,7 +176,7 @@
     return max(MIN_CALLER_TIMEOUT_MS, objective, gaps) / 1e3
 
 
-def _engine(engine: _Engine | None) -> EngineTraits | None:
+def _to_engine_traits(engine: _Engine | None) -> EngineTraits | None:
     if engine is None:
         return None
     return EngineTraits(engine.slots, engine.kv_capacity_tokens, engine.handle_ttl_s)
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -79,18 +79,18 @@
 
     def read_call(self, headers: cabc.Mapping[str, str]) -> CallTraits:
         """Parse a caller's headers."""
-        prompt_tokens, max_tokens = _tokens(headers.get(TOKENS, ""))
+        prompt_tokens, max_tokens = _parse_token_counts(headers.get(TOKENS, ""))
         time_left = headers.get(TIME_LEFT)
         return CallTraits(
             request_id=self.request_id(headers),
             time_left=None
             if time_left is None
-            else _number(TIME_LEFT, time_left) / 1e3,
-            last_event=_count(headers.get(LAST_EVENT, "")),
+            else _parse_milliseconds(TIME_LEFT, time_left) / 1e3,
+            last_event=_parse_count(headers.get(LAST_EVENT, "")),
             prompt_tokens=prompt_tokens,
             max_tokens=max_tokens,
-            expected_tokens=_count(headers.get(LENGTH_ESTIMATE, "")),
-            parts=_parts(headers.get(PROMPT_PARTS, "")),
+            expected_tokens=_parse_count(headers.get(LENGTH_ESTIMATE, "")),
+            parts=_parse_parts(headers.get(PROMPT_PARTS, "")),
         )
 
     def write_headers(self, headers: Headers, attempt: Attempt, now: float) -> Headers:
@@ -125,7 +125,7 @@
             not_run=wrong_upstream or NOT_RUN in headers,
             wrong_upstream=wrong_upstream,
             weights=headers.get(WEIGHTS, ""),
-            load=_load(headers.get(LOAD, "")),
+            load=_parse_load(headers.get(LOAD, "")),
         )
 
     def read_prefilled(self, body: bytes) -> Prefilled:
@@ -159,7 +159,7 @@
     return signature.isascii() and signature != "" and _ENCODING not in headers
 
 
-def _number(name: str, text: str) -> float:
+def _parse_milliseconds(name: str, text: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -169,26 +169,26 @@
     return value
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     """Return a count, which is only a hint; 0 if it is missing or invalid."""
     text = text.strip()
     return int(text) if text.isascii() and text.isdigit() and len(text) < 16 else 0
 
 
-def _tokens(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
-    return _count(first), _count(second)
+    return _parse_count(first), _parse_count(second)
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _parse_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for entry in text.split(","):
         key, _, tokens = entry.strip().partition(":")
         if key:
-            parts.append(PromptPart(key, _count(tokens)))
+            parts.append(PromptPart(key, _parse_count(tokens)))
     return tuple(parts)
 
 
-def _load(text: str) -> LoadHint | None:
-    numbers = [_count(part) for part in text.split(",")]
+def _parse_load(text: str) -> LoadHint | None:
+    numbers = [_parse_count(part) for part in text.split(",")]
     return LoadHint(*numbers) if len(numbers) == 3 else None
