--- a/tests/series_checks.py
+++ b/tests/series_checks.py
@@ -96,9 +96,13 @@
 
     def describe(self, fault: str, runs: int) -> str:
         """Format a fault with everything that is known about the request."""
-        told = self.incarnation.sigterm_at
-        began, ended = self.began_at - told, self.ended_at - told
-        after = f"{began:.3f} to {ended:.3f} s after SIGTERM" if told else "no SIGTERM"
+        sigterm_at = self.incarnation.sigterm_at
+        began, ended = self.began_at - sigterm_at, self.ended_at - sigterm_at
+        after = (
+            f"{began:.3f} to {ended:.3f} s after SIGTERM"
+            if sigterm_at
+            else "no SIGTERM"
+        )
         return (
             f"{fault}: {self.request_id} {self.target} at "
             f"entry-{self.incarnation.entry}, status {self.status}, {runs} runs, "
