--- a/src/bergamotmast/direct/core.py
+++ b/src/bergamotmast/direct/core.py
@@ -173,12 +173,12 @@
             now = asyncio.get_running_loop().time()
             output_tokens = call.traits.expected_tokens or call.traits.max_tokens
             self.context.mix.observe(call.traits.prompt_tokens, output_tokens, now)
-            sized = self.context.size_shares.begin(
+            sized_prompt = self.context.size_shares.begin(
                 call.route.name, call.traits.prompt_tokens
             )
-            call = dataclasses.replace(call, sized=sized)
+            call = dataclasses.replace(call, sized_prompt=sized_prompt)
             log_fields["prompt"] = call.traits.prompt_tokens
-            log_fields["size"] = sized.size_class
+            log_fields["size"] = sized_prompt.size_class
             run = StreamRun(self.context, call, reply)
             served = False
             try:
@@ -186,8 +186,8 @@
                 served = 200 <= status < 300
                 return status
             finally:
-                sized.end(served=served)
-                log_fields["goes_first"] = sized.goes_first
+                sized_prompt.end(served=served)
+                log_fields["goes_first"] = sized_prompt.goes_first
                 log_fields.update(run.stream.timeline.fields(call.arrived_at))
         return await PlainRun(self.context, call, reply).run()
 
--- a/src/bergamotmast/direct/model.py
+++ b/src/bergamotmast/direct/model.py
@@ -175,7 +175,8 @@
     :param headers: headers to forward, without hop-by-hop headers.
     :param deadline: when the response must be complete.
     :param parts: hash and length of the parts of the prompt, in order.
-    :param sized: the prompt in its size class; ``None`` for a request without one.
+    :param sized_prompt: the prompt in its size class; ``None`` for a request without
+        one.
     """
 
     traits: CallTraits
@@ -188,12 +189,12 @@
     arrived_at: float
     deadline: float
     parts: tuple[tuple[int, int], ...] = ()
-    sized: SizedPrompt | None = None
+    sized_prompt: SizedPrompt | None = None
 
     @property
     def goes_first(self) -> bool:
         """Whether the prompt is prefilled before all others of its priority rank."""
-        return self.sized is not None and self.sized.goes_first
+        return self.sized_prompt is not None and self.sized_prompt.goes_first
 
     @property
     def gives_up_at(self) -> float:
--- a/src/bergamotmast/direct/placer.py
+++ b/src/bergamotmast/direct/placer.py
@@ -295,7 +295,7 @@
         """
         if not self.decisions.leaving_alone:
             return members
-        eligible = [m for m in members if now >= self.engine_load(m).cooldown_until]
+        eligible = [m for m in members if now >= self.engine_load(m).cool_down_until]
         if any(member.role is not Role.PREFILL for member in eligible):
             return eligible
         decode_engines = [m for m in members if m.role is not Role.PREFILL]
--- a/src/bergamotmast/direct/stream.py
+++ b/src/bergamotmast/direct/stream.py
@@ -59,4 +59,4 @@
     ) -> None:
         """Exclude an engine from placements for a while, if there is another one."""
         tracker = self.context.placer.engine_load(engine)
-        tracker.cooldown_until = asyncio.get_running_loop().time() + seconds
+        tracker.cool_down_until = asyncio.get_running_loop().time() + seconds
--- a/src/bergamotmast/direct/stream_placer.py
+++ b/src/bergamotmast/direct/stream_placer.py
@@ -63,9 +63,11 @@
 
         :returns: whether the prompt goes first.
         """
-        sized = self.call.sized
+        sized_prompt = self.call.sized_prompt
         return (
-            self.context.decisions.size_shares and sized is not None and sized.claim()
+            self.context.decisions.size_shares
+            and sized_prompt is not None
+            and sized_prompt.claim()
         )
 
     def _is_too_late(self, placement: Placement, now: float) -> bool:
--- a/src/bergamotmast/policy/engine_load.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -132,7 +132,7 @@
     :param streams: this entry's answers that the engine is decoding.
     :param last_reply_at: when this entry last received anything from it; a point in
         time.
-    :param cooldown_until: end of the cool-down after a failure; a point in time.
+    :param cool_down_until: end of the cool-down after a failure; a point in time.
     :param role: its role at the last lookup.
     :param prefill_times: prefill times of its group's engines.
     :param tie_break: see :class:`~.direct_placement.EngineCandidate`.
@@ -155,7 +155,7 @@
         self.current_since = 0.0
         self.streams = 0
         self.reported_load = DecayingLoadHint(LOAD_HINT_SECONDS)
-        self.cooldown_until = -math.inf
+        self.cool_down_until = -math.inf
         self.last_reply_at = -math.inf
         self.slowdown_log = 0.0
         self.slowdown_at = 0.0
--- a/src/bergamotmast/side/session.py
+++ b/src/bergamotmast/side/session.py
@@ -55,11 +55,11 @@
     )
 
     @property
-    def only_observes(self) -> bool:
+    def is_observer(self) -> bool:
         """Whether the entry offers no work in this session."""
         return self.interval > timing.HEARTBEAT_INTERVAL_SECONDS
 
-    def on_heard(self, now: float) -> None:
+    def on_received(self, now: float) -> None:
         """Extend the session after a message of the entry."""
         self.expires_at = now + self.interval * timing.SIDE_MAX_MISSED_HEARTBEATS
 
@@ -137,7 +137,7 @@
             interval=max(hello.interval, timing.HEARTBEAT_INTERVAL_SECONDS),
             version=version,
         )
-        session.on_heard(now)
+        session.on_received(now)
         if earlier is not None:
             session.inherit(earlier)
             self.end(earlier)
--- a/src/bergamotmast/side/session_server.py
+++ b/src/bergamotmast/side/session_server.py
@@ -148,7 +148,7 @@
         if session is None:
             await self._on_stale(peer, message)
             return
-        session.on_heard(_now())
+        session.on_received(_now())
         await self._in_session(session, message)
 
     async def _in_session(
@@ -258,9 +258,7 @@
         run since and reads its socket. The wait ends after the session timeout, when an
         entry that does not respond counts the side as lost too.
         """
-        working_sessions = [
-            s for s in self.table.by_name.values() if not s.only_observes
-        ]
+        working_sessions = [s for s in self.table.by_name.values() if not s.is_observer]
         awaited = {
             s.name: s.heartbeats_received + HEARTBEATS_UNTIL_READ
             for s in working_sessions
