--- a/src/bergamotmast/adapters/engine_http.py
+++ b/src/bergamotmast/adapters/engine_http.py
@@ -23,7 +23,7 @@
 from .http_calls import exchange
 from .http_calls import split_stream
 
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 """Timeout of a call; streams have no overall timeout."""
 
 CHUNK_TIMEOUT_SECONDS = 60.0
@@ -110,7 +110,7 @@
                 data = event.removeprefix(b"data: ")
                 if data == DONE:
                     return
-                yield _chunk(data)
+                yield _decode_chunk(data)
         raise ReplyLostError("the stream ended without its last event")
 
     async def cancel(self, stream_id: str) -> None:
@@ -134,7 +134,7 @@
             self.session,
             method,
             self.url + path,
-            total=CALL_SECONDS,
+            total=CALL_TIMEOUT_SECONDS,
             data=data,
             headers=JSON_TYPE,
         ) as response:
@@ -155,7 +155,7 @@
     raise ReplyLostError(message)
 
 
-def _chunk(data: bytes) -> TokenChunk:
+def _decode_chunk(data: bytes) -> TokenChunk:
     try:
         event = _EVENT.decode(data)
         choice = event.choices[0]
--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -26,7 +26,7 @@
 """Maximum time between two cheap re-reads, which bounds how long a lost event of the
 watch goes unnoticed."""
 
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 """Timeout of one read."""
 
 MIN_FETCH_INTERVAL_SECONDS = 2.0
@@ -101,10 +101,10 @@
         while True:
             await asyncio.sleep(self.rng.uniform(0.5, 1.0) * REREAD_INTERVAL_SECONDS)
             try:
-                async with asyncio.timeout(CALL_SECONDS):
+                async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                     found = await self.kv.range(DIGEST_KEY_PREFIX)
             except (BergamotmastError, TimeoutError) as error:
-                logger.info("periodic re-read of the configuration failed: %r", error)
+                logger.info("configuration not read again: %r", error)
                 continue
             self._on_digest_key(found.items[-1].key if found.items else "")
 
@@ -130,7 +130,7 @@
         :param current_key: the service's digest key as last read; empty if none exists.
         """
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 document = await self._read_from_deltas(current_key)
                 if document is None:
                     document = (await self.store.read()).document
@@ -138,7 +138,7 @@
             if document != self.holder.document:
                 await self._republish()
         except (BergamotmastError, TimeoutError) as error:
-            logger.warning("configuration could not be read: %r", error)
+            logger.warning("configuration not read: %r", error)
 
     async def _read_from_deltas(self, current_key: str) -> bytes | None:
         """Return the document that the kept deltas lead to; ``None`` if they don't.
@@ -167,7 +167,7 @@
         await asyncio.sleep(self.rng.uniform(0, FETCH_JITTER_SECONDS))
         nonce = f"{self.rng.getrandbits(64):016x}"
         author = f"process {self.holder.process}"
-        async with asyncio.timeout(CALL_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             changed = await self.store.republish(self.holder.document, author, nonce)
         if changed:
             logger.warning(
@@ -182,7 +182,7 @@
         try:
             self.holder.offer(document)
         except msgspec.DecodeError as error:
-            logger.error("the stored configuration is not valid: %s", error)
+            logger.error("the service holds no configuration: %s", error)
 
     def _own_digest_key(self) -> str:
         return digest_key(self.holder.document)
