--- a/spec/authority.pml
+++ b/spec/authority.pml
@@ -29,7 +29,7 @@
 byte in_authority = NOBODY;   /* the planner whose takeover took effect last */
 
 /* each planner */
-#define FOLLOWING 0           /* does not hold the lease */
+#define FOLLOWING 0           /* another planner may hold the lease */
 #define TAKING_OVER 1
 #define PLANNING 2
 #define WAITING 3             /* awaits the reply to a write */
--- a/spec/slot.pml
+++ b/spec/slot.pml
@@ -10,7 +10,8 @@
  * Properties (assertions):
  *   forward      an engine accepts no order with a lower token after a higher one;
  *   one_order    an engine never receives an order while another is in progress;
- *   read_back    work is routed only to an engine whose assignment its side knows.
+ *   read_back    work is routed to an engine only if its side believes the engine's
+ *                actual assignment.
  *
  * Safeguards, and the flag that removes each:
  *   OBEY_LOWER      a side obeys only a higher token than the last
--- a/src/bergamotmast/bench/environment.py
+++ b/src/bergamotmast/bench/environment.py
@@ -88,9 +88,9 @@
 class FakePlainService:
     """Plain service with a constant service time and limited concurrency."""
 
-    def __init__(self, part: FleetUpstream) -> None:
-        self.seconds = part.call_seconds
-        self.slots = asyncio.Semaphore(part.max_calls)
+    def __init__(self, upstream: FleetUpstream) -> None:
+        self.seconds = upstream.call_seconds
+        self.slots = asyncio.Semaphore(upstream.max_calls)
         self.calls = 0
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
@@ -164,7 +164,7 @@
         self.configuration = configuration_for(fleet, requests)
         self.document = encode_configuration(self.configuration)
         self.instance_list = FakeInstanceList(
-            [instance_info(part) for part in fleet.upstreams]
+            [instance_info(upstream) for upstream in fleet.upstreams]
         )
         self.engines: dict[str, EngineStandIn] = {}
         self.sides: dict[str, SideCore] = {}
@@ -173,12 +173,12 @@
 
     async def __aenter__(self) -> BenchEnvironment:
         first_roles = self.policy_set.first_roles(len(self.fleet.engines()))
-        for part, role in zip(self.fleet.engines(), first_roles, strict=True):
-            self._start_engine(part, role)
-        for part in self.fleet.services():
-            runner = ServiceRunner(FakePlainService(part))
-            side = self._start_side(part, runner)
-            side.policy.configure(part.max_calls, 1, 1e6, 1e6, None)
+        for upstream, role in zip(self.fleet.engines(), first_roles, strict=True):
+            self._start_engine(upstream, role)
+        for upstream in self.fleet.services():
+            runner = ServiceRunner(FakePlainService(upstream))
+            side = self._start_side(upstream, runner)
+            side.policy.configure(upstream.max_calls, 1, 1e6, 1e6, None)
             side.on_engine_state(None, Readiness.READY)
         for index in range(self.fleet.entries):
             self._start_entry(index)
@@ -203,40 +203,40 @@
         holder.offer(self.document)
         return holder
 
-    def _start_engine(self, part: FleetUpstream, role: Role) -> None:
+    def _start_engine(self, upstream: FleetUpstream, role: Role) -> None:
         models, adapters = models_and_adapters(self.configuration)
         engine = EngineStandIn(
-            part.name,
-            self.fleet.spec(part),
+            upstream.name,
+            self.fleet.spec(upstream),
             assignment=Assignment(role, models, adapters),
             exchange=self.exchange,
             history=self.history,
         )
-        self.engines[part.name] = engine
-        side = self._start_side(part, EngineRunner(engine))
+        self.engines[upstream.name] = engine
+        side = self._start_side(upstream, EngineRunner(engine))
         reconciler = OrderReconciler(
-            part.name,
+            upstream.name,
             engine,
-            self.kv.client(f"side-{part.name}"),
+            self.kv.client(f"side-{upstream.name}"),
             side,
             side.on_engine_state,
-            self.rng(f"orders {part.name}"),
+            self.rng(f"orders {upstream.name}"),
         )
         self._spawn(reconciler.run())
 
     def _start_side(
-        self, part: FleetUpstream, runner: EngineRunner | ServiceRunner
+        self, upstream: FleetUpstream, runner: EngineRunner | ServiceRunner
     ) -> SideCore:
         side = SideCore(
-            part.name,
-            self.network.listen(part.name),
+            upstream.name,
+            self.network.listen(upstream.name),
             runner,
             self.policy_set.side_policy(),
-            self._holder(f"side-{part.name}"),
+            self._holder(f"side-{upstream.name}"),
             self.history,
-            f"side-{part.name}",
+            f"side-{upstream.name}",
         )
-        self.sides[part.name] = side
+        self.sides[upstream.name] = side
         self._spawn(side.run())
         return side
 
@@ -321,9 +321,15 @@
                 engine.break_connections()
 
 
-def instance_info(part: FleetUpstream) -> InstanceInfo:
+def instance_info(upstream: FleetUpstream) -> InstanceInfo:
     """Return an upstream's record in the instance list."""
-    return InstanceInfo(part.name, part.kind, part.zone, part.name, f"mem:{part.name}")
+    return InstanceInfo(
+        upstream.name,
+        upstream.kind,
+        upstream.zone,
+        upstream.name,
+        f"mem:{upstream.name}",
+    )
 
 
 def configuration_for(
@@ -334,8 +340,8 @@
     models = sorted({name.partition(":")[0] for name in names})
     adapters = sorted({a for a in (n.partition(":")[2] for n in names) if a})
     labels = {
-        part.name: {**part.labels, KIND_LABEL: part.kind.value}
-        for part in fleet.upstreams
+        upstream.name: {**upstream.labels, KIND_LABEL: upstream.kind.value}
+        for upstream in fleet.upstreams
     }
     selectors = [
         Selector(
--- a/src/bergamotmast/bench/fleet.py
+++ b/src/bergamotmast/bench/fleet.py
@@ -91,16 +91,16 @@
 
     def role_rates(self, upstream: FleetUpstream, role: Role) -> RoleRates:
         """Return the speed of one engine in one role."""
-        part = upstream.rates.get(role) or self.rates.get(role)
-        if part is None:
+        configured_rates = upstream.rates.get(role) or self.rates.get(role)
+        if configured_rates is None:
             return DEFAULT_RATES[role]
         return RoleRates(
-            part.prefill_rate,
-            part.prefill_share,
-            part.step_base,
-            part.step_per_stream,
-            part.interference,
-            part.max_streams,
+            configured_rates.prefill_rate,
+            configured_rates.prefill_share,
+            configured_rates.step_base,
+            configured_rates.step_per_stream,
+            configured_rates.interference,
+            configured_rates.max_streams,
         )
 
     def spec(self, upstream: FleetUpstream) -> EngineSpec:
--- a/src/bergamotmast/bench/scenarios.py
+++ b/src/bergamotmast/bench/scenarios.py
@@ -127,7 +127,7 @@
     return lambda now: high if (now % period >= period / 2.0) is late else low
 
 
-def _flaps(seconds: float) -> tuple[Fault, ...]:
+def _repeated_crashes(seconds: float) -> tuple[Fault, ...]:
     count = int((seconds - 40.0) // FLAP_PERIOD_SECONDS)
     starts = [30.0 + FLAP_PERIOD_SECONDS * i for i in range(count)]
     return tuple(
@@ -144,8 +144,8 @@
     )
 
 
-_WRAP = ((80.0, 200.0),)
-_BURSTS = ((60.0, 85.0), (130.0, 155.0), (200.0, 225.0))
+_WRAP_WINDOWS_SECONDS = ((80.0, 200.0),)
+_BURST_WINDOWS_SECONDS = ((60.0, 85.0), (130.0, 155.0), (200.0, 225.0))
 
 LOAD_SHAPES: dict[str, _LoadShape] = {
     "slow-drift": _LoadShape(
@@ -161,13 +161,16 @@
         sine_wave(0.25, 0.17, 480.0, 0.25),
     ),
     "burst": _LoadShape(
-        260.0, pulses(0.03, 0.4, _BURSTS), constant_load(0.08), constant_load(0.4)
+        260.0,
+        pulses(0.03, 0.4, _BURST_WINDOWS_SECONDS),
+        constant_load(0.08),
+        constant_load(0.4),
     ),
     "wrap-hour": _LoadShape(
         260.0,
-        pulses(0.05, 0.15, _WRAP),
-        pulses(0.12, 0.2, _WRAP),
-        pulses(0.15, 0.6, _WRAP),
+        pulses(0.05, 0.15, _WRAP_WINDOWS_SECONDS),
+        pulses(0.12, 0.2, _WRAP_WINDOWS_SECONDS),
+        pulses(0.15, 0.6, _WRAP_WINDOWS_SECONDS),
         only_deployment="alliance",
     ),
     "fast-oscillation": _LoadShape(
@@ -195,7 +198,7 @@
         constant_load(0.12),
         constant_load(0.1),
         constant_load(0.28),
-        faults=_flaps(200.0),
+        faults=_repeated_crashes(200.0),
     ),
     "saturation-1.0": _saturation(1.0),
     "saturation-1.5": _saturation(1.5),
@@ -216,7 +219,7 @@
     ),
     "late-reports": _LoadShape(
         260.0,
-        pulses(0.04, 0.3, _BURSTS),
+        pulses(0.04, 0.3, _BURST_WINDOWS_SECONDS),
         constant_load(0.1),
         constant_load(0.3),
         load_lag=5.0,
