--- a/bench/engine_front.py
+++ b/bench/engine_frontend.py
@@ -1,7 +1,7 @@
-"""Measures what the engine stand-in's HTTP front costs: tokens a second of one core.
+"""Benchmark of the engine stand-in's HTTP frontend, in tokens per core second.
 
-Starts the stand-in as a process, keeps a number of streams open against it, ends it
-and divides the tokens received by the processor time the process used.
+Starts the stand-in as a process, keeps a number of streams open to it, stops it and
+divides the tokens received by the processor time that the process used.
 """
 
 from __future__ import annotations
@@ -31,20 +31,20 @@
 
 
 def main() -> None:
-    """Run the measurement and print it as one JSON object."""
+    """Run the benchmark, or the stand-in with ``--serve``."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--streams", type=int, default=64)
     parser.add_argument("--output-tokens", type=int, default=200)
     parser.add_argument("--tokens-per-chunk", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--serve", action="store_true", help="be the stand-in")
+    parser.add_argument("--serve", action="store_true", help="run the stand-in only")
     arguments = parser.parse_args()
     run = serve if arguments.serve else measure
     asyncio.run(run(arguments))
 
 
 async def serve(arguments: argparse.Namespace) -> None:
-    """Be the stand-in until a signal ends it."""
+    """Run the stand-in until SIGTERM."""
     rates = RoleRates(1e7, 1.0, STEP_SECONDS, 0.0, 1.0, arguments.streams)
     spec = EngineSpec(
         roles={role: rates for role in Role},
@@ -65,29 +65,29 @@
 
 
 async def measure(arguments: argparse.Namespace) -> None:
-    """Drive the stand-in and print what it cost."""
+    """Load the stand-in and print its cost as one JSON object."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, *sys.argv, "--serve", stdout=asyncio.subprocess.PIPE
     )
     assert process.stdout is not None
     url = (await process.stdout.readline()).decode().strip()
-    before = _seconds_used(process.pid)
+    before = _cpu_seconds(process.pid)
     started = time.monotonic()
     counts = await _drive(url, arguments)
     elapsed = time.monotonic() - started
-    used = _seconds_used(process.pid) - before
+    cpu_seconds = _cpu_seconds(process.pid) - before
     process.terminate()
     await process.wait()
-    own = resource.getrusage(resource.RUSAGE_SELF)
+    usage = resource.getrusage(resource.RUSAGE_SELF)
     result = {
         "streams": arguments.streams,
         "tokens_per_chunk": arguments.tokens_per_chunk,
         "tokens": counts["tokens"],
         "requests": counts["requests"],
         "elapsed_seconds": round(elapsed, 2),
-        "standin_core_seconds": round(used, 2),
-        "tokens_per_core_second": round(counts["tokens"] / used),
-        "client_core_seconds": round(own.ru_utime + own.ru_stime, 2),
+        "standin_core_seconds": round(cpu_seconds, 2),
+        "tokens_per_core_second": round(counts["tokens"] / cpu_seconds),
+        "client_core_seconds": round(usage.ru_utime + usage.ru_stime, 2),
     }
     print(json.dumps(result))
 
@@ -95,13 +95,13 @@
 async def _drive(url: str, arguments: argparse.Namespace) -> dict[str, int]:
     counts = {"tokens": 0, "requests": 0}
     loop = asyncio.get_running_loop()
-    until = loop.time() + arguments.seconds
+    end = loop.time() + arguments.seconds
     prompt = f"[out={arguments.output_tokens}]"
     async with client_session() as session:
         engine = HttpEngine(session, url)
 
-        async def keep_one_open(worker: int) -> None:
-            while loop.time() < until:
+        async def run_worker(worker: int) -> None:
+            while loop.time() < end:
                 counts["requests"] += 1
                 request = GenerateRequest(
                     f"{worker}-{counts['requests']}",
@@ -116,11 +116,11 @@
 
         async with asyncio.TaskGroup() as group:
             for worker in range(arguments.streams):
-                group.create_task(keep_one_open(worker))
+                group.create_task(run_worker(worker))
     return counts
 
 
-def _seconds_used(pid: int) -> float:
+def _cpu_seconds(pid: int) -> float:
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/src/bergamotmast/bench/sockets_client.py
+++ b/src/bergamotmast/bench/sockets_client.py
@@ -1,4 +1,4 @@
-"""Callers for the measurement on real sockets: each sends one call after the other."""
+"""Closed-loop load generator for the measurement on real sockets."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 PROMPT_TOKENS = 50
 
 _EVENT = b"data: "
-_END = b"\n\ndata: [DONE]\n\n"
+_END_OF_STREAM = b"\n\ndata: [DONE]\n\n"
 
 
-class WrongAnswerError(BergamotmastError):
-    """A caller got something else than its whole answer."""
+class UnexpectedAnswerError(BergamotmastError):
+    """A call's answer is incomplete or differs from the expected one."""
 
 
 class _Choice(msgspec.Struct):
@@ -39,11 +39,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sample:
-    """What a caller saw of one call.
+class CallSample:
+    """Latencies of one call.
 
+    :param tokens: length of the answer.
     :param first: seconds to the first event.
-    :param gaps: seconds between events; 0 for those that came together.
+    :param gaps: seconds between consecutive events; 0 for events received together.
     """
 
     tokens: int
@@ -51,21 +52,21 @@
     gaps: tuple[float, ...]
 
 
-class Caller(t.Protocol):
-    """Knows the path and body of a call at one kind of target."""
+class RequestFormat(t.Protocol):
+    """Format of the requests that one kind of target accepts."""
 
-    def body(self, number: str, prompt: str, tokens: int) -> bytes:
+    def body(self, request_id: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
         ...
 
 
-class EngineCaller:
-    """Calls an engine, or a pass-through before one."""
+class EngineRequestFormat:
+    """Requests of an engine, or of a pass-through before one."""
 
-    def body(self, number: str, prompt: str, tokens: int) -> bytes:
+    def body(self, request_id: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
         request = GenerateRequest(
-            stream_id=number,
+            stream_id=request_id,
             model=MODEL,
             prompt=prompt,
             prompt_tokens=PROMPT_TOKENS,
@@ -75,61 +76,63 @@
         return msgspec.json.encode(request)
 
 
-class EntryCaller:
-    """Calls an entry."""
+class EntryRequestFormat:
+    """Requests of an entry."""
 
-    def body(self, number: str, prompt: str, tokens: int) -> bytes:
+    def body(self, request_id: str, prompt: str, tokens: int) -> bytes:
         """Return the body."""
         fields = {"model": MODEL, "prompt": prompt, "max_tokens": tokens}
         return msgspec.json.encode(fields | {"stream": True})
 
 
-class Callers:
-    """Callers of one target that share a session.
+class CallerPool:
+    """Concurrent callers of one target that share an HTTP session.
 
-    :param caller: what a call of the target looks like.
+    :param caller: format of the target's requests.
     :param url: base address of the target.
     """
 
-    _numbers = itertools.count(1)
+    _request_numbers = itertools.count(1)
 
     def __init__(
-        self, session: aiohttp.ClientSession, caller: Caller, url: str
+        self, session: aiohttp.ClientSession, caller: RequestFormat, url: str
     ) -> None:
         self.session = session
         self.caller = caller
         self.url = url + "/v1/completions"
 
-    async def run(self, callers: int, tokens: int, seconds: float) -> list[Sample]:
-        """Call for a while, each caller one call at a time, and end the last calls.
+    async def run(self, callers: int, tokens: int, seconds: float) -> list[CallSample]:
+        """Run callers that each make one call after the other.
 
+        :param callers: number of concurrent callers.
         :param tokens: length of each answer.
+        :param seconds: time in which new calls begin; calls in flight are completed.
         """
         until = asyncio.get_running_loop().time() + seconds
         work = (self._repeat(tokens, until) for _ in range(callers))
         return [s for samples in await asyncio.gather(*work) for s in samples]
 
-    async def _repeat(self, tokens: int, until: float) -> list[Sample]:
+    async def _repeat(self, tokens: int, until: float) -> list[CallSample]:
         samples = []
         while asyncio.get_running_loop().time() < until:
             samples.append(await self.call(tokens))
         return samples
 
-    async def call(self, tokens: int) -> Sample:
+    async def call(self, tokens: int) -> CallSample:
         """Make one call.
 
-        :raises WrongAnswerError: if the answer is not the whole one.
+        :raises UnexpectedAnswerError: if the answer is incomplete or differs.
         """
-        number = f"n{next(self._numbers)}"
-        head = f"[out={tokens}] {number} "
+        request_id = f"n{next(self._request_numbers)}"
+        head = f"[out={tokens}] {request_id} "
         prompt = head + "word " * (PROMPT_TOKENS - 2)
         headers = {
             "X-Tenant": "t",
             "X-Request-Class": REQUEST_CLASS,
-            "X-Request-Id": number,
+            "X-Request-Id": request_id,
             "Content-Type": "application/json",
         }
-        body = self.caller.body(number, prompt, tokens)
+        body = self.caller.body(request_id, prompt, tokens)
         loop = asyncio.get_running_loop()
         times = [loop.time()]
         parts = []
@@ -138,27 +141,32 @@
                 parts.append(part)
                 times += [loop.time()] * part.count(_EVENT)
         if answer_text(b"".join(parts)) != expected_text(MODEL, prompt, tokens):
-            raise WrongAnswerError(f"call {number} of {self.url} got another answer")
-        return sample(tokens, times)
+            raise UnexpectedAnswerError(
+                f"call {request_id} of {self.url}: unexpected text"
+            )
+        return call_sample(tokens, times)
 
 
 def answer_text(stream: bytes) -> str:
-    """Return the text of a whole stream of events.
+    """Return the text of a complete stream of server-sent events.
 
-    :raises WrongAnswerError: if it has not ended as it should.
+    :raises UnexpectedAnswerError: if the end-of-stream event is missing.
     """
-    if not stream.endswith(_END):
-        raise WrongAnswerError(f"a stream ended with {stream[-200:]!r}")
-    events = stream.removesuffix(_END).split(b"\n\n")
+    if not stream.endswith(_END_OF_STREAM):
+        raise UnexpectedAnswerError(
+            f"stream without its final event: {stream[-200:]!r}"
+        )
+    events = stream.removesuffix(_END_OF_STREAM).split(b"\n\n")
     decoded = (_DECODER.decode(event.removeprefix(_EVENT)) for event in events)
     return "".join(event.choices[0].text for event in decoded)
 
 
-def sample(tokens: int, times: list[float]) -> Sample:
-    """Return what a caller saw.
+def call_sample(tokens: int, times: list[float]) -> CallSample:
+    """Return the latencies of a call.
 
-    :param times: when the call was sent, then of each event, the end's included.
+    :param times: when the call was sent, then when each event arrived, the final event
+        included, which carries no token.
     """
     events = times[1:-1]
     gaps = tuple(b - a for a, b in itertools.pairwise(events))
-    return Sample(tokens, events[0] - times[0], gaps)
+    return CallSample(tokens, events[0] - times[0], gaps)
