--- a/src/bergamotmast/connections.py
+++ b/src/bergamotmast/connections.py
@@ -37,8 +37,9 @@
         """Process received data; start the deadline of headers that are incomplete."""
         super().data_received(data)
         self.receive_count += 1
-        waits_for_head = self._waiter is not None and not self._waiter.done()
-        if not waits_for_head:
+        # The request handler's waiter is pending until complete headers are parsed.
+        awaits_headers = self._waiter is not None and not self._waiter.done()
+        if not awaits_headers:
             self.header_deadline = None
         elif self.header_deadline is None:
             self.header_deadline = (
--- a/src/bergamotmast/daemons.py
+++ b/src/bergamotmast/daemons.py
@@ -214,7 +214,10 @@
 async def _shut_down_entry(
     entry: EntryProcess, callers: HttpListener, seconds: float
 ) -> None:
-    """Serve until callers are routed elsewhere and all requests have a response."""
+    """Serve until callers are routed elsewhere and all requests have a response.
+
+    :param seconds: time for running requests, after which they are aborted.
+    """
     requested_at = asyncio.get_running_loop().time()
     end_by = requested_at + seconds
     entry.core.closing = True
--- a/src/bergamotmast/demo.py
+++ b/src/bergamotmast/demo.py
@@ -40,7 +40,10 @@
 """Duration of the generated traffic."""
 
 SELECTOR_CHANGE_AT_SECONDS = 2.0
+"""Time of the change of a selector, from the start of the traffic."""
+
 DRAIN_AT_SECONDS = 4.0
+"""Time at which an engine is drained, from the start of the traffic."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/bergamotmast/model.py
+++ b/src/bergamotmast/model.py
@@ -283,8 +283,8 @@
 class SideReport(msgspec.Struct, frozen=True, array_like=True):
     """Status of a side and its upstream, sent with each heartbeat.
 
-    Token counters are cumulative since the start of the side, so that a lost report
-    loses no data.
+    All values are exact at the time of sending. Token counters are cumulative since the
+    start of the side, so that a lost report loses no data.
 
     :param readiness: whether the side accepts new work.
     :param role: the engine's role; ``None`` for a plain service.
--- a/src/bergamotmast/selection.py
+++ b/src/bergamotmast/selection.py
@@ -12,10 +12,12 @@
 
 
 def _allows(allowed: tuple[str, ...], value: str) -> bool:
+    """Return whether a value is allowed; an empty tuple allows all values."""
     return not allowed or value in allowed
 
 
 def _matches(match: Match, call: ModelCall | ServiceCall) -> bool:
+    """Return whether a call meets all conditions of a selector's match."""
     if not _allows(match.classes, call.request_class):
         return False
     if not _allows(match.tenants, call.tenant):
@@ -70,12 +72,14 @@
 
 
 def _carries(selector: Selector, call: ModelCall | ServiceCall) -> bool:
+    """Return whether a selector's group carries the model and adapter of a call."""
     if isinstance(call, ServiceCall):
         return True
     return carried_names(selector).issuperset(required_names(call.model))
 
 
 def _leaving(configuration: Configuration, groups: GroupIndex) -> frozenset[str]:
+    """Return the upstreams of all selectors that are draining or withdrawn."""
     leaving: set[str] = set()
     for selector in configuration.selectors:
         if selector.state is not SelectorState.SERVING:
--- a/src/bergamotmast/served_shares.py
+++ b/src/bergamotmast/served_shares.py
@@ -6,7 +6,7 @@
 import dataclasses
 
 MIN_SERVED_RATIO = 0.5
-"""Lower bound of the served share of large prompts, relative to all prompts."""
+"""Minimum served share of large prompts that operators expect, relative to all."""
 
 MIN_PROMPTS = 10
 """Minimum number of prompts of a class, as fewer have no largest tenth."""
--- a/src/bergamotmast/settings.py
+++ b/src/bergamotmast/settings.py
@@ -72,6 +72,7 @@
 
 
 def _setting(kind: Kind, group: str, help_text: str, default: t.Any = None) -> t.Any:
+    """Return a data class field with the declaration of a setting."""
     metadata = {_DECLARATION: (kind, default, group, help_text)}
     return dataclasses.field(metadata=metadata)
 
