--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -47,7 +47,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     def records(self):
-        items = self.service.store.below("/bergamotmast/claims/")
+        items = self.service.store.items_with_prefix("/bergamotmast/claims/")
         return [decode_claim(item.value) for item in items]
 
 
