--- a/spec/check.py
+++ b/spec/check.py
@@ -1,8 +1,8 @@
-"""Runs Spin on each specification, whole and with each safeguard removed.
+"""Model-checks each specification with Spin, and each of its mutants.
 
-The whole specification must hold. Each broken twin, made with ``-D<FLAG>`` for a flag
-that the specification names, must be rejected: this is what shows that the
-properties can fail.
+The unmodified specification must hold. A mutant lacks one safeguard; it is compiled
+with ``-D<FLAG>`` for a flag that the specification names. Spin must find a violation in
+each mutant, which shows that the properties can fail.
 
 Run ``python spec/check.py`` for all, or with names: ``python spec/check.py claim``.
 """
@@ -21,11 +21,17 @@
 import time
 
 DIRECTORY = pathlib.Path(__file__).resolve().parent
-MEMORY_MEGABYTES = 1024
-DEPTH = 100_000
-SECONDS = 60.0
-COMPILE = ("gcc", "-w", "-DSAFETY", "-DCOLLAPSE", f"-DMEMLIM={MEMORY_MEGABYTES}")
-AT_ONCE = 4
+MAX_MEMORY_MEGABYTES = 1024
+MAX_SEARCH_DEPTH = 100_000
+TIMEOUT_SECONDS = 60.0
+COMPILE_COMMAND = (
+    "gcc",
+    "-w",
+    "-DSAFETY",
+    "-DCOLLAPSE",
+    f"-DMEMLIM={MAX_MEMORY_MEGABYTES}",
+)
+MAX_CONCURRENT_CHECKS = 4
 
 _CONDITIONAL = re.compile(r"^#ifn?def (\w+)|defined\((\w+)\)", re.MULTILINE)
 _ERRORS = re.compile(r"errors: (\d+)")
@@ -35,9 +41,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """One specification, whole or without one safeguard.
+    """One specification, unmodified or without one safeguard.
 
-    :param flag: the safeguard removed; empty for the whole specification.
+    :param flag: flag that removes a safeguard; empty for the unmodified specification.
     """
 
     name: str
@@ -48,61 +54,63 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
-    """What the checker found.
+class CheckResult:
+    """Result of the model checker on one case.
 
-    :param complete: whether every reachable state was visited, or an error found.
-    :param broken: the assertion that failed; empty if none did.
+    :param complete: whether every reachable state was visited, or a violation found.
+    :param violated: the assertion that was violated; empty if none was.
+    :param states: number of states stored.
+    :param seconds: duration of the check, including compilation.
     """
 
     case: Case
     complete: bool
-    broken: str
+    violated: str
     states: int
     seconds: float
 
     @property
     def as_expected(self) -> bool:
-        """Whether a whole specification held, or a broken twin was rejected."""
-        return self.complete and bool(self.broken) is bool(self.case.flag)
+        """Whether an unmodified specification held, or a mutant was rejected."""
+        return self.complete and bool(self.violated) is bool(self.case.flag)
 
     def __str__(self) -> str:
-        word = "as expected" if self.as_expected else "WRONG"
-        found = f"rejected: {self.broken}" if self.broken else "holds"
+        status = "as expected" if self.as_expected else "WRONG"
+        found = f"rejected: {self.violated}" if self.violated else "holds"
         count = f"{self.states:>8} states {self.seconds:5.1f} s"
-        return f"{self.case!s:36} {word:11} {count}  {found}"
+        return f"{self.case!s:36} {status:11} {count}  {found}"
 
 
 def flags(name: str) -> list[str]:
-    """Return the safeguards that a specification can be run without."""
+    """Return the flags that remove safeguards of a specification."""
     text = (DIRECTORY / f"{name}.pml").read_text()
     found = {first or second for first, second in _CONDITIONAL.findall(text)}
     return sorted(found)
 
 
 def cases() -> list[Case]:
-    """Return every specification, each followed by its broken twins."""
+    """Return every specification, each followed by its mutants."""
     names = sorted(path.stem for path in DIRECTORY.glob("*.pml"))
     return [Case(name, flag) for name in names for flag in ["", *flags(name)]]
 
 
-def run(case: Case) -> Verdict:
+def run(case: Case) -> CheckResult:
     """Check one case in a temporary directory.
 
-    :raises subprocess.CalledProcessError: if Spin or the compiler refuses it.
+    :raises subprocess.CalledProcessError: if Spin or the compiler reports an error.
+    :raises subprocess.TimeoutExpired: if a step takes longer than allowed.
     """
-    begin = time.monotonic()
+    start = time.monotonic()
     source = DIRECTORY / f"{case.name}.pml"
     define = [f"-D{case.flag}"] if case.flag else []
-    # The shortest way to a broken property is found first, and early, when the twins
-    # are searched breadth first.
-    # Their search is short, so that the compiler's own work is most of the time.
+    # Breadth-first search finds the shortest counterexample of a mutant, and early. The
+    # search is then so short that compilation takes most of the time, hence -O0.
     options = ["-O0", "-DBFS"] if case.flag else ["-O2"]
     with tempfile.TemporaryDirectory() as directory:
         _call(["spin", "-a", *define, os.fspath(source)], directory)
-        _call([*COMPILE, *options, "-o", "pan", "pan.c"], directory)
-        output = _call(["./pan", f"-m{DEPTH}", "-n"], directory)
-    return _verdict(case, output, time.monotonic() - begin)
+        _call([*COMPILE_COMMAND, *options, "-o", "pan", "pan.c"], directory)
+        output = _call(["./pan", f"-m{MAX_SEARCH_DEPTH}", "-n"], directory)
+    return _parse_output(case, output, time.monotonic() - start)
 
 
 def _call(command: list[str], directory: str) -> str:
@@ -112,32 +120,34 @@
         check=True,
         capture_output=True,
         text=True,
-        timeout=SECONDS,
+        timeout=TIMEOUT_SECONDS,
     ).stdout
 
 
-def _verdict(case: Case, output: str, seconds: float) -> Verdict:
+def _parse_output(case: Case, output: str, seconds: float) -> CheckResult:
     errors = _ERRORS.search(output)
     states = _STATES.search(output)
-    broken = _PROPERTY.search(output)
+    violated = _PROPERTY.search(output)
     cut_short = "Search not completed" in output or "max search depth" in output
-    return Verdict(
+    return CheckResult(
         case=case,
-        complete=errors is not None and (bool(broken) or not cut_short),
-        broken=broken.group(1) if broken else "",
+        complete=errors is not None and (bool(violated) or not cut_short),
+        violated=violated.group(1) if violated else "",
         states=int(states.group(1)) if states else 0,
         seconds=seconds,
     )
 
 
 def main() -> int:
-    """Check what the command line names and print a line for each."""
+    """Check the specifications named as arguments; print a line for each case."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("names", nargs="*", help="specifications; all by default")
+    parser.add_argument(
+        "names", nargs="*", help="names of specifications; all by default"
+    )
     names = parser.parse_args().names
     chosen = [case for case in cases() if not names or case.name in names]
     failed = 0
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_CHECKS) as pool:
         for verdict in pool.map(run, chosen):
             failed += not verdict.as_expected
             print(verdict, flush=True)
--- a/src/bergamotmast/adapters/engine_http.py
+++ b/src/bergamotmast/adapters/engine_http.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP: completions as server-sent events, and orders."""
+"""Client for a model engine over HTTP: completions as server-sent events, orders."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from .http_calls import exchange
 from .http_calls import split_stream
 
-CALL_SECONDS = 2.0
-"""Time one call may take; a stream may take any."""
+CALL_TIMEOUT_SECONDS = 2.0
+"""Timeout of a call; streams have no overall timeout."""
 
-SILENCE_SECONDS = 60.0
-"""Time between two chunks after which a stream counts as broken."""
+CHUNK_TIMEOUT_SECONDS = 60.0
+"""Time without a chunk after which a stream counts as broken."""
 
 DONE = b"[DONE]"
 """Data of the event that ends a stream."""
@@ -44,7 +44,7 @@
 
 
 class CompletionEvent(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event of a stream, with what resumption needs beside the usual fields."""
+    """One event of a stream: the usual fields and those that resumption needs."""
 
     choices: tuple[Choice, ...]
     token_index: int
@@ -53,8 +53,8 @@
     kv_handle: str = ""
 
 
-class LoadBody(msgspec.Struct, frozen=True):
-    """A load report; its age in seconds, because clocks of instances differ."""
+class EngineLoadBody(msgspec.Struct, frozen=True):
+    """A load report; it has an age in seconds, because instances' clocks differ."""
 
     age: float
     running: int
@@ -66,7 +66,7 @@
 
 
 class HttpEngine:
-    """An :class:`~bergamotmast.ports.Engine`.
+    """Implements :class:`~bergamotmast.ports.Engine`.
 
     :param url: base address, without a path.
     """
@@ -76,49 +76,49 @@
         self.url = url.rstrip("/")
 
     async def state(self) -> EngineState:
-        """Read what the engine is."""
+        """Read the engine's state."""
         return await self._get("/admin/state", EngineState)
 
     async def load(self) -> EngineLoad:
         """Read the latest load report."""
-        body = await self._get("/admin/load", LoadBody)
+        body = await self._get("/admin/load", EngineLoadBody)
         measured_at = asyncio.get_running_loop().time() - body.age
         return EngineLoad(measured_at, body.running, body.waiting, body.kv_used)
 
     async def order(self, order: Order) -> None:
-        """Give an order and return when the engine has taken it.
+        """Send an order and return when the engine has accepted it.
 
-        :raises OrderRefusedError: for an old fencing token or an order under way.
+        :raises OrderRefusedError: for an old fencing token or while an order runs.
         """
         await self._call("POST", "/admin/order", msgspec.json.encode(order))
 
     async def generate(
         self, request: GenerateRequest
     ) -> cabc.AsyncGenerator[TokenChunk, None]:
-        """Yield the answer's chunks; closing the generator drops the connection."""
+        """Yield the answer's chunks; closing the generator closes the connection."""
         body = msgspec.to_builtins(request) | {"stream": True}
         async with exchange(
             self.session,
             "POST",
             self.url + "/v1/completions",
-            silence=SILENCE_SECONDS,
+            read_timeout=CHUNK_TIMEOUT_SECONDS,
             data=msgspec.json.encode(body),
             headers=JSON_TYPE,
         ) as response:
-            _refuse_error(response)
+            _raise_for_error(response)
             async for event in split_stream(response, b"\n\n"):
                 data = event.removeprefix(b"data: ")
                 if data == DONE:
                     return
-                yield _chunk(data)
+                yield _decode_chunk(data)
         raise ReplyLostError("the stream ended without its last event")
 
     async def cancel(self, stream_id: str) -> None:
-        """End a stream that may still run."""
+        """Cancel a stream that may still run."""
         await self._call("DELETE", f"/v1/streams/{stream_id}")
 
     async def cache_events(self, after: int) -> tuple[CacheEvent, ...]:
-        """Read the cache events after a sequence number, as far as still kept."""
+        """Read the cache events after a sequence number that the engine still keeps."""
         path = f"/admin/cache_events?after={after}"
         return await self._get(path, tuple[CacheEvent, ...])
 
@@ -134,16 +134,16 @@
             self.session,
             method,
             self.url + path,
-            total=CALL_SECONDS,
+            total=CALL_TIMEOUT_SECONDS,
             data=data,
             headers=JSON_TYPE,
         ) as response:
-            _refuse_error(response)
+            _raise_for_error(response)
             return await response.read()
 
 
-def _refuse_error(response: aiohttp.ClientResponse) -> None:
-    """Raise for an error: 503 and 4xx say that nothing was begun, others do not."""
+def _raise_for_error(response: aiohttp.ClientResponse) -> None:
+    """Raise for an error status; only 503 and 4xx mean that nothing was started."""
     status = response.status
     if status < 300:
         return
@@ -155,7 +155,7 @@
     raise ReplyLostError(message)
 
 
-def _chunk(data: bytes) -> TokenChunk:
+def _decode_chunk(data: bytes) -> TokenChunk:
     try:
         event = _EVENT.decode(data)
         choice = event.choices[0]
--- a/src/bergamotmast/adapters/instance_list_http.py
+++ b/src/bergamotmast/adapters/instance_list_http.py
@@ -1,4 +1,4 @@
-"""The instance list over HTTP."""
+"""Client for the instance list over HTTP."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ..model import InstanceInfo
 from .http_calls import exchange
 
-CALL_SECONDS = 2.0
-"""Time one call may take."""
+CALL_TIMEOUT_SECONDS = 2.0
+"""Timeout of a call."""
 
 _INSTANCES = msgspec.json.Decoder(tuple[InstanceInfo, ...])
 
 
 class HttpInstanceList:
-    """An :class:`~bergamotmast.ports.InstanceList`.
+    """Implements :class:`~bergamotmast.ports.InstanceList`.
 
     :param url: base address, without a path.
     """
@@ -31,7 +31,9 @@
         :raises PortError: if it can't be read.
         """
         url = f"{self.url}/instances"
-        async with exchange(self.session, "GET", url, total=CALL_SECONDS) as response:
+        async with exchange(
+            self.session, "GET", url, total=CALL_TIMEOUT_SECONDS
+        ) as response:
             if response.status != 200:
                 raise ReplyLostError(f"the instance list answered {response.status}")
             data = await response.read()
--- a/src/bergamotmast/bench/world.py
+++ b/src/bergamotmast/bench/environment.py
@@ -1,7 +1,7 @@
-"""One whole deployment in one process: real entries, sides and planner.
+"""Simulated deployment in one process: real entries, sides and planner.
 
-Only what lies behind the ports is a stand-in: engines, plain services, the instance
-list, the key-value service and the network between the processes.
+Only what lies behind the ports is simulated: engines, plain services, the instance
+list, the key-value service and the network between processes.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 from ..model import ServiceAnswer
 from ..model import ServiceCall
 from ..model import UpstreamKind
-from ..planner.authority import Authority
+from ..planner.election import PlannerElection
 from ..planner.fleet_view import TimedReport
 from ..planner.plan_store import PlanStore
 from ..planner.planner import Planner
 from ..policy.presets import PolicySet
 from ..side.core import SideCore
-from ..side.orders import OrderKeeper
+from ..side.orders import OrderReconciler
 from ..side.runners import EngineRunner
 from ..side.runners import ServiceRunner
 from ..standins.engine import EngineStandIn
@@ -47,33 +47,33 @@
 from .faults import Fault
 from .faults import FaultKind
 from .fleet import Fleet
-from .fleet import UpstreamPart
+from .fleet import FleetUpstream
 from .trace import TraceRequest
 
 ROUTE = "calls"
-"""The one route of plain services."""
+"""Name of the only route of plain services."""
 
 SETTLE_SECONDS = 20.0
-"""Time before the trace begins, in which sessions open and the planner starts."""
+"""Time before the trace starts, in which sessions open and the planner starts."""
 
 KIND_LABEL = "bench-kind"
-"""Label by which the generated selectors tell engines from plain services."""
+"""Label by which the generated selectors distinguish engines and plain services."""
 
 DEFAULT_MODEL = "model"
 
 
 class FakeInstanceList:
-    """The platform's list, with withdrawals on demand."""
+    """Instance list of the platform that can mark upstreams as leaving."""
 
     def __init__(self, instances: list[InstanceInfo]) -> None:
         self.listed = {info.name: info for info in instances}
 
     async def instances(self) -> tuple[InstanceInfo, ...]:
-        """Return the list."""
+        """Return all instances."""
         return tuple(self.listed.values())
 
     def withdraw(self, name: str) -> None:
-        """Say that an upstream is leaving."""
+        """Mark an upstream as leaving."""
         info = self.listed[name]
         self.listed[name] = InstanceInfo(
             info.name,
@@ -86,38 +86,38 @@
 
 
 class FakePlainService:
-    """A plain service that takes a while, with so many calls at once."""
+    """Plain service with a constant service time and limited concurrency."""
 
-    def __init__(self, part: UpstreamPart) -> None:
-        self.seconds = part.call_seconds
-        self.places = asyncio.Semaphore(part.max_calls)
+    def __init__(self, upstream: FleetUpstream) -> None:
+        self.seconds = upstream.call_seconds
+        self.slots = asyncio.Semaphore(upstream.max_calls)
         self.calls = 0
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
-        """Run one call."""
-        async with self.places:
+        """Execute one call once a slot is free."""
+        async with self.slots:
             self.calls += 1
             await asyncio.sleep(self.seconds)
         return ServiceAnswer(200, b"", "text/plain")
 
 
 class EntryView:
-    """What the planner sees of the fleet: the sessions of the entry it runs in."""
+    """The planner's view of the fleet, from the sessions of the entry it runs in."""
 
     def __init__(self, entry: EntryCore) -> None:
         self.entry = entry
 
     def instances(self) -> list[InstanceInfo]:
-        """Return the instances as last listed."""
+        """Return the instances of the last instance list."""
         return list(self.entry.membership.infos.values())
 
     def leaving(self) -> frozenset[str]:
-        """Return the upstreams that any signal says are leaving."""
+        """Return the upstreams that any source marks as leaving."""
         membership = self.entry.membership
         return frozenset(n for n in membership.infos if membership.is_leaving(n))
 
     def last_report(self, upstream: str) -> TimedReport | None:
-        """Return a side's last word."""
+        """Return the last report of a side, with the time of its receipt."""
         peer = self.entry.membership.peers.get(upstream)
         if peer is None or peer.report is None:
             return None
@@ -125,10 +125,10 @@
 
 
 class NoClaims:
-    """No call of a trace has a caller's key, so nothing is ever claimed."""
+    """Claim service that refuses all claims; calls of a trace carry no key."""
 
     async def claim(self, key: str, digest: bytes) -> ServiceAnswer | None:
-        """Refuse."""
+        """Refuse the claim."""
         raise RequestError(ResultCode.CLAIM_UNAVAILABLE)
 
     async def complete(self, key: str, answer: ServiceAnswer) -> None:
@@ -138,11 +138,13 @@
         """Keep nothing."""
 
 
-class World:
-    """A deployment that runs while its context is open.
+class BenchEnvironment:
+    """Simulated deployment that runs while its context is open.
 
-    :param fleet: its upstreams and entries.
-    :param policy_set: the decisions of all its processes.
+    :param fleet: upstreams and entries.
+    :param policy_set: policies of all processes.
+    :param requests: trace for which the configuration is made.
+    :param seed: seed of all random sources.
     """
 
     def __init__(
@@ -162,22 +164,22 @@
         self.configuration = configuration_for(fleet, requests)
         self.document = encode_configuration(self.configuration)
         self.instance_list = FakeInstanceList(
-            [instance_info(part) for part in fleet.upstreams]
+            [instance_info(upstream) for upstream in fleet.upstreams]
         )
         self.engines: dict[str, EngineStandIn] = {}
         self.sides: dict[str, SideCore] = {}
         self.entries: list[EntryCore] = []
         self._tasks: list[asyncio.Task[None]] = []
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> BenchEnvironment:
         first_roles = self.policy_set.first_roles(len(self.fleet.engines()))
-        for part, role in zip(self.fleet.engines(), first_roles, strict=True):
-            self._start_engine(part, role)
-        for part in self.fleet.services():
-            runner = ServiceRunner(FakePlainService(part))
-            side = self._start_side(part, runner)
-            side.policy.configure(part.max_calls, 1, 1e6, 1e6, None)
-            side.on_engine(None, Readiness.READY)
+        for upstream, role in zip(self.fleet.engines(), first_roles, strict=True):
+            self._start_engine(upstream, role)
+        for upstream in self.fleet.services():
+            runner = ServiceRunner(FakePlainService(upstream))
+            side = self._start_side(upstream, runner)
+            side.policy.configure(upstream.max_calls, 1, 1e6, 1e6, None)
+            side.on_engine_state(None, Readiness.READY)
         for index in range(self.fleet.entries):
             self._start_entry(index)
         self._start_planner()
@@ -190,7 +192,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def rng(self, purpose: str) -> random.Random:
-        """Return a random source of its own for each purpose."""
+        """Return a random source that is independent for each purpose."""
         return random.Random(f"{self.seed} {purpose}")
 
     def _spawn(self, coroutine: t.Coroutine[t.Any, t.Any, None]) -> None:
@@ -201,40 +203,40 @@
         holder.offer(self.document)
         return holder
 
-    def _start_engine(self, part: UpstreamPart, role: Role) -> None:
-        models, adapters = carried(self.configuration)
+    def _start_engine(self, upstream: FleetUpstream, role: Role) -> None:
+        models, adapters = models_and_adapters(self.configuration)
         engine = EngineStandIn(
-            part.name,
-            self.fleet.spec(part),
+            upstream.name,
+            self.fleet.spec(upstream),
             assignment=Assignment(role, models, adapters),
             exchange=self.exchange,
             history=self.history,
         )
-        self.engines[part.name] = engine
-        side = self._start_side(part, EngineRunner(engine))
-        keeper = OrderKeeper(
-            part.name,
+        self.engines[upstream.name] = engine
+        side = self._start_side(upstream, EngineRunner(engine))
+        reconciler = OrderReconciler(
+            upstream.name,
             engine,
-            self.kv.client(f"side-{part.name}"),
+            self.kv.client(f"side-{upstream.name}"),
             side,
-            side.on_engine,
-            self.rng(f"orders {part.name}"),
+            side.on_engine_state,
+            self.rng(f"orders {upstream.name}"),
         )
-        self._spawn(keeper.run())
+        self._spawn(reconciler.run())
 
     def _start_side(
-        self, part: UpstreamPart, runner: EngineRunner | ServiceRunner
+        self, upstream: FleetUpstream, runner: EngineRunner | ServiceRunner
     ) -> SideCore:
         side = SideCore(
-            part.name,
-            self.network.listen(part.name),
+            upstream.name,
+            self.network.listen(upstream.name),
             runner,
             self.policy_set.side_policy(),
-            self._holder(f"side-{part.name}"),
+            self._holder(f"side-{upstream.name}"),
             self.history,
-            f"side-{part.name}",
+            f"side-{upstream.name}",
         )
-        self.sides[part.name] = side
+        self.sides[upstream.name] = side
         self._spawn(side.run())
         return side
 
@@ -261,7 +263,7 @@
         rng = self.rng("planner")
         entry = self.entries[0]
         planner = Planner(
-            Authority(client, "planner", rng),
+            PlannerElection(client, "planner", rng),
             PlanStore(client, "planner", rng, self.history),
             entry.holder,
             EntryView(entry),
@@ -273,17 +275,20 @@
 
     # Faults
 
-    async def play(self, fault: Fault, origin: float) -> None:
-        """Bring a fault about at its time and end it at its end."""
+    async def inject(self, fault: Fault, origin: float) -> None:
+        """Inject a fault at its start and undo it at its end.
+
+        :param origin: loop time at the start of the trace.
+        """
         loop = asyncio.get_running_loop()
         await asyncio.sleep(origin + fault.start - loop.time())
-        self._begin(fault)
+        self._start_fault(fault)
         if fault.kind is FaultKind.WITHDRAWAL:
             return
         await asyncio.sleep(origin + fault.end - loop.time())
-        self._finish(fault)
+        self._end_fault(fault)
 
-    def _begin(self, fault: Fault) -> None:
+    def _start_fault(self, fault: Fault) -> None:
         name = self.fleet.engines()[fault.engine].name
         match fault.kind:
             case FaultKind.ENGINE_SPEED:
@@ -291,13 +296,13 @@
             case FaultKind.ENGINE_CRASH:
                 self.engines[name].crash()
             case FaultKind.ENGINES_UNREACHABLE:
-                self._reach(False)
+                self._set_engines_reachable(False)
             case FaultKind.WITHDRAWAL:
                 self.instance_list.withdraw(name)
             case FaultKind.KEY_VALUE_DOWN:
                 self.kv.down = True
 
-    def _finish(self, fault: Fault) -> None:
+    def _end_fault(self, fault: Fault) -> None:
         name = self.fleet.engines()[fault.engine].name
         match fault.kind:
             case FaultKind.ENGINE_SPEED:
@@ -305,32 +310,38 @@
             case FaultKind.ENGINE_CRASH:
                 self.engines[name].restart()
             case FaultKind.ENGINES_UNREACHABLE:
-                self._reach(True)
+                self._set_engines_reachable(True)
             case FaultKind.KEY_VALUE_DOWN:
                 self.kv.down = False
 
-    def _reach(self, reachable: bool) -> None:
+    def _set_engines_reachable(self, reachable: bool) -> None:
         for engine in self.engines.values():
             engine.reachable = reachable
             if not reachable:
                 engine.break_connections()
 
 
-def instance_info(part: UpstreamPart) -> InstanceInfo:
-    """Return an upstream as the instance list names it."""
-    return InstanceInfo(part.name, part.kind, part.zone, part.name, f"mem:{part.name}")
+def instance_info(upstream: FleetUpstream) -> InstanceInfo:
+    """Return an upstream's record in the instance list."""
+    return InstanceInfo(
+        upstream.name,
+        upstream.kind,
+        upstream.zone,
+        upstream.name,
+        f"mem:{upstream.name}",
+    )
 
 
 def configuration_for(
     fleet: Fleet, requests: tuple[TraceRequest, ...]
 ) -> Configuration:
-    """Return a configuration in which every request of a trace has a place."""
+    """Return a configuration with the models, tenants and classes of a trace."""
     names = sorted({r.model for r in requests if r.model}) or [DEFAULT_MODEL]
     models = sorted({name.partition(":")[0] for name in names})
     adapters = sorted({a for a in (n.partition(":")[2] for n in names) if a})
     labels = {
-        part.name: {**part.labels, KIND_LABEL: part.kind.value}
-        for part in fleet.upstreams
+        upstream.name: {**upstream.labels, KIND_LABEL: upstream.kind.value}
+        for upstream in fleet.upstreams
     }
     selectors = [
         Selector(
@@ -358,8 +369,10 @@
     )
 
 
-def carried(configuration: Configuration) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Return the models and adapters of the engines' group."""
+def models_and_adapters(
+    configuration: Configuration,
+) -> tuple[tuple[str, ...], tuple[str, ...]]:
+    """Return the models and adapters that the engines serve."""
     selector = configuration.selectors[0]
     return selector.models, selector.adapters
 
@@ -367,30 +380,36 @@
 def classes_for(
     fleet: Fleet, requests: tuple[TraceRequest, ...]
 ) -> dict[str, RequestClass]:
-    """Return the fleet's classes, and one by its deadlines for each other class."""
-    longest: dict[str, float] = {}
+    """Return the fleet's classes; other classes get objectives from their deadlines."""
+    max_deadlines: dict[str, float] = {}
     for request in requests:
-        longest[request.klass] = max(longest.get(request.klass, 0.0), request.deadline)
-    made = {
+        max_deadlines[request.klass] = max(
+            max_deadlines.get(request.klass, 0.0), request.deadline
+        )
+    derived = {
         name: RequestClass(
             priority=_priority(deadline), first_token=deadline, total=deadline
         )
-        for name, deadline in sorted(longest.items())
+        for name, deadline in sorted(max_deadlines.items())
     }
-    return made | fleet.classes
+    return derived | fleet.classes
 
 
-INTERACTIVE_SECONDS = 10.0
-STANDARD_SECONDS = 60.0
-"""Longest deadlines of the two upper priorities, for classes without a definition."""
+MAX_INTERACTIVE_DEADLINE_SECONDS = 10.0
+MAX_STANDARD_DEADLINE_SECONDS = 60.0
+"""Maximum deadlines of the two higher priorities, for classes the fleet omits."""
 
 
 def _priority(deadline: float) -> Priority:
-    if deadline <= INTERACTIVE_SECONDS:
+    if deadline <= MAX_INTERACTIVE_DEADLINE_SECONDS:
         return Priority.INTERACTIVE
-    return Priority.STANDARD if deadline <= STANDARD_SECONDS else Priority.BATCH
+    return (
+        Priority.STANDARD
+        if deadline <= MAX_STANDARD_DEADLINE_SECONDS
+        else Priority.BATCH
+    )
 
 
 def first_token_seconds(configuration: Configuration) -> dict[str, float]:
-    """Return the seconds each class allows to its first token."""
+    """Return the first-token objective of each class, in seconds."""
     return {name: c.first_token for name, c in configuration.classes.items()}
--- a/src/bergamotmast/bench/metrics.py
+++ b/src/bergamotmast/bench/metrics.py
@@ -1,4 +1,4 @@
-"""What callers got, and what it cost the fleet."""
+"""Results of a run: outcomes and latencies of requests, and use of the fleet."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from ..errors import ResultCode
 from .trace import TraceRequest
 
-DIGITS = 6
-"""Decimals kept in results."""
+DECIMAL_PLACES = 6
+"""Precision of numbers in results."""
 
 
 @dataclasses.dataclass(slots=True)
-class RequestLog:
-    """What one caller saw.
+class RequestRecord:
+    """One request as its caller saw it.
 
     :param code: final result.
-    :param first_at: first token; seconds after the start of the trace.
-    :param ended_at: final answer; likewise.
+    :param first_at: time of the first token, seconds after the start of the trace.
+    :param ended_at: time of the final result, seconds after the start of the trace.
     :param tokens: output tokens received.
-    :param tries: how often the caller sent it.
+    :param attempts: how often the caller sent the request.
     """
 
     request: TraceRequest
@@ -35,10 +35,10 @@
     first_at: float | None = None
     ended_at: float = 0.0
     tokens: int = 0
-    tries: int = 1
+    attempts: int = 1
 
     @property
-    def verdict(self) -> str:
+    def status(self) -> str:
         """``met``, ``late``, ``refused``, ``unknown`` or ``failed``."""
         if self.code is ResultCode.OK:
             due = self.request.at + self.request.deadline
@@ -52,7 +52,15 @@
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """How the requests of a class or tenant ended."""
+    """Number of requests by final status.
+
+    :param met: answered by the deadline.
+    :param late: answered after the deadline, or ended by it.
+    :param refused: not executed.
+    :param unknown: ended without a known outcome.
+    :param failed: executed without success.
+    :param met_share: share of the sent requests that were met.
+    """
 
     sent: int
     met: int
@@ -64,7 +72,7 @@
 
 
 class Quantiles(msgspec.Struct, frozen=True):
-    """Times in seconds; ``None`` where there was none to measure."""
+    """Percentiles of times in seconds; ``None`` without any sample."""
 
     p50: float | None
     p95: float | None
@@ -72,9 +80,12 @@
 
 
 class ClassResult(msgspec.Struct, frozen=True):
-    """One class's counts and times.
+    """Counts and latencies of one request class.
 
-    :param first_token_kept: share of all sent whose first token came in time.
+    :param first_token: time to the first token.
+    :param between_tokens: mean time between tokens of each answer.
+    :param first_token_kept: share of the sent requests whose first token arrived within
+        the class's objective.
     """
 
     counts: Counts
@@ -83,14 +94,17 @@
     first_token_kept: float
 
 
-class Point(msgspec.Struct, frozen=True):
-    """The fleet over one step of the timeline.
+class TimelinePoint(msgspec.Struct, frozen=True):
+    """State of the fleet over one step of the timeline.
 
     :param at: end of the step, seconds after the start of the trace.
-    :param prompt_rate: prompt tokens that arrived, a second.
-    :param output_rate: output tokens asked for by what arrived, a second.
-    :param goodput: useful output tokens that were completed, a second.
-    :param roles: engines in each role that take work.
+    :param prompt_rate: prompt tokens of arriving requests, a second.
+    :param output_rate: output tokens that arriving requests ask for, a second.
+    :param goodput: output tokens of requests met in the step, a second.
+    :param running: requests running at engines.
+    :param queued: requests queued at sides.
+    :param roles: ready engines in each role.
+    :param changing: engines in a role change.
     """
 
     at: float
@@ -104,15 +118,21 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """One policy on one trace with one seed.
-
-    :param goodput: useful output tokens a second, over the trace's length.
-    :param oracle_share: the same as a share of the oracle bound.
-    :param engine_seconds_lost: time engines took no work because of changes.
-    :param wasted_share: share of all tokens spent that served no met request.
-    :param shed_share: share spent on what was then refused or expired.
+    """Result of one policy on one trace with one seed.
+
+    :param seconds: duration of the trace.
+    :param goodput: output tokens of met requests a second, over the trace's duration.
+    :param oracle: upper bound of the goodput; see :mod:`.oracle`.
+    :param oracle_share: goodput as a share of that bound.
+    :param counts: requests by final status.
+    :param codes: requests by result code.
+    :param engine_seconds_lost: time that engines spent in role changes.
+    :param wasted_tokens: processed tokens that served no met request.
+    :param wasted_share: the same as a share of all processed tokens.
+    :param shed_share: share of all processed tokens that was spent on requests refused
+        or late.
     :param fairness: Jain's index of the tenants' met shares.
-    :param least_tenant: met share of the tenant that fared worst.
+    :param least_tenant: lowest met share of any tenant.
     """
 
     policy: str
@@ -133,89 +153,95 @@
     shed_share: float
     fairness: float
     least_tenant: float
-    timeline: list[Point]
+    timeline: list[TimelinePoint]
 
 
-def counts(logs: cabc.Sequence[RequestLog]) -> Counts:
-    """Count how requests ended."""
-    by = collections.Counter(log.verdict for log in logs)
-    share = by["met"] / len(logs) if logs else 1.0
+def counts(records: cabc.Sequence[RequestRecord]) -> Counts:
+    """Count requests by final status."""
+    by = collections.Counter(record.status for record in records)
+    share = by["met"] / len(records) if records else 1.0
     return Counts(
-        len(logs),
+        len(records),
         by["met"],
         by["late"],
         by["refused"],
         by["unknown"],
         by["failed"],
-        round(share, DIGITS),
+        round(share, DECIMAL_PLACES),
     )
 
 
-def useful_tokens(logs: cabc.Iterable[RequestLog]) -> int:
-    """Return the output tokens of requests met."""
+def useful_tokens(records: cabc.Iterable[RequestRecord]) -> int:
+    """Return the output tokens of the model requests that were met."""
     return sum(
-        log.request.output_tokens
-        for log in logs
-        if log.verdict == "met" and log.request.model
+        record.request.output_tokens
+        for record in records
+        if record.status == "met" and record.request.model
     )
 
 
 def by_class(
-    logs: cabc.Sequence[RequestLog], first_token: cabc.Mapping[str, float]
+    records: cabc.Sequence[RequestRecord], first_token: cabc.Mapping[str, float]
 ) -> dict[str, ClassResult]:
-    """Return each class's result.
+    """Return the results by request class.
 
-    :param first_token: seconds each class allows to its first token.
+    :param first_token: first-token objective of each class, seconds.
     """
-    groups = _grouped(logs, lambda log: log.request.klass)
+    groups = _grouped(records, lambda record: record.request.klass)
     return {
         name: _class_result(group, first_token.get(name, math.inf))
         for name, group in groups.items()
     }
 
 
-def by_tenant(logs: cabc.Sequence[RequestLog]) -> dict[str, Counts]:
-    """Return each tenant's counts."""
-    groups = _grouped(logs, lambda log: log.request.tenant)
+def by_tenant(records: cabc.Sequence[RequestRecord]) -> dict[str, Counts]:
+    """Return the counts by tenant."""
+    groups = _grouped(records, lambda record: record.request.tenant)
     return {name: counts(group) for name, group in groups.items()}
 
 
 def jain(shares: cabc.Sequence[float]) -> float:
-    """Return Jain's index of fairness: 1 if all are equal, 1/n if one has all."""
-    squares = sum(s * s for s in shares)
-    if squares == 0.0:
+    """Return Jain's fairness index: 1 if all are equal, 1/n if one has all."""
+    sum_of_squares = sum(s * s for s in shares)
+    if sum_of_squares == 0.0:
         return 1.0
-    return float(round(sum(shares) ** 2 / (len(shares) * squares), DIGITS))
+    return float(
+        round(sum(shares) ** 2 / (len(shares) * sum_of_squares), DECIMAL_PLACES)
+    )
 
 
 def quantiles(values: cabc.Sequence[float]) -> Quantiles:
-    """Return the usual quantiles."""
+    """Return the 50th, 95th and 99th percentile."""
     if not values:
         return Quantiles(None, None, None)
     if len(values) == 1:
-        only = round(values[0], DIGITS)
+        only = round(values[0], DECIMAL_PLACES)
         return Quantiles(only, only, only)
-    cuts = statistics.quantiles(values, n=100, method="inclusive")
-    return Quantiles(*(round(cuts[p - 1], DIGITS) for p in (50, 95, 99)))
+    percentiles = statistics.quantiles(values, n=100, method="inclusive")
+    return Quantiles(*(round(percentiles[p - 1], DECIMAL_PLACES) for p in (50, 95, 99)))
 
 
 def _grouped(
-    logs: cabc.Sequence[RequestLog], key: cabc.Callable[[RequestLog], str]
-) -> dict[str, list[RequestLog]]:
-    groups: dict[str, list[RequestLog]] = {}
-    for log in logs:
-        groups.setdefault(key(log), []).append(log)
+    records: cabc.Sequence[RequestRecord], key: cabc.Callable[[RequestRecord], str]
+) -> dict[str, list[RequestRecord]]:
+    groups: dict[str, list[RequestRecord]] = {}
+    for record in records:
+        groups.setdefault(key(record), []).append(record)
     return dict(sorted(groups.items()))
 
 
-def _class_result(logs: list[RequestLog], allowed: float) -> ClassResult:
-    waits = [log.first_at - log.request.at for log in logs if log.first_at is not None]
+def _class_result(records: list[RequestRecord], objective: float) -> ClassResult:
+    waits = [
+        record.first_at - record.request.at
+        for record in records
+        if record.first_at is not None
+    ]
     gaps = [
-        (log.ended_at - log.first_at) / (log.tokens - 1)
-        for log in logs
-        if log.first_at is not None and log.tokens > 1
+        (record.ended_at - record.first_at) / (record.tokens - 1)
+        for record in records
+        if record.first_at is not None and record.tokens > 1
     ]
-    kept = sum(wait <= allowed for wait in waits) / len(logs)
+    kept = sum(wait <= objective for wait in waits) / len(records)
     return ClassResult(
-        counts(logs), quantiles(waits), quantiles(gaps), round(kept, DIGITS)
+        counts(records), quantiles(waits), quantiles(gaps), round(kept, DECIMAL_PLACES)
     )
--- a/src/bergamotmast/bounded_log.py
+++ b/src/bergamotmast/bounded_log.py
@@ -1,4 +1,4 @@
-"""JSON lines to a descriptor that may be slow or full: bounded, and never waiting."""
+"""Logging handler that writes JSON lines without blocking, with a bounded buffer."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 import msgspec
 
-MOST_WAITING_BYTES = 256 * 1024
-"""Lines held while the reader of the logs is slow; more are counted and dropped."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Buffer size for a slow reader; lines that don't fit are dropped and counted."""
 
-LINES_A_SECOND = 400
-"""Most lines below a warning in a second: about four times the usual load of an
-entry. Warnings and errors are never left out for their number."""
+MAX_LINES_PER_SECOND = 400
+"""Rate limit of lines below the warning level, about four times the usual rate of an
+entry. Warnings and errors are not limited."""
 
-_OWN_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {
+_STANDARD_FIELDS = frozenset(vars(logging.makeLogRecord({}))) | {
     "message",
     "asctime",
     "process_name",
@@ -28,74 +28,78 @@
 
 
 class BoundedJsonHandler(logging.Handler):
-    """Writes each record as one line of JSON, if it can be done at once.
+    """Logging handler that writes each record as one line of JSON and never blocks.
 
-    A pipe whose reader has stopped would block a plain write, and with it every
-    request of the process. The descriptor is therefore set not to block; what does
-    not fit is held up to :data:`MOST_WAITING_BYTES` and then dropped, and the next
-    line that is written says how many lines are missing.
+    If the reader of a pipe stops, a blocking write would stall all requests of the
+    process. The descriptor is therefore set to non-blocking mode. Lines that it doesn't
+    accept are buffered up to :data:`MAX_BUFFERED_BYTES` and then dropped, and the next
+    written line gives the number of dropped lines.
 
-    :param descriptor: where to, usually that of standard output.
+    :param descriptor: file descriptor to write to, usually standard output.
+    :param process_name: name of this process, written to each line.
     """
 
     def __init__(self, descriptor: int, process_name: str) -> None:
         super().__init__()
         self.descriptor = descriptor
         self.process_name = process_name
-        self.waiting: collections.deque[bytes] = collections.deque()
-        self.waiting_bytes = 0
+        self.buffered_lines: collections.deque[bytes] = collections.deque()
+        self.buffered_bytes = 0
         self.dropped = 0
-        self.second = 0
-        self.lines = 0
+        self.current_second = 0
+        self.lines_in_second = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or hold or drop it."""
-        if not self._may_write(record):
+        """Write, buffer or drop a record."""
+        if not self._is_within_rate_limit(record):
             self.dropped += 1
             return
         try:
             line = self._encode(record)
         except Exception:
-            # Whatever can't be written must not end the request that wrote it: its
-            # caller would have a closed connection in place of its answer.
+            # A record that can't be encoded must not fail the request that logs it:
+            # its caller would get a closed connection instead of a response.
             self.dropped += 1
             return
-        if self.waiting_bytes + len(line) > MOST_WAITING_BYTES:
+        if self.buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
         else:
-            self.waiting.append(line)
-            self.waiting_bytes += len(line)
-            # Only a line that is kept has told of those before it.
+            self.buffered_lines.append(line)
+            self.buffered_bytes += len(line)
+            # Reset only now, as the line that reports the count could be dropped too.
             self.dropped = 0
         self.flush()
 
     def flush(self) -> None:
-        """Write as much of what is held as the descriptor takes."""
-        while self.waiting:
-            line = self.waiting[0]
+        """Write as much of the buffer as the descriptor accepts."""
+        while self.buffered_lines:
+            line = self.buffered_lines[0]
             try:
                 written = os.write(self.descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; the process must serve on all the same.
-                self.waiting.clear()
-                self.waiting_bytes = 0
+                # The reader has closed the pipe; the process must continue to serve.
+                self.buffered_lines.clear()
+                self.buffered_bytes = 0
                 return
-            self.waiting_bytes -= written
+            self.buffered_bytes -= written
             if written < len(line):
-                self.waiting[0] = line[written:]
+                self.buffered_lines[0] = line[written:]
                 return
-            self.waiting.popleft()
+            self.buffered_lines.popleft()
 
-    def _may_write(self, record: logging.LogRecord) -> bool:
+    def _is_within_rate_limit(self, record: logging.LogRecord) -> bool:
         second = int(record.created)
-        if second != self.second:
-            self.second = second
-            self.lines = 0
-        self.lines += 1
-        return self.lines <= LINES_A_SECOND or record.levelno >= logging.WARNING
+        if second != self.current_second:
+            self.current_second = second
+            self.lines_in_second = 0
+        self.lines_in_second += 1
+        return (
+            self.lines_in_second <= MAX_LINES_PER_SECOND
+            or record.levelno >= logging.WARNING
+        )
 
     def _encode(self, record: logging.LogRecord) -> bytes:
         fields: dict[str, t.Any] = {
@@ -109,7 +113,7 @@
         if request_id:
             fields["request_id"] = request_id
         for name, value in vars(record).items():
-            if name not in _OWN_FIELDS and name not in fields:
+            if name not in _STANDARD_FIELDS and name not in fields:
                 fields[name] = value
         if record.exc_info:
             fields["exception"] = logging.Formatter().formatException(record.exc_info)
@@ -122,5 +126,5 @@
     try:
         return msgspec.json.encode(fields, enc_hook=str)
     except UnicodeEncodeError:
-        # A caller's bytes that are no UTF-8, which this one writes as escapes.
+        # A value with bytes that are not UTF-8, which ``json`` writes as escapes.
         return json.dumps(fields, default=str).encode()
--- a/src/bergamotmast/config/contradictions.py
+++ b/src/bergamotmast/config/contradictions.py
@@ -1,4 +1,4 @@
-"""Finds selectors that ask for different things of the same upstream."""
+"""Detection of selectors with conflicting demands on the same upstream."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Contradiction:
-    """Two selectors that can't both be obeyed.
+    """Two selectors whose demands conflict.
 
-    :param first: index of one selector in the document.
-    :param second: index of the other; higher.
+    :param first: index of the first selector in the document.
+    :param second: index of the second selector; greater than ``first``.
     :param selectors: names of both.
-    :param upstream: one upstream that both name.
-    :param reason: what they ask of it.
+    :param upstream: one upstream that both select.
+    :param reason: how their demands conflict.
     """
 
     first: int
@@ -42,7 +42,7 @@
 def find_contradictions(configuration: Configuration) -> tuple[Contradiction, ...]:
     """Return every pair of selectors that contradict each other, once.
 
-    The label expressions must be known to parse.
+    All label expressions must be valid.
     """
     selectors = configuration.selectors
     index = GroupIndex(configuration)
@@ -66,6 +66,7 @@
     one_members: frozenset[str],
     other_members: frozenset[str],
 ) -> cabc.Iterator[str]:
+    """Yield each conflict between two selectors that share an upstream."""
     if one.state is not other.state:
         yield f"one says {one.state.value}, the other {other.state.value}"
     yield from _version_reasons("model", one.models, other.models)
@@ -84,8 +85,9 @@
             yield f"{what} {name!r} at versions {version!r} and {versions[name]!r}"
 
 
-def _versions(carried: tuple[str, ...]) -> dict[str, str]:
-    parts = (item.partition("@") for item in carried)
+def _versions(named_versions: tuple[str, ...]) -> dict[str, str]:
+    """Return the version of each name in ``name@version`` items."""
+    parts = (item.partition("@") for item in named_versions)
     return {name: version for name, _, version in parts}
 
 
@@ -95,6 +97,10 @@
     one_members: frozenset[str],
     other_members: frozenset[str],
 ) -> cabc.Iterator[str]:
+    """Yield roles of which one selector wants more engines than the other allows.
+
+    Engines outside the other selector's group count towards the minimum first.
+    """
     outside = len(one_members - other_members)
     for role in Role:
         least = _bounds(one, role).least
@@ -109,6 +115,7 @@
 def _least_reasons(
     one: Selector, other: Selector, members: frozenset[str]
 ) -> cabc.Iterator[str]:
+    """Yield a conflict if the minimums of all roles exceed the engines of both."""
     least = sum(max(_bounds(s, role).least for s in (one, other)) for role in Role)
     if least > len(members):
         yield f"together they want at least {least} engines of {len(members)}"
--- a/src/bergamotmast/config/file.py
+++ b/src/bergamotmast/config/file.py
@@ -1,4 +1,4 @@
-"""Reads configuration files in YAML or JSON, with messages that name file and line."""
+"""Parser of configuration files in YAML or JSON; its errors name file and line."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from ..model import Priority
 from .checks import Path
 from .checks import Problem
+from .checks import did_you_mean
 from .checks import find_problems
-from .checks import near_match
 from .checks import show_problems
 from .contradictions import find_contradictions
 from .document import Configuration
 from .document import Selector
 
-DOCUMENT_LIMIT = 1_000_000
-"""Longest document, in bytes: a value of the key-value service holds no more."""
+MAX_DOCUMENT_BYTES = 1_000_000
+"""Maximum size of a document: the key-value service limits a value to this."""
 
 
 _Lines = dict[Path, int]
-"""Line numbers from 1 at which values begin, by path."""
+"""Line number, counted from 1, at which each value begins, by path."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedFile:
-    """A document's plain content.
+    """The content of a document before it is converted and checked.
 
-    :param name: the document, as it is called in messages.
-    :param find_lines: returns the line of each value, as far as known. Finding them
-        in JSON takes longer than all else, and is done for messages only.
+    :param name: name of the document in messages.
+    :param find_lines: returns the line of each value, as far as known. In JSON this
+        takes longer than all other steps, so it is called for messages only.
     """
 
     name: str
@@ -76,7 +76,7 @@
 def parse_configuration(data: bytes, name: str) -> Configuration:
     """Parse and check a document.
 
-    :param name: what to call the document in messages; JSON ends in ``.json``.
+    :param name: name of the document in messages; that of JSON ends in ``.json``.
     :raises ConfigError: naming the line and field of each problem.
     :raises ContradictionError: if two selectors contradict each other.
     """
@@ -84,7 +84,7 @@
 
 
 def parse_body(data: bytes) -> Configuration:
-    """Parse and check a JSON document that came over HTTP, without line numbers.
+    """Parse and check a JSON document from an HTTP body, without line numbers.
 
     :raises ConfigError: naming the field of each problem.
     :raises ContradictionError: if two selectors contradict each other.
@@ -94,9 +94,9 @@
 
 
 def parse_selector(plain: dict[str, t.Any], name: str) -> Selector:
-    """Return one selector from its plain content.
+    """Convert the plain content of one selector.
 
-    :param name: what to call the document in messages.
+    :param name: name of the document in messages.
     :raises ConfigError: naming each field with a problem.
     """
     problems = list(_type_problems(plain, Selector, ("selector",)))
@@ -106,7 +106,7 @@
 
 
 def dump_yaml(configuration: Configuration) -> str:
-    """Return a document as YAML, without fields that have their default."""
+    """Return a document as YAML, without fields that have their default value."""
     plain = msgspec.to_builtins(configuration)
     for request_class in plain.get("classes", {}).values():
         if "priority" in request_class:
@@ -116,12 +116,14 @@
 
 
 def _parse(data: bytes, name: str) -> ParsedFile:
-    if len(data) > DOCUMENT_LIMIT:
-        raise ConfigError(f"{name}: the document is longer than {DOCUMENT_LIMIT} bytes")
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise ConfigError(
+            f"{name}: the document is longer than {MAX_DOCUMENT_BYTES} bytes"
+        )
     try:
         if name.endswith(".json"):
             return _parse_json(data, name)
-        return _Reader(name, data.decode()).read()
+        return _YamlReader(name, data.decode()).read()
     except UnicodeDecodeError as error:
         raise ConfigError(f"{name}: this is not UTF-8 text: {error}") from error
     except yaml.MarkedYAMLError as error:
@@ -142,7 +144,7 @@
 def _decode_json(data: bytes, name: str) -> t.Any:
     try:
         content = msgspec.json.decode(data)
-        json.loads(data, object_pairs_hook=_refuse_duplicates)
+        json.loads(data, object_pairs_hook=_reject_duplicates)
     except msgspec.DecodeError as error:
         raise ConfigError(f"{name}:{_json_line(data, error)}: {error}") from error
     except ValueError as error:
@@ -152,7 +154,7 @@
     return content
 
 
-def _refuse_duplicates(pairs: list[tuple[str, t.Any]]) -> None:
+def _reject_duplicates(pairs: list[tuple[str, t.Any]]) -> None:
     keys = [key for key, _ in pairs]
     if len(set(keys)) < len(keys):
         duplicate = next(key for key in keys if keys.count(key) > 1)
@@ -160,10 +162,10 @@
 
 
 def _find_json_lines(data: bytes, name: str) -> _Lines:
-    # JSON is nearly YAML; tabs are not, and stand in no JSON string. Where the rest
-    # differs only line numbers are lost.
+    # YAML accepts nearly all JSON except tabs, which no JSON string contains. Where the
+    # two differ otherwise, only line numbers are lost.
     try:
-        reader = _Reader(name, data.decode().replace("\t", " "))
+        reader = _YamlReader(name, data.decode().replace("\t", " "))
         reader.read()
     except (yaml.YAMLError, ConfigError, RecursionError):
         return {}
@@ -193,12 +195,12 @@
         problems = list(_type_problems(parsed.content, Configuration, ()))
     if problems:
         raise ConfigError(show_problems(parsed.locate(problems)))
-    # Priorities are numbers now; nothing else was wrong.
+    # _type_problems has replaced priority names by numbers; nothing else was wrong.
     return msgspec.convert(parsed.content, Configuration)
 
 
-class _Reader:
-    """Turns the nodes of one document into plain content, noting their lines."""
+class _YamlReader:
+    """Builds a document's content from its YAML nodes and records their lines."""
 
     def __init__(self, name: str, text: str) -> None:
         self.name = name
@@ -213,7 +215,7 @@
 
     def build(self, node: yaml.Node, path: Path) -> t.Any:
         self.lines.setdefault(path, node.start_mark.line + 1)
-        self.refuse_alias(node)
+        self.reject_alias(node)
         if isinstance(node, yaml.MappingNode):
             return self.build_mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
@@ -229,21 +231,21 @@
                 raise self.error(key_node, "a key must be a word")
             if key in content:
                 raise self.error(key_node, f"{key!r} is there already")
-            here = (*path, key)
-            self.lines[here] = key_node.start_mark.line + 1
-            content[key] = self.build(value_node, here)
+            item_path = (*path, key)
+            self.lines[item_path] = key_node.start_mark.line + 1
+            content[key] = self.build(value_node, item_path)
         return content
 
     def build_scalar(self, node: yaml.Node) -> t.Any:
         try:
             value = self.loader.construct_object(node)
-            str(value).encode()  # refuses half of a surrogate pair, which is no text
+            str(value).encode()  # rejects a lone surrogate, which is not encodable
             return value
         except (ValueError, KeyError, IndexError, OverflowError) as error:
             raise self.error(node, f"{node.value!r} has no value") from error
 
-    def refuse_alias(self, node: yaml.Node) -> None:
-        # A few lines of aliases to aliases stand for more content than memory holds.
+    def reject_alias(self, node: yaml.Node) -> None:
+        # A few lines of nested aliases can expand to more content than memory holds.
         if id(node) in self.seen:
             raise self.error(node, "aliases are not allowed")
         self.seen.add(id(node))
@@ -253,7 +255,7 @@
 
 
 def _type_problems(value: t.Any, kind: t.Any, path: Path) -> cabc.Iterator[Problem]:
-    """Return every value of the wrong type, turning priorities' names to numbers."""
+    """Return every value of the wrong type; replace priority names by numbers."""
     origin = t.get_origin(kind)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         yield from _struct_problems(value, kind, path)
@@ -286,7 +288,7 @@
             yield Problem(path, f"the field {name!r} is missing")
     for name in value:
         if name not in fields:
-            message = f"there is no field {name!r} here{near_match(name, fields)}"
+            message = f"there is no field {name!r} here{did_you_mean(name, fields)}"
             yield Problem((*path, name), message)
 
 
@@ -311,7 +313,7 @@
         pass
     named = issubclass(kind, enum.IntEnum)
     known = [m.name.lower() if named else str(m.value) for m in kind]
-    hint = near_match(str(value), known)
+    hint = did_you_mean(str(value), known)
     yield Problem(path, f"{value!r} is not one of {', '.join(known)}{hint}")
 
 
--- a/src/bergamotmast/config/permissions.py
+++ b/src/bergamotmast/config/permissions.py
@@ -1,4 +1,4 @@
-"""Which edits a team's key allows."""
+"""Authorization of configuration edits by the teams' keys."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from .document import AdminKey
 from .document import Configuration
 from .document import Scope
-from .groups import groups_of_upstreams
+from .groups import selectors_by_upstream
 
-_OWNED = ("labels", "selectors", "generation")
-"""Fields that a key limited to some selectors may change in part."""
+_PARTLY_EDITABLE = ("labels", "selectors", "generation")
+"""Fields of which a key limited to some selectors may change a part."""
 
 
-_NONE: frozenset[str] = frozenset()
+_NO_SELECTORS: frozenset[str] = frozenset()
 
 
 def find_key(configuration: Configuration, secret: str) -> AdminKey | None:
-    """Return the key whose digest a secret has.
+    """Return the key whose digest matches a secret; ``None`` if none does.
 
-    Every digest is compared in full, so that the time taken says nothing about how
-    near a guess came or which team's key it is.
+    Every digest is compared, each in constant time, so that the time taken reveals
+    neither how close a guess was nor which team's key it is.
     """
     digest = hashlib.sha256(secret.encode(errors="replace")).hexdigest().encode()
     found = None
@@ -34,7 +34,7 @@
 
 
 def require_scope(key: AdminKey, scope: Scope) -> None:
-    """Refuse a key without a scope.
+    """Reject a key that lacks a scope.
 
     :raises RequestError: ``FORBIDDEN``.
     """
@@ -45,19 +45,21 @@
 def require_edit_allowed(
     key: AdminKey, before: Configuration, after: Configuration
 ) -> None:
-    """Refuse an edit that reaches beyond a key's selectors.
+    """Reject an edit that exceeds a key's selectors.
 
-    A key limited to some selectors may change these, and labels as far as the
-    upstream belongs to no other selector before or after: else a team could take
+    A key limited to some selectors may change these, and the labels of upstreams that
+    match no other selector before or after the edit: otherwise a team could take
     upstreams from another team's group by a label or by a wider expression.
 
-    :raises RequestError: ``FORBIDDEN``, naming what is out of reach.
+    :raises RequestError: ``FORBIDDEN``, naming what the key does not cover.
     """
     require_scope(key, Scope.EDIT)
     if not key.groups:
         return
     for field in Configuration.__struct_fields__:
-        if field not in _OWNED and getattr(before, field) != getattr(after, field):
+        if field not in _PARTLY_EDITABLE and getattr(before, field) != getattr(
+            after, field
+        ):
             _forbid(key, f"may not change {field}")
     allowed = frozenset(key.groups)
     _require_selectors(key, allowed, before, after)
@@ -70,6 +72,7 @@
     before: Configuration,
     after: Configuration,
 ) -> None:
+    """Reject changes of selectors that a key does not cover."""
     old = {selector.name: selector for selector in before.selectors}
     new = {selector.name: selector for selector in after.selectors}
     for name in sorted((old.keys() | new.keys()) - allowed):
@@ -83,9 +86,13 @@
     before: Configuration,
     after: Configuration,
 ) -> None:
-    old, new = groups_of_upstreams(before), groups_of_upstreams(after)
+    """Reject changes of labels or groups of upstreams that a key does not cover."""
+    old, new = selectors_by_upstream(before), selectors_by_upstream(after)
     for upstream in sorted(before.labels.keys() | after.labels.keys()):
-        was, will_be = old.get(upstream, _NONE), new.get(upstream, _NONE)
+        was, will_be = (
+            old.get(upstream, _NO_SELECTORS),
+            new.get(upstream, _NO_SELECTORS),
+        )
         same_labels = before.labels.get(upstream) == after.labels.get(upstream)
         beyond = (was | will_be) - allowed
         if beyond and not (same_labels and was == will_be):
--- a/src/bergamotmast/config/store.py
+++ b/src/bergamotmast/config/store.py
@@ -1,9 +1,9 @@
-"""The configuration in the key-value service, changed by compare-and-swap.
+"""Storage of the configuration in the key-value service, by compare-and-swap.
 
-Four kinds of key are written in one transaction for each accepted edit: the current
-document, its mark (an empty key named by its digest, so that a process can ask
-cheaply whether it has missed anything), what changed in it, and a record of who
-proposed it.
+Each accepted edit writes four kinds of key in one transaction: the current document,
+its digest key (an empty key named by the document's digest, by which a process can
+check cheaply whether it has missed an edit), the delta from the previous document, and
+a history record that names the author.
 """
 
 from __future__ import annotations
@@ -38,35 +38,35 @@
 
 CONFIG_PREFIX = "/bergamotmast/config/"
 CURRENT_KEY = CONFIG_PREFIX + "current"
-MARK_PREFIX = CONFIG_PREFIX + "mark/"
+DIGEST_KEY_PREFIX = CONFIG_PREFIX + "mark/"
 DELTA_PREFIX = CONFIG_PREFIX + "delta/"
 HISTORY_PREFIX = CONFIG_PREFIX + "history/"
 
 GENERATION_DIGITS = 12
-"""Zero padding of a generation in a key, so that keys sort as numbers do."""
+"""Digits of a generation in a key, zero-padded so that keys sort numerically."""
 
-MARK_DIGITS = 32
-"""Hex digits of a document's digest in its mark."""
+DIGEST_KEY_DIGITS = 32
+"""Hex digits of a document's digest in its digest key."""
 
-HISTORY_KEPT = 100
-"""Records kept; the service is small, and each record holds a whole document."""
+MAX_HISTORY_RECORDS = 100
+"""Newest records kept: each holds a whole document, and the service is small."""
 
-DELTAS_KEPT = 32
-"""A process that is further behind reads the whole document."""
+MAX_DELTAS = 32
+"""Newest deltas kept; a process that is further behind reads the whole document."""
 
-WRITE_ATTEMPTS = 6
-"""Sends of one transaction while its outcome stays unknown."""
+MAX_WRITE_ATTEMPTS = 6
+"""Maximum attempts of one transaction while its outcome stays unknown."""
 
-FIRST_RESEND_SECONDS = 0.1
-"""Pause before the second send; doubled before each later one."""
+FIRST_RETRY_DELAY_SECONDS = 0.1
+"""Delay before the second attempt; doubled before each later one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """A document as the key-value service holds it.
+    """A configuration as stored in the key-value service.
 
-    :param document: the configuration as bytes.
-    :param mod_revision: what a compare-and-swap must name; 0 if there is none yet.
+    :param document: the encoded configuration.
+    :param mod_revision: revision for a compare-and-swap; 0 if none is stored yet.
     """
 
     configuration: Configuration
@@ -75,12 +75,13 @@
 
 
 class ConfigRecord(msgspec.Struct, frozen=True):
-    """One accepted edit.
+    """History record of an accepted edit.
 
     :param author: who proposed it.
-    :param nonce: names the one proposal that was accepted.
-    :param accepted_at: the proposer's wall clock, seconds since 1970; for people only.
-    :param changes: what it changed, a line each.
+    :param nonce: idempotency key of the accepted proposal.
+    :param accepted_at: the proposer's wall clock, seconds since 1970; shown to people
+        only.
+    :param changes: its differences from the previous document, a line each.
     """
 
     generation: int
@@ -96,25 +97,25 @@
 
 
 def history_key(generation: int) -> str:
-    """Return the key of a generation's record."""
+    """Return the key of a generation's history record."""
     return f"{HISTORY_PREFIX}{generation:0{GENERATION_DIGITS}d}"
 
 
 def delta_key(generation: int) -> str:
-    """Return the key of what a generation changed in the one before."""
+    """Return the key of the delta from the previous generation to this one."""
     return f"{DELTA_PREFIX}{generation:0{GENERATION_DIGITS}d}"
 
 
-def mark_key(document: bytes) -> str:
-    """Return the key that is there while a document is the current one."""
-    return MARK_PREFIX + hashlib.sha256(document).hexdigest()[:MARK_DIGITS]
+def digest_key(document: bytes) -> str:
+    """Return the key that exists while a document is the current one."""
+    return DIGEST_KEY_PREFIX + hashlib.sha256(document).hexdigest()[:DIGEST_KEY_DIGITS]
 
 
 class ConfigStore:
-    """Reads and edits the configuration.
+    """Reads and edits the stored configuration.
 
     :param kv: the key-value service.
-    :param history: where accepted generations are recorded.
+    :param history: records accepted generations.
     :param wall_clock: seconds since 1970, for the records that people read.
     """
 
@@ -129,27 +130,27 @@
         self.wall_clock = wall_clock
 
     async def read(self) -> StoredConfiguration:
-        """Read the current document; an empty one if there is none yet.
+        """Read the current document; an empty one if none is stored yet.
 
-        :raises ConfigError: if what is stored is no configuration.
+        :raises ConfigError: if the stored document is not valid.
         """
         item = await self.kv.get(CURRENT_KEY)
         if item is None:
             return StoredConfiguration(Configuration(), b"", 0)
-        return _stored(item)
+        return _decode_stored(item)
 
     async def read_record(self, generation: int) -> ConfigRecord | None:
-        """Read the record of a generation; ``None`` if there is none or no longer."""
+        """Read the record of a generation; ``None`` if it does not exist (any more)."""
         item = await self.kv.get(history_key(generation))
-        return None if item is None else _record(item)
+        return None if item is None else _decode_record(item)
 
     async def read_delta(self, generation: int) -> bytes | None:
-        """Read what a generation changed; ``None`` if it is not kept."""
+        """Read the delta to a generation; ``None`` if it is not kept."""
         item = await self.kv.get(delta_key(generation))
         return None if item is None else item.value
 
     async def read_deltas(self) -> dict[int, bytes]:
-        """Read every kept change, by the generation that it led to."""
+        """Read all kept deltas, by the generation that each leads to."""
         found = await self.kv.range(DELTA_PREFIX)
         return {
             int(item.key.removeprefix(DELTA_PREFIX)): item.value for item in found.items
@@ -159,7 +160,7 @@
         """Read the newest records, newest first."""
         found = await self.kv.range(HISTORY_PREFIX)
         newest = sorted(found.items, key=lambda item: item.key, reverse=True)
-        return tuple(_record(item) for item in newest[:limit])
+        return tuple(_decode_record(item) for item in newest[:limit])
 
     async def propose(
         self,
@@ -168,42 +169,42 @@
         author: str,
         nonce: str,
     ) -> Configuration:
-        """Make a document the current one, if nobody changed it in between.
+        """Make a document the current one, unless another edit was accepted first.
 
-        :param against_generation: the generation the proposer had read.
-        :param nonce: unique to this proposal; sent again it changes nothing more.
+        :param against_generation: the generation that the proposal is based on.
+        :param nonce: idempotency key, unique to this proposal.
         :return: the document with its new generation.
-        :raises ConfigError: if the document can't be obeyed.
-        :raises EditConflictError: if another edit came first.
+        :raises ConfigError: if the document is not valid.
+        :raises EditConflictError: if another edit was accepted first.
         :raises KeyValueUnavailableError: if nothing was written.
-        :raises KeyValueOutcomeUnknownError: if it stayed unknown.
+        :raises KeyValueOutcomeUnknownError: if the outcome stayed unknown.
         """
         proposed = _with_generation(configuration, against_generation + 1)
         check_configuration(proposed)
-        marks = await self._read_marks()
+        digest_keys = await self._read_digest_keys()
         stored = await self.read()
         if stored.configuration.generation != against_generation:
-            return await self._settle(proposed, nonce)
+            return await self._resolve_conflict(proposed, nonce)
         record = self._new_record(stored, proposed, author, nonce)
-        if await self._swap(stored, marks, record):
+        if await self._compare_and_swap(stored, digest_keys, record):
             self.history_sink.record(
                 ConfigAccepted(at=_now(), generation=proposed.generation)
             )
             return proposed
-        return await self._settle(proposed, nonce)
+        return await self._resolve_conflict(proposed, nonce)
 
-    async def put_back(self, document: bytes, author: str, nonce: str) -> bool:
-        """Give a service that lost its newest document the one in force.
+    async def republish(self, document: bytes, author: str, nonce: str) -> bool:
+        """Write the document in force to a service that lost it.
 
         A service restored from a backup holds an older document, which processes
-        refuse: an operator would edit it and see nothing change anywhere. Where both
-        have the same generation and differ, somebody has already edited the restored
-        document; that later edit is kept, under a generation above both.
+        reject: an operator's edit of it would take effect nowhere. If both documents
+        have the same generation but differ, the restored one has already been edited;
+        that later edit is kept, under a generation above both.
 
-        :return: whether the service was changed.
+        :return: whether the stored document was changed.
         """
         ours = decode_configuration(document)
-        marks = await self._read_marks()
+        digest_keys = await self._read_digest_keys()
         stored = await self.read()
         theirs = stored.configuration
         if theirs.generation > ours.generation or stored.document == document:
@@ -213,10 +214,10 @@
                 return False
             ours = _with_generation(theirs, theirs.generation + 1)
         record = self._new_record(stored, ours, author, nonce)
-        return await self._swap(stored, marks, record)
+        return await self._compare_and_swap(stored, digest_keys, record)
 
-    async def _read_marks(self) -> tuple[KeyValue, ...]:
-        return (await self.kv.range(MARK_PREFIX)).items
+    async def _read_digest_keys(self) -> tuple[KeyValue, ...]:
+        return (await self.kv.range(DIGEST_KEY_PREFIX)).items
 
     def _new_record(
         self,
@@ -235,25 +236,25 @@
             configuration=proposed,
         )
 
-    async def _swap(
+    async def _compare_and_swap(
         self,
         stored: StoredConfiguration,
-        marks: tuple[KeyValue, ...],
+        digest_keys: tuple[KeyValue, ...],
         record: ConfigRecord,
     ) -> bool:
-        """Send the transaction until its outcome is known.
+        """Repeat the transaction until its outcome is known.
 
-        A lost reply leaves open whether the write took effect, or even whether it
-        still will: reading alone can't tell. Sending the very same transaction again
-        is safe, because its condition can hold only once; when it fails, the nonce in
-        the record tells whether an earlier copy was the one that took effect.
+        A lost reply leaves open whether the write took effect or still will, which a
+        read alone can't tell. Repeating the identical transaction is safe, because its
+        condition can hold only once; if it fails, the nonce in the record tells whether
+        an earlier attempt took effect.
         """
-        compares = _compares(stored, marks)
-        writes = _writes(stored, record, marks)
+        compares = _compares(stored, digest_keys)
+        writes = _writes(stored, record, digest_keys)
         lost: KeyValueOutcomeUnknownError | None = None
-        for attempt in range(WRITE_ATTEMPTS):
+        for attempt in range(MAX_WRITE_ATTEMPTS):
             if attempt:
-                await asyncio.sleep(FIRST_RESEND_SECONDS * 2 ** (attempt - 1))
+                await asyncio.sleep(FIRST_RETRY_DELAY_SECONDS * 2 ** (attempt - 1))
             try:
                 result: TxnResult = await self.kv.txn(compares, writes)
                 return result.succeeded or await self._is_ours(record)
@@ -274,8 +275,10 @@
             raise KeyValueOutcomeUnknownError(error.message) from error
         return found is not None and found.nonce == record.nonce
 
-    async def _settle(self, proposed: Configuration, nonce: str) -> Configuration:
-        """Return the proposal if an earlier send of it was accepted, else raise."""
+    async def _resolve_conflict(
+        self, proposed: Configuration, nonce: str
+    ) -> Configuration:
+        """Return the proposal if an earlier attempt was accepted, else raise."""
         first = await self.read_record(proposed.generation)
         if first is not None and first.nonce == nonce:
             return first.configuration
@@ -294,35 +297,35 @@
 
 
 def _compares(
-    stored: StoredConfiguration, marks: tuple[KeyValue, ...]
+    stored: StoredConfiguration, digest_keys: tuple[KeyValue, ...]
 ) -> list[Compare]:
-    """Return what must hold for an edit of a stored document to be written.
+    """Return the conditions for writing an edit of a stored document.
 
-    A service restored from a backup gives revisions out again: another document may
-    have come to carry the revision that the proposer read, and would be overwritten
-    unseen. The mark is named by the document itself and was read before it, so that
-    both together hold for this document alone.
+    A service restored from a backup reissues revisions: another document may have the
+    revision that the proposer read, and would be overwritten unnoticed. The digest key
+    is derived from the document itself and was read before it, so that both conditions
+    together hold for this document only.
     """
-    own = [Compare(item.key, item.mod_revision) for item in marks]
-    return [Compare(CURRENT_KEY, stored.mod_revision), *own]
+    conditions = [Compare(item.key, item.mod_revision) for item in digest_keys]
+    return [Compare(CURRENT_KEY, stored.mod_revision), *conditions]
 
 
 def _writes(
-    stored: StoredConfiguration, record: ConfigRecord, marks: tuple[KeyValue, ...]
+    stored: StoredConfiguration, record: ConfigRecord, digest_keys: tuple[KeyValue, ...]
 ) -> list[Put | Delete]:
     generation = record.generation
     document = encode_configuration(record.configuration)
-    writes: list[Put | Delete] = [Delete(item.key) for item in marks]
+    writes: list[Put | Delete] = [Delete(item.key) for item in digest_keys]
     writes += [
         Put(CURRENT_KEY, document),
-        Put(mark_key(document), b""),
+        Put(digest_key(document), b""),
         Put(delta_key(generation), make_delta(stored.document, document)),
         Put(history_key(generation), _RECORD_ENCODER.encode(record)),
     ]
-    if generation > DELTAS_KEPT:
-        writes.append(Delete(delta_key(generation - DELTAS_KEPT)))
-    if generation > HISTORY_KEPT:
-        writes.append(Delete(history_key(generation - HISTORY_KEPT)))
+    if generation > MAX_DELTAS:
+        writes.append(Delete(delta_key(generation - MAX_DELTAS)))
+    if generation > MAX_HISTORY_RECORDS:
+        writes.append(Delete(history_key(generation - MAX_HISTORY_RECORDS)))
     return writes
 
 
@@ -330,7 +333,7 @@
     return msgspec.structs.replace(configuration, generation=generation)
 
 
-def _stored(item: KeyValue) -> StoredConfiguration:
+def _decode_stored(item: KeyValue) -> StoredConfiguration:
     try:
         configuration = decode_configuration(item.value)
     except msgspec.DecodeError as error:
@@ -338,7 +341,7 @@
     return StoredConfiguration(configuration, item.value, item.mod_revision)
 
 
-def _record(item: KeyValue) -> ConfigRecord:
+def _decode_record(item: KeyValue) -> ConfigRecord:
     try:
         return _RECORD_DECODER.decode(item.value)
     except msgspec.DecodeError as error:
--- a/src/bergamotmast/daemons.py
+++ b/src/bergamotmast/daemons.py
@@ -1,4 +1,4 @@
-"""The thin daemons: an entry and a side as processes of their own."""
+"""Daemons that run an entry or a side as a process of its own."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 from .adapters.zeromq import ZmqDialer
 from .adapters.zeromq import ZmqListener
 from .app import EntryProcess
-from .app import ProcessParts
+from .app import ProcessDependencies
 from .app import SideProcess
 from .app import engine_side
 from .app import service_side
-from .entry.core import SHUTDOWN_NOTICE
+from .entry.core import READINESS_DRAIN_SECONDS
 from .entry.http import CallerLimits
 from .errors import SettingError
 from .history import NullHistory
 from .lifecycle import METRICS_PATH
-from .lifecycle import Ending
-from .lifecycle import address_errors
-from .lifecycle import exposition
-from .lifecycle import running
-from .lifecycle import told_to_end
+from .lifecycle import Shutdown
+from .lifecycle import bind_errors
+from .lifecycle import install_signal_handlers
+from .lifecycle import metrics_handler
+from .lifecycle import run_background_tasks
 from .policy.presets import PRESETS
-from .serving import Listening
+from .serving import HttpListener
 from .settings import EntrySettings
 from .settings import SharedSettings
 from .settings import SideSettings
@@ -51,90 +51,98 @@
 
 logger = logging.getLogger(__name__)
 
-CLAIMS_SECONDS = 1.0
-"""Given to the last records of claims; a silent key-value service takes none."""
+CLAIM_FLUSH_TIMEOUT_SECONDS = 1.0
+"""Timeout of the last writes of claims; the key-value service may be unresponsive."""
 
-FINAL_ANSWER_SECONDS = 2.0
-"""Given after ``--shutdown-seconds`` for telling callers what became of their requests:
-a side's word takes up to 0.5 s, the end of a call's claim up to 1 s."""
+FINAL_RESPONSE_SECONDS = 2.0
+"""Time after ``--shutdown-seconds`` for the responses to aborted requests: a side's
+reply takes up to 0.5 s, the write that ends a call's claim up to 1 s."""
 
 
 async def serve_entry(settings: EntrySettings) -> None:
-    """Run an entry until it is told to end and its last answer is out.
+    """Run an entry until a signal or a failure, and shut it down gracefully.
 
-    A task that fails ends the process in the same steps: most requests at work need
-    none of what failed, and would be cut off.
+    A failed background task starts the same shutdown: most running requests don't
+    depend on the task and would otherwise be cut off.
     """
-    ending = Ending(told_to_end())
-    async with _outside(settings) as (session, context):
+    shutdown = Shutdown(install_signal_handlers())
+    async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
-        parts = _parts(settings, _key_values(settings, session), metrics)
+        dependencies = _dependencies(
+            settings, _key_value_client(settings, session), metrics
+        )
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
         entry = EntryProcess(
-            parts,
+            dependencies,
             ZmqDialer(context, keys),
             HttpInstanceList(session, settings.instance_list_url),
-            _weights(settings, session),
+            _weight_store_client(settings, session),
             may_plan=settings.planner,
             lease_seconds=settings.planner_lease_seconds,
         )
         limits = CallerLimits(settings.max_body_bytes, settings.max_context_tokens)
         application = entry.application(limits)
-        application.router.add_get(METRICS_PATH, exposition(metrics))
-        callers = Listening(
+        application.router.add_get(METRICS_PATH, metrics_handler(metrics))
+        callers = HttpListener(
             application, settings.listen_address, entry.busy, _tls(settings)
         )
         async with (
             _serving(callers),
-            running(entry.background_tasks(), ending),
+            run_background_tasks(entry.background_tasks(), shutdown),
         ):
-            await _until(ending.told)
-            await _end_entry(entry, callers, settings.shutdown_seconds)
-    ending.raise_failure()
+            await _wait_for_shutdown(shutdown.requested)
+            await _shut_down_entry(entry, callers, settings.shutdown_seconds)
+    shutdown.raise_failure()
 
 
 async def serve_side(settings: SideSettings) -> None:
-    """Run a side until it is told to end and its work in flight is done.
+    """Run a side until a signal or a failure, and shut it down gracefully.
 
-    A task that fails ends the process in the same steps.
+    A failed background task starts the same shutdown.
     """
-    ending = Ending(told_to_end())
-    async with _outside(settings) as (session, context):
+    shutdown = Shutdown(install_signal_handlers())
+    async with _open_clients(settings) as (session, context):
         metrics = OpenTelemetryMetrics(settings.name)
-        parts = _parts(settings, _key_values(settings, session), metrics)
+        dependencies = _dependencies(
+            settings, _key_value_client(settings, session), metrics
+        )
         keys = load_keys(settings.curve_secret_file, settings.curve_peers_file)
-        with address_errors(settings.listen_address):
+        with bind_errors(settings.listen_address):
             listener = ZmqListener(context, settings.listen_address, keys)
-        side = _side(settings, parts, listener, session)
+        side = _side(settings, dependencies, listener, session)
         application = web.Application()
-        application.router.add_get(METRICS_PATH, exposition(metrics))
+        application.router.add_get(METRICS_PATH, metrics_handler(metrics))
         async with contextlib.AsyncExitStack() as stack:
             if settings.metrics_address:
-                metrics_listening = Listening(application, settings.metrics_address)
-                await stack.enter_async_context(_serving(metrics_listening))
-            await stack.enter_async_context(running(side.background_tasks(), ending))
-            await _until(ending.told)
-            if not await _bounded(side.core.leave(), settings.shutdown_seconds):
-                await side.core.end_attempts()
+                metrics_listener = HttpListener(application, settings.metrics_address)
+                await stack.enter_async_context(_serving(metrics_listener))
+            await stack.enter_async_context(
+                run_background_tasks(side.background_tasks(), shutdown)
+            )
+            await _wait_for_shutdown(shutdown.requested)
+            if not await _completes_within(
+                side.core.leave(), settings.shutdown_seconds
+            ):
+                await side.core.abort_attempts()
             side.listener.close()
-    ending.raise_failure()
+    shutdown.raise_failure()
 
 
 def _side(
     settings: SideSettings,
-    parts: ProcessParts,
+    dependencies: ProcessDependencies,
     listener: ZmqListener,
     session: aiohttp.ClientSession,
 ) -> SideProcess:
     if settings.upstream_kind == "engine":
         engine = HttpEngine(session, settings.upstream_url)
-        return engine_side(parts, listener, engine)
+        return engine_side(dependencies, listener, engine)
     service = HttpService(session, settings.upstream_url)
-    return service_side(parts, listener, service, settings.service_concurrency)
+    return service_side(dependencies, listener, service, settings.service_concurrency)
 
 
 @contextlib.asynccontextmanager
-async def _outside(
+async def _open_clients(
     settings: SharedSettings,
 ) -> cabc.AsyncIterator[tuple[aiohttp.ClientSession, zmq.asyncio.Context]]:
     context = zmq.asyncio.Context()
@@ -146,13 +154,13 @@
         context.destroy(linger=0)
 
 
-def _key_values(
+def _key_value_client(
     settings: SharedSettings, session: aiohttp.ClientSession
 ) -> KeyValueService:
     return HttpKeyValueService(session, settings.key_value_url, settings.name)
 
 
-def _weights(
+def _weight_store_client(
     settings: SharedSettings, session: aiohttp.ClientSession
 ) -> HttpWeightStore | None:
     if not settings.weight_store_url:
@@ -160,14 +168,14 @@
     return HttpWeightStore(session, settings.weight_store_url)
 
 
-def _parts(
+def _dependencies(
     settings: SharedSettings, kv: KeyValueService, metrics: OpenTelemetryMetrics
-) -> ProcessParts:
+) -> ProcessDependencies:
     policies = PRESETS.get(settings.policy)
     if policies is None:
         allowed = f"one of {', '.join(PRESETS)}"
         raise SettingError("--policy", settings.policy, allowed)
-    return ProcessParts(
+    return ProcessDependencies(
         name=settings.name,
         zone=settings.zone,
         kv=kv,
@@ -194,38 +202,43 @@
 
 
 @contextlib.asynccontextmanager
-async def _serving(listening: Listening) -> cabc.AsyncIterator[None]:
-    with address_errors(listening.address):
-        await listening.start()
+async def _serving(listener: HttpListener) -> cabc.AsyncIterator[None]:
+    with bind_errors(listener.address):
+        await listener.start()
     try:
         yield
     finally:
-        await listening.close()
+        await listener.close()
 
 
-async def _end_entry(entry: EntryProcess, callers: Listening, seconds: float) -> None:
-    """Serve on until callers are sent elsewhere and the last request is answered."""
-    told_at = asyncio.get_running_loop().time()
-    end_by = told_at + seconds
+async def _shut_down_entry(
+    entry: EntryProcess, callers: HttpListener, seconds: float
+) -> None:
+    """Serve until callers are routed elsewhere and all requests have a response.
+
+    :param seconds: time for running requests, after which they are aborted.
+    """
+    requested_at = asyncio.get_running_loop().time()
+    end_by = requested_at + seconds
     entry.core.closing = True
-    if not await callers.drain(told_at + SHUTDOWN_NOTICE, end_by):
+    if not await callers.drain(requested_at + READINESS_DRAIN_SECONDS, end_by):
         logger.warning("work in flight did not end within %g s", seconds)
-        entry.core.end_requests()
-        await callers.wait_until_closed(end_by + FINAL_ANSWER_SECONDS)
+        entry.core.abort_requests()
+        await callers.wait_until_closed(end_by + FINAL_RESPONSE_SECONDS)
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(CLAIMS_SECONDS):
+        async with asyncio.timeout(CLAIM_FLUSH_TIMEOUT_SECONDS):
             await entry.claims.flush()
 
 
-async def _until(told: asyncio.Event) -> None:
-    """Say that the process is ready, and wait until it is told to end."""
+async def _wait_for_shutdown(requested: asyncio.Event) -> None:
+    """Report readiness on standard output; wait until the shutdown is requested."""
     print("ready", file=sys.stdout, flush=True)
-    await told.wait()
-    logger.info("told to end")
+    await requested.wait()
+    logger.info("shutdown requested")
 
 
-async def _bounded(work: cabc.Awaitable[None], seconds: float) -> bool:
-    """Return whether work ended within its time."""
+async def _completes_within(work: cabc.Awaitable[None], seconds: float) -> bool:
+    """Await work with a timeout; return whether it completed in time."""
     try:
         async with asyncio.timeout(seconds):
             await work
--- /dev/null
+++ b/src/bergamotmast/direct/decode_attempt.py
@@ -0,0 +1,277 @@
+"""One attempt to stream a response from a decode engine."""
+
+from __future__ import annotations
+
+import asyncio
+import collections.abc as cabc
+import contextlib
+import math
+
+from ..errors import NotReachedError
+from ..errors import ReplyLostError
+from ..errors import RequestError
+from ..errors import ResultCode
+from ..policy.direct_placement import decode_priority
+from .events import Event
+from .events import EventSplitter
+from .forwarding import response_headers
+from .liveness import abort_when
+from .model import Upstream
+from .ports import Attempt
+from .ports import Reply
+from .ports import ReplyTraits
+from .prefill_tracker import TrackedPrefill
+from .remote_prefill import UNRESPONSIVE
+from .stream import Stream
+
+STALL_TIMEOUT_SECONDS = 1.2
+"""Maximum gap between two events before a resumable stream is moved to another engine.
+Callers disconnect after two seconds, and resuming elsewhere takes about 400 ms."""
+
+REFUSED_COOL_DOWN_SECONDS = 0.3
+"""Cool-down of an engine that refused a request: it is full or changing its role."""
+
+WRONG_UPSTREAM_COOL_DOWN_SECONDS = 1.0
+"""Cool-down of an engine whose registration is outdated: it refuses requests until it
+has updated the registration, which takes one heartbeat."""
+
+MAX_EVENT_BYTES = 1 << 20
+"""Maximum size of one event, which usually carries a few words. Without a limit, an
+event that never ends would exhaust the process's memory."""
+
+
+class BrokenStreamError(Exception):
+    """A stream that ended prematurely, or a reply that can't be used."""
+
+
+class DecodeAttempt:
+    """One attempt to stream a response from one engine.
+
+    Points in time are on the event loop's clock.
+
+    :param prefill: the tracked prefill if this engine also prefills the prompt.
+    :param last_reply_at: when data last arrived from the engine; infinity before that.
+    :param streaming: whether the engine has sent an event.
+    :param started_at: when the attempt started.
+    :param sent_at: when the engine was asked to import a KV cache from another engine.
+    """
+
+    def __init__(self, stream: Stream, upstream: Upstream) -> None:
+        self.stream = stream
+        self.context = stream.context
+        self.call = stream.call
+        self.upstream = upstream
+        self.tracker = stream.context.placer.engine_load(upstream)
+        self.prefill: TrackedPrefill | None = None
+        self.last_reply_at = math.inf
+        self.streaming = False
+        self.sent_at: float | None = None
+        self.started_at = asyncio.get_running_loop().time()
+
+    async def run(self) -> int | None:
+        """Return the status, or ``None`` if the request may be retried elsewhere.
+
+        :raises RequestError: if it must not be retried, or no attempt is left.
+        """
+        self.stream.attempts.begin(self.upstream)
+        self._track_prefill()
+        try:
+            return await self._exchange()
+        except NotReachedError as error:
+            self.stream.start_cool_down(self.upstream)
+            self.stream.attempts.on_not_sent(self.upstream)
+            self._log_failure(error.message, "not reached")
+        except (ReplyLostError, BrokenStreamError) as error:
+            self._log_failure(str(error), "broken")
+            if self.last_reply_at == math.inf:
+                # Without a cool-down, the engine would look idle and attract the
+                # following requests.
+                self.stream.start_cool_down(self.upstream)
+            # The engine may have imported the KV cache, which can be imported once.
+            self.stream.cache.release()
+            self._raise_if_not_repeatable()
+        finally:
+            self._untrack()
+        return None
+
+    def _track_prefill(self) -> None:
+        """Track the prefill at this engine unless another engine has done it."""
+        timeline = self.stream.timeline
+        timeline.upstream = self.upstream.name
+        if not self.stream.cache:
+            self.prefill = self.stream.prefills.begin(self.upstream)
+            timeline.prefill_engine = ""
+            timeline.uncached_tokens = self.prefill.tokens
+
+    def _on_event(self) -> None:
+        """Record that the prefill is complete when the first event arrives."""
+        if self.streaming:
+            return
+        self.streaming = True
+        self.stream.on_prefilled()
+        self.tracker.streams += 1
+        if self.prefill is not None:
+            self.stream.prefills.end(self.upstream, self.prefill, done=True)
+        elif self.sent_at is not None and self.context.decisions.learning:
+            seconds = asyncio.get_running_loop().time() - self.sent_at
+            transfers = self.tracker.prefill_times.transfers
+            transfers.learn(self.call.traits.prompt_tokens, 0, seconds)
+
+    def _untrack(self) -> None:
+        if self.streaming:
+            self.tracker.streams -= 1
+        elif self.prefill is not None:
+            self.stream.prefills.end(self.upstream, self.prefill, done=False)
+
+    async def _exchange(self) -> int:
+        async with contextlib.AsyncExitStack() as stack:
+            async with self._abort_without_reply():
+                reply = await stack.enter_async_context(self._open())
+            traits = self._check(reply)
+            self.stream.cache.on_imported()
+            if not 200 <= reply.status < 300:
+                return await self._on_failure_status(reply)
+            async with self._abort_if_stalled():
+                async for event in self._events(reply):
+                    self._on_event()
+                    await self._forward(event, reply, traits)
+        await self._start(reply, traits)
+        await self.stream.reply.finish()
+        return reply.status
+
+    def _open(self) -> contextlib.AbstractAsyncContextManager[Reply]:
+        call, prefill = self.call, self.prefill
+        now = asyncio.get_running_loop().time()
+        if self.stream.cache:
+            self.sent_at = now
+        attempt = Attempt(
+            self.upstream.name,
+            call.deadline,
+            priority=self._priority(),
+            kv_source=self.stream.cache.source,
+            prefix_source=prefill.prefix_source if prefill is not None else "",
+            last_event=self.stream.last_event,
+            weights=self.stream.weights,
+        )
+        headers = self.context.dialect.write_headers(call.headers, attempt, now)
+        return self.context.client.send(
+            self.upstream.address,
+            call.method,
+            call.target,
+            headers,
+            call.body,
+            fresh=not call.route.repeatable,
+        )
+
+    def _priority(self) -> int:
+        traits, rank = self.call.traits, self.call.route.rank
+        if self.prefill is not None:
+            return self.prefill.priority
+        return decode_priority(
+            rank, traits.prompt_tokens, traits.max_tokens, self.context.decisions
+        )
+
+    def _check(self, reply: Reply) -> ReplyTraits:
+        """Return the reply's traits after checking that it belongs to this request.
+
+        :raises ReplyLostError: if it does not.
+        :raises BrokenStreamError: if it says that the request was not run.
+        """
+        self.last_reply_at = asyncio.get_running_loop().time()
+        self.stream.timeline.replied_at = self.last_reply_at
+        self.stream.on_reply_received(self.upstream)
+        traits = self.context.read_reply(self.call, self.upstream, reply)
+        if traits.not_run:
+            self.stream.attempts.on_not_run()
+            wrong = traits.wrong_upstream
+            cool_down = (
+                WRONG_UPSTREAM_COOL_DOWN_SECONDS if wrong else REFUSED_COOL_DOWN_SECONDS
+            )
+            self.stream.start_cool_down(self.upstream, cool_down)
+            raise BrokenStreamError(f"status {reply.status}, not run")
+        self.context.check_reply(self.call, reply, traits)
+        return traits
+
+    async def _events(self, reply: Reply) -> cabc.AsyncIterator[Event]:
+        """Yield complete events.
+
+        :raises BrokenStreamError: if the stream ends within an event, or an event is
+            longer than :data:`MAX_EVENT_BYTES`.
+        """
+        splitter = EventSplitter()
+        async for data in reply.chunks():
+            self.tracker.last_reply_at = self.last_reply_at = (
+                asyncio.get_running_loop().time()
+            )
+            for event in splitter.feed(data):
+                yield event
+            if len(splitter.rest) > MAX_EVENT_BYTES:
+                raise BrokenStreamError("event is longer than the limit")
+        if splitter.rest:
+            raise BrokenStreamError("the stream ended within an event")
+
+    def _abort_without_reply(self) -> contextlib.AbstractAsyncContextManager[None]:
+        if self.call.route.repeatable and self.context.decisions.silence:
+            return abort_when(self._no_reply_reason)
+        return contextlib.nullcontext()
+
+    async def _no_reply_reason(self) -> str:
+        """Return why to stop waiting for a reply, or an empty string to keep waiting.
+
+        After a power loss, an engine never replies and the caller disconnects before
+        the connection times out. An engine at capacity does not reply in time either,
+        but it passes the liveness probe and keeps the request.
+        """
+        now = asyncio.get_running_loop().time()
+        unresponsive = now >= self.tracker.unresponsive_at(self.started_at, now)
+        if not unresponsive or not self.stream.attempts.can_move():
+            return ""
+        is_alive = await self.context.liveness_checker.is_alive(self.upstream)
+        return "" if is_alive else UNRESPONSIVE
+
+    def _abort_if_stalled(self) -> contextlib.AbstractAsyncContextManager[None]:
+        if self.call.route.resumable:
+            return abort_when(self._stall_reason)
+        return contextlib.nullcontext()
+
+    async def _stall_reason(self) -> str:
+        """Return why to move a stalled stream, or an empty string to keep it.
+
+        An engine that preempts a request when it runs out of KV memory resumes it
+        after some seconds. Without another engine to resume on, the stream is kept:
+        cancelling it would lose a response that the caller still waits for.
+        """
+        now = asyncio.get_running_loop().time()
+        stalled = now >= self.last_reply_at + STALL_TIMEOUT_SECONDS
+        return UNRESPONSIVE if stalled and self.stream.attempts.can_move() else ""
+
+    async def _forward(self, event: Event, reply: Reply, traits: ReplyTraits) -> None:
+        if event.number is not None:
+            if event.number <= self.stream.last_event:
+                return
+            self.stream.last_event = event.number
+        await self._start(reply, traits)
+        await self.stream.reply.write(event.data)
+
+    async def _start(self, reply: Reply, traits: ReplyTraits) -> None:
+        if self.stream.reply.started:
+            return
+        self.stream.timeline.first_event_at = asyncio.get_running_loop().time()
+        self.stream.weights = traits.weights
+        await self.stream.reply.start(reply.status, response_headers(reply))
+
+    async def _on_failure_status(self, reply: Reply) -> int:
+        body = await reply.read()
+        if self.stream.reply.started:
+            raise BrokenStreamError(f"status {reply.status} in a stream")
+        await self.stream.reply.respond(reply.status, response_headers(reply), body)
+        return reply.status
+
+    def _log_failure(self, error: str, outcome: str) -> None:
+        last_event = self.stream.last_event
+        self.stream.attempts.log_failure(self.upstream, error, outcome, last_event)
+
+    def _raise_if_not_repeatable(self) -> None:
+        """Raise an error if the request may have run and must not run again."""
+        if self.stream.attempts.may_have_run and not self.call.route.repeatable:
+            raise RequestError(ResultCode.OUTCOME_UNKNOWN) from None
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -1,4 +1,4 @@
-"""The composition root of an entry that reaches upstreams on the users' platform."""
+"""Composition root of a direct entry: wires up its parts, serves, and shuts down."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 from .adapters.datagrams import datagram_port
 from .adapters.metrics import OpenTelemetryMetrics
-from .adapters.opaque_http import HttpUpstreamClient
+from .adapters.upstream_http import HttpUpstreamClient
 from .direct.context import Context
 from .direct.core import DirectCore
 from .direct.fleet import Fleet
-from .direct.following import Follower
-from .direct.front import DirectFront
-from .direct.notices import Notices
-from .direct.placing import Placing
+from .direct.http_frontend import DirectHttpFrontend
+from .direct.notices import NoticeExchange
+from .direct.placer import RequestPlacer
 from .direct.presence import Presence
 from .direct.presence import presence_key
+from .direct.retry_budget import SharedRetryBudget
 from .direct.role_planner import RolePlanner
-from .direct.second_sends import SecondSends
+from .direct.store_watcher import StoreWatcher
 from .history import NullHistory
 from .lifecycle import METRICS_PATH
-from .lifecycle import Ending
-from .lifecycle import address_errors
-from .lifecycle import exposition
-from .lifecycle import running
-from .lifecycle import told_to_end
-from .planner.authority import Authority
+from .lifecycle import Shutdown
+from .lifecycle import bind_errors
+from .lifecycle import install_signal_handlers
+from .lifecycle import metrics_handler
+from .lifecycle import run_background_tasks
+from .planner.election import PlannerElection
 from .planner.plan_store import PlanStore
 from .platform.directory import PlatformDirectory
 from .platform.headers import PlatformDialect
@@ -39,62 +39,64 @@
 from .platform.store import PlatformStore
 from .platform.store import store_session
 from .policy.decisions import Decisions
-from .policy.last_requests import End
 from .policy.retry_window import RetryLimits
+from .policy.shutdown_admission import ShutdownWindow
 from .policy.watch_pause import watch_pause
 from .protocol.plan import HOLDER_KEY
-from .serving import FIRST_REQUEST_SECONDS
-from .serving import Listening
+from .serving import FIRST_REQUEST_GRACE_SECONDS
+from .serving import HttpListener
 from .settings import DirectEntrySettings
 
 logger = logging.getLogger(__name__)
 
-STILL_ROUTED_SECONDS = 2.6
-"""How long after SIGTERM new requests are taken: the balancer asks once a second and
-takes an entry out after two refusals."""
+DEREGISTRATION_SECONDS = 2.6
+"""How long new requests are accepted after SIGTERM: the load balancer probes readiness
+once a second and removes an entry after two failed probes."""
 
 SHUTDOWN_MARGIN_SECONDS = 1.0
-"""Left between the last answer and the platform's SIGKILL."""
+"""Time left between the last response and the platform's SIGKILL."""
 
-LAST_ANSWERS_SECONDS = 0.3
-"""Of that margin, for the answers of requests that were ended with the process."""
+FINAL_RESPONSE_SECONDS = 0.3
+"""Part of that margin for the responses to requests that the shutdown ended."""
 
-IDLE_CHECK_SECONDS = 0.05
-"""Between two looks whether the last request is answered."""
+IDLE_POLL_SECONDS = 0.05
+"""Interval between two checks whether all earlier requests have completed."""
 
 PLANNER_LEASE_SECONDS = 3
-"""Time to live of the planner's lease: so long roles stay as they are after its end,
-also where all engines of one role are gone and nothing is served."""
+"""Time to live of the planner's lease. After the failure of its holder, no role changes
+for so long, even if a role has no engine left and nothing is served."""
 
-VACANCY_SPREAD_SECONDS = 0.3
-"""Within so long the entries look for a lease that has become free."""
+VACANCY_POLL_SPREAD_SECONDS = 0.3
+"""Jitter of the entries' polls after the planner's lease has become free."""
 
-FIRST_LOOK_SECONDS = 1.5
-"""Bound of the first look at the lease: roles should be settled before callers come."""
+FIRST_POLL_SPREAD_SECONDS = 1.5
+"""Maximum delay of the first poll of the lease: roles should be assigned before the
+first callers connect."""
 
-MOST_PLAN_WRITES = 24
-"""Engines changed by one transaction; the store takes 32 entries, three are ours."""
+MAX_PLAN_WRITES = 24
+"""Maximum number of engines changed by one transaction. The store accepts 32 operations
+per transaction, of which the plan needs three for itself."""
 
 
 async def serve_direct(settings: DirectEntrySettings) -> None:
-    """Run an entry until it is told to end and its last answer is out.
+    """Run an entry until a signal or a failure, and shut it down gracefully.
 
-    A task beside the requests that fails ends it too, in the same steps: the requests
-    at work are not concerned, and cut off, their callers would have no answer.
+    A failed background task starts the same shutdown: the running requests are not
+    affected by it and are completed.
     """
     logger.info("starts", extra={"zone": settings.zone})
-    ending = Ending(told_to_end())
+    shutdown = Shutdown(install_signal_handlers())
     rng = random.Random()
     metrics = OpenTelemetryMetrics(settings.name)
     clock = asyncio.get_running_loop().time
     fleet = Fleet(PlatformDirectory(), clock, presence_key(settings.name))
     decisions = Decisions.without(filter(None, settings.switched_off.split(",")))
-    placing = Placing(fleet, settings.name, settings.zone, rng, decisions)
+    placer = RequestPlacer(fleet, settings.name, settings.zone, rng, decisions)
     host, _, port = settings.peer_address.rpartition(":")
     async with contextlib.AsyncExitStack() as stack:
         client = await stack.enter_async_context(HttpUpstreamClient())
         session = await stack.enter_async_context(store_session())
-        with address_errors(settings.peer_address, "--peer-address"):
+        with bind_errors(settings.peer_address, "--peer-address"):
             peers = await stack.enter_async_context(datagram_port(host, int(port)))
         store = PlatformStore(
             session,
@@ -104,41 +106,42 @@
         )
         orders = PlatformOrders(client)
         limits = RetryLimits(settings.retry_share, settings.retry_free)
-        second_sends = SecondSends(fleet, limits, metrics)
+        retry_budget = SharedRetryBudget(fleet, limits, metrics)
         context = Context(
             fleet,
             client,
             PlatformDialect(),
-            placing,
+            placer,
             rng,
-            second_sends,
-            engine_check=orders,
+            retry_budget,
+            liveness_probe=orders,
         )
-        context.notices = Notices(
-            settings.name, placing, fleet.entries.values, peers.send
+        context.notices = NoticeExchange(
+            settings.name, placer, fleet.entries.values, peers.send
         )
         peers.on_datagram = context.notices.receive
         core = DirectCore(context, metrics)
-        front = DirectFront(core)
+        frontend = DirectHttpFrontend(core)
         callers = await _listen(
-            stack, front.callers(), settings.listen_address, front.busy
+            stack, frontend.callers(), settings.listen_address, frontend.busy
         )
-        await _listen(stack, front.probes(), settings.ready_address)
+        await _listen(stack, frontend.probes(), settings.ready_address)
         if settings.metrics_address:
             await _listen(stack, _metrics(metrics), settings.metrics_address)
         presence = Presence(store, settings.name, settings.peer_address, rng)
         planner = _planner(settings, store, context, orders)
-        follower = Follower(store, fleet, rng)
+        follower = StoreWatcher(store, fleet, rng)
         store.on_restored.append(follower.on_restored)
         works = (follower.run(), presence.run(), planner.run())
-        tasks = await stack.enter_async_context(running(works, ending))
-        await ending.told.wait()
+        tasks = await stack.enter_async_context(run_background_tasks(works, shutdown))
+        await shutdown.requested.wait()
         core.stopping = True
-        # It gives the lease back meanwhile, which must not use up the requests' time.
+        # The planner releases its lease while requests are drained, so that a slow
+        # store does not delay the shutdown.
         tasks[-1].cancel()
-        await _drain(front, callers, settings.shutdown_seconds)
+        await _drain(frontend, callers, settings.shutdown_seconds)
     logger.info("stops")
-    ending.raise_failure()
+    shutdown.raise_failure()
 
 
 def _planner(
@@ -149,31 +152,31 @@
 ) -> RolePlanner:
     name = settings.name
     fleet = context.fleet
-    authority = Authority(
+    election = PlannerElection(
         store,
         name,
         context.rng,
         PLANNER_LEASE_SECONDS,
-        first_look_seconds=FIRST_LOOK_SECONDS,
-        vacancy_spread_seconds=VACANCY_SPREAD_SECONDS,
+        first_poll_spread_seconds=FIRST_POLL_SPREAD_SECONDS,
+        vacancy_poll_spread_seconds=VACANCY_POLL_SPREAD_SECONDS,
         holder_known=lambda: HOLDER_KEY in fleet.existing_keys,
     )
-    fleet.on_removal[HOLDER_KEY] = authority.on_vacant
+    fleet.on_removal[HOLDER_KEY] = election.on_vacant
     plan = PlanStore(
         store,
         name,
         context.rng,
         NullHistory(),
-        epoch_hint=store.least_epoch,
-        most_writes=MOST_PLAN_WRITES,
+        epoch_hint=store.min_epoch,
+        max_engines_per_txn=MAX_PLAN_WRITES,
         carry_over=False,
     )
     return RolePlanner(
         name,
-        authority,
+        election,
         plan,
         fleet,
-        context.placing,
+        context.placer,
         orders,
         context.mix,
         settings.order_pause_ms / 1e3,
@@ -186,16 +189,16 @@
     server: web.Server,
     address: str,
     busy: cabc.Container[asyncio.BaseProtocol] = (),
-) -> Listening:
-    listening = Listening(server, address, busy)
+) -> HttpListener:
+    listening = HttpListener(server, address, busy)
     stack.push_async_callback(listening.close)
-    with address_errors(address):
+    with bind_errors(address):
         await listening.start()
     return listening
 
 
 def _metrics(metrics: OpenTelemetryMetrics) -> web.Server:
-    answer = exposition(metrics)
+    answer = metrics_handler(metrics)
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != METRICS_PATH:
@@ -205,31 +208,36 @@
     return web.Server(handle, access_log=None)
 
 
-async def _drain(front: DirectFront, callers: Listening, seconds: float) -> None:
-    """Serve on until callers are sent elsewhere and the last request is answered.
+async def _drain(
+    frontend: DirectHttpFrontend, callers: HttpListener, seconds: float
+) -> None:
+    """Serve until the load balancer has removed this entry and all requests are done.
 
-    It listens until all that came before is answered: where all entries are restarted
-    in turn, the balancer has no other to send callers to. What they ask for is answered
-    or refused truthfully, where a closed port would say nothing.
+    The entry keeps listening until all earlier requests have completed. If all entries
+    are restarted in turn, the load balancer may have no other entry to route to: new
+    requests then get a response or a refusal instead of a closed port.
+
+    :param seconds: time from SIGTERM to the platform's SIGKILL.
     """
     loop = asyncio.get_running_loop()
-    logger.info("stops soon", extra={"running": len(front.busy)})
+    logger.info("stops soon", extra={"running": len(frontend.busy)})
     now = loop.time()
     end_by = now + max(0.0, seconds - SHUTDOWN_MARGIN_SECONDS)
-    end = End(min(now + STILL_ROUTED_SECONDS, end_by), end_by)
-    front.core.context.time_limits.begin(end)
-    await asyncio.sleep(end.routed_until - now)
-    late_ms = round((loop.time() - end.routed_until) * 1e3, 1)
-    front.ending = True
-    await callers.close_long_idle()
-    running = len(front.busy)
+    window = ShutdownWindow(min(now + DEREGISTRATION_SECONDS, end_by), end_by)
+    frontend.core.context.time_limits.begin(window)
+    await asyncio.sleep(window.routed_until - now)
+    late_ms = round((loop.time() - window.routed_until) * 1e3, 1)
+    frontend.shutting_down = True
+    await callers.close_idle_connections()
+    running = len(frontend.busy)
     logger.info("finishes its requests", extra={"running": running, "late_ms": late_ms})
-    # Those that come now are short, and must not put off the start that follows.
-    earlier = frozenset(front.busy)
-    while earlier & front.busy and loop.time() < end_by:
-        await asyncio.sleep(IDLE_CHECK_SECONDS)
-    await callers.stop_accepting()
-    await asyncio.sleep(FIRST_REQUEST_SECONDS)
-    await callers.stop_taking()
-    logger.info("takes no more requests", extra={"running": len(front.busy)})
-    await callers.wait_until_closed(end_by + LAST_ANSWERS_SECONDS)
+    # Only requests that arrived earlier are waited for: later ones are short and must
+    # not delay a restart.
+    earlier = frozenset(frontend.busy)
+    while earlier & frontend.busy and loop.time() < end_by:
+        await asyncio.sleep(IDLE_POLL_SECONDS)
+    await callers.stop_accepting_connections()
+    await asyncio.sleep(FIRST_REQUEST_GRACE_SECONDS)
+    await callers.stop_accepting_requests()
+    logger.info("takes no more requests", extra={"running": len(frontend.busy)})
+    await callers.wait_until_closed(end_by + FINAL_RESPONSE_SECONDS)
--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -1,4 +1,4 @@
-"""One model request at its entry: attempts, resumption and the answer so far."""
+"""Execution of one model request: attempts, resumption and the answer so far."""
 
 from __future__ import annotations
 
@@ -18,22 +18,26 @@
 from .attempt import EntryAttempt
 from .attempt import SessionLost
 from .attempt import SideReplaced
-from .interfaces import RunsEntry
+from .interfaces import EntryContext
 from .placement import Placement
 
 
 class ModelRun:
-    """Runs one model request until its answer is whole.
+    """Runs one model request until its answer is complete.
 
-    The entry keeps what the caller has been given. When an attempt breaks, the next
-    one resumes from there on another engine; chunks of an earlier attempt are not
-    routed to anyone, and a chunk that would leave a gap ends its attempt.
+    The run stores the text that the caller has received. When an attempt fails, the
+    next one resumes from that point on another engine. Chunks of earlier attempts are
+    dropped, and a chunk that would leave a gap fails its attempt.
 
-    :param entry: the entry that runs it.
+    :param entry: the entry that runs the request.
     :param call: the request.
+    :param text: the parts of the answer that the caller has received.
+    :param tokens: tokens in that text.
+    :param kv_handle: KV cache exported by the prefill engine; empty if there is none.
+    :param finished: whether the answer is complete.
     """
 
-    def __init__(self, entry: RunsEntry, call: ModelCall) -> None:
+    def __init__(self, entry: EntryContext, call: ModelCall) -> None:
         self.entry = entry
         self.call = call
         self.placement = Placement(entry, call)
@@ -44,9 +48,9 @@
         self.finished = False
 
     async def chunks(self) -> cabc.AsyncGenerator[TokenChunk]:
-        """Yield the answer.
+        """Yield the chunks of the answer.
 
-        :raises RequestError: if it can't be made whole.
+        :raises RequestError: if the answer can't be completed.
         """
         self.entry.policy.on_admitted(self.call, self.placement.now())
         while not self.finished:
@@ -54,13 +58,14 @@
             attempt = await self._offer(choice)
             if attempt is None:
                 continue
-            followed = self._follow(attempt)
-            async with contextlib.aclosing(followed):
-                async for chunk in followed:
+            consumed = self._consume(attempt)
+            async with contextlib.aclosing(consumed):
+                async for chunk in consumed:
                     yield chunk
 
     def _wait_until(self) -> float:
-        return self.call.deadline if self.tokens else self.call.first_token_by
+        """Return the local monotonic time until which the run waits for an upstream."""
+        return self.call.deadline if self.tokens else self.call.first_token_deadline
 
     async def _offer(self, choice: Choice) -> EntryAttempt | None:
         assert choice.upstream is not None
@@ -83,27 +88,32 @@
         return await self.placement.offer(choice.upstream, cost, work)
 
     def _cost_left(self, prefill_only: bool) -> Cost:
+        """Return the predicted cost of the next attempt, in tokens.
+
+        With an exported KV cache no prefill is left. To resume an answer, its tokens
+        are prefilled along with the prompt.
+        """
         prefill = 0 if self.kv_handle else self.cost.prefill + self.tokens
         decode = 1 if prefill_only else self.cost.decode - self.tokens
         return Cost(prefill, max(1, decode))
 
-    async def _follow(self, attempt: EntryAttempt) -> cabc.AsyncGenerator[TokenChunk]:
-        """Yield what an attempt adds to the answer, until it ends or breaks."""
+    async def _consume(self, attempt: EntryAttempt) -> cabc.AsyncGenerator[TokenChunk]:
+        """Yield the chunks that an attempt adds, until it completes or fails."""
         ended = False
         self.kv_handle = ""
-        before = self.tokens
+        tokens_before = self.tokens
         try:
             while not ended:
                 event = await attempt.events.get()
                 match event:
                     case messages.Chunk():
                         if event.index > self.tokens:
-                            self._on_broken(attempt, before)
+                            self._on_attempt_failed(attempt, tokens_before)
                             return
                         chunk = self._accept(attempt, event)
                         ended = bool(event.finish)
                         if ended:
-                            self._on_finish(attempt, event, before)
+                            self._on_finish(attempt, event, tokens_before)
                         if chunk is not None:
                             yield chunk
                             await self._grant(attempt)
@@ -115,22 +125,25 @@
                     case messages.Failed():
                         ended = True
                         self.placement.has_run = True
-                        self._on_broken(attempt, before)
+                        self._on_attempt_failed(attempt, tokens_before)
                     case SessionLost() | SideReplaced():
                         ended = True
-                        self._on_broken(attempt, before)
+                        self._on_attempt_failed(attempt, tokens_before)
                     case DeadlinePassed():
                         await self._give_up(attempt)
                         ended = True
                     case _:
                         pass
         finally:
-            await self._leave(attempt, ended)
+            await self._release(attempt, ended)
 
     def _accept(
         self, attempt: EntryAttempt, chunk: messages.Chunk
     ) -> TokenChunk | None:
-        """Append a chunk to the answer; ``None`` if the caller has it already."""
+        """Append a chunk to the answer.
+
+        :returns: the chunk for the caller; ``None`` if it is empty or a duplicate.
+        """
         if chunk.index < self.tokens or not chunk.tokens:
             return None
         if self.tokens == 0:
@@ -146,9 +159,10 @@
         )
 
     def _on_finish(
-        self, attempt: EntryAttempt, chunk: messages.Chunk, before: int
+        self, attempt: EntryAttempt, chunk: messages.Chunk, tokens_before: int
     ) -> None:
-        self.placement.on_done(attempt.upstream, self.tokens - before)
+        """Complete an attempt; after a handoff, a decode engine continues."""
+        self.placement.on_done(attempt.upstream, self.tokens - tokens_before)
         if chunk.finish == "handoff":
             self.kv_handle = chunk.kv_handle
             self.placement.accepted = True
@@ -156,13 +170,13 @@
         else:
             self.finished = True
 
-    def _on_broken(self, attempt: EntryAttempt, before: int) -> None:
+    def _on_attempt_failed(self, attempt: EntryAttempt, tokens_before: int) -> None:
         self.placement.on_failed(
-            attempt.upstream, ResultCode.UPSTREAM_FAILED, self.tokens - before
+            attempt.upstream, ResultCode.UPSTREAM_FAILED, self.tokens - tokens_before
         )
 
     async def _give_up(self, attempt: EntryAttempt) -> t.NoReturn:
-        """End the request at its deadline and say truly whether it ran."""
+        """End the request at its deadline with the outcome that the side reports."""
         state = await self.placement.resolve(attempt)
         if state == "never_started":
             raise self.placement.error(ResultCode.EXPIRED_IN_QUEUE, None)
@@ -171,16 +185,17 @@
         raise self.placement.error(ResultCode.DEADLINE_EXCEEDED, None)
 
     async def _grant(self, attempt: EntryAttempt) -> None:
-        attempt.taken += 1
-        if attempt.taken * 2 >= timing.CHUNK_CREDIT:
+        """Grant credit to the side each time half of the window has been consumed."""
+        attempt.consumed_chunks += 1
+        if attempt.consumed_chunks * 2 >= timing.CHUNK_CREDIT:
             peer = self.entry.membership.peers.get(attempt.upstream)
             if peer is not None:
-                await peer.grant(attempt, attempt.taken)
-            attempt.taken = 0
+                await peer.grant(attempt, attempt.consumed_chunks)
+            attempt.consumed_chunks = 0
 
-    async def _leave(self, attempt: EntryAttempt, ended: bool) -> None:
-        """Let go of an attempt; one that may still run is cancelled."""
-        self.placement.leave(attempt)
+    async def _release(self, attempt: EntryAttempt, ended: bool) -> None:
+        """Stop tracking an attempt, and cancel it if it may still run."""
+        self.placement.detach(attempt)
         if ended:
             return
         peer = self.entry.membership.peers.get(attempt.upstream)
--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -1,4 +1,4 @@
-"""The platform's store entries: the operators' configuration and the upstreams."""
+"""Decoders for the platform's store entries: configuration and registrations."""
 
 from __future__ import annotations
 
@@ -22,27 +22,26 @@
     "streaming": CallKind.STREAM,
 }
 
-_STATES = {"ready": False, "draining": True}
-"""Whether an upstream in this state is leaving."""
+_LEAVING_BY_STATE = {"ready": False, "draining": True}
+"""Whether an upstream in each state is leaving."""
 
+MIN_CALLER_TIMEOUT_MS = 2_000.0
+CALLER_TIMEOUT_OBJECTIVES = 4.0
+CALLER_TIMEOUT_GAPS = 8.0
+"""Callers time out on a stream after the longest of these without an event; the
+platform sets them for all routes."""
 
-LEAST_PATIENCE_MS = 2_000.0
-OBJECTIVES_OF_PATIENCE = 4.0
-GAPS_OF_PATIENCE = 8.0
-"""Callers leave a stream without an event after the longest of these; the platform
-names them for all its routes."""
 
+class _KebabStruct(msgspec.Struct, frozen=True, rename="kebab"):
+    """Base of JSON objects with kebab-case names; unknown fields are ignored."""
 
-class _Wire(msgspec.Struct, frozen=True, rename="kebab"):
-    """Fields are spelled with dashes; what is not known is left out of account."""
 
-
-class _Split(_Wire, frozen=True):
+class _Split(_KebabStruct, frozen=True):
     service: str
     weight: float = 1.0
 
 
-class _Route(_Wire, frozen=True):
+class _Route(_KebabStruct, frozen=True):
     name: str
     host: str
     prefix: str
@@ -57,35 +56,35 @@
     gap_aim_ms: float = 0.0
 
 
-class _Engine(_Wire, frozen=True):
+class _Engine(_KebabStruct, frozen=True):
     slots: int = 64
     kv_capacity_tokens: int = 1 << 30
     handle_ttl_s: float = 5.0
 
 
-class _Service(_Wire, frozen=True):
+class _Service(_KebabStruct, frozen=True):
     name: str
     engine: _Engine | None = None
 
 
-class _Limits(_Wire, frozen=True):
+class _Limits(_KebabStruct, frozen=True):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
     idle_timeout_ms: float = 15_000.0
 
 
-class _Config(_Wire, frozen=True):
+class _Config(_KebabStruct, frozen=True):
     version: int
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
     limits: _Limits = _Limits()
 
 
-class _Registration(_Wire, frozen=True):
-    """An upstream's entry.
+class _Registration(_KebabStruct, frozen=True):
+    """An upstream's registration.
 
-    ``sequence`` counts its writes and ``version`` is its software's: neither matters
-    here. ``born`` is when it started, in milliseconds of the wall clock.
+    ``sequence``, a counter of writes, and ``version``, of its software, are ignored.
+    ``born`` is its start time, in milliseconds of the wall clock.
     """
 
     service: str
@@ -98,20 +97,21 @@
 
 
 class PlatformDirectory:
-    """A :class:`~bergamotmast.direct.ports.Directory`."""
+    """Implements :class:`~bergamotmast.direct.ports.Directory`."""
 
     config_key = "op/config"
     upstream_prefix = "servers/"
 
     def decode_routing(self, value: bytes) -> Routing:
-        """Read the configuration."""
+        """Decode the operators' configuration."""
         try:
             read = msgspec.json.decode(value, type=_Config)
             return Routing(
                 generation=read.version,
-                routes=tuple(map(_route, read.routes)),
+                routes=tuple(map(_to_route, read.routes)),
                 groups={
-                    s.name: Group(s.name, _engine(s.engine)) for s in read.services
+                    s.name: Group(s.name, _to_engine_traits(s.engine))
+                    for s in read.services
                 },
                 limits=CallerLimits(
                     read.limits.max_header_bytes,
@@ -120,19 +120,17 @@
                 ),
             )
         except (msgspec.DecodeError, KeyError) as error:
-            raise ConfigError(
-                f"The configuration is not understood: {error}"
-            ) from error
+            raise ConfigError(f"the configuration can't be decoded: {error}") from error
 
     def decode_upstream(self, key: str, value: bytes) -> Upstream:
-        """Read an upstream's entry."""
+        """Decode an upstream's registration."""
         try:
             read = msgspec.json.decode(value, type=_Registration)
-            leaving = _STATES[read.state]
+            leaving = _LEAVING_BY_STATE[read.state]
             role = Role(read.stage) if read.stage else None
             _check_address(read.address)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
-            raise ConfigError(f"{key} is not understood: {error}") from error
+            raise ConfigError(f"{key} can't be decoded: {error}") from error
         return Upstream(
             name=key.removeprefix(self.upstream_prefix),
             boot=str(read.born),
@@ -146,14 +144,14 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise :exc:`ValueError` for what is no ``host:port``."""
+    """Raise :exc:`ValueError` unless an address is ``host:port``."""
     host, _, port = address.rpartition(":")
     parsed = yarl.URL.build(scheme="http", host=host, port=int(port))
     if not parsed.port or parsed.host != host:
-        raise ValueError(f"{address!r} is no address")
+        raise ValueError(f"address {address!r} is not host:port")
 
 
-def _route(route: _Route) -> Route:
+def _to_route(route: _Route) -> Route:
     split = route.traffic_split or (_Split(route.service),)
     return Route(
         name=route.name,
@@ -167,18 +165,18 @@
         rank=route.priority,
         resumable=route.resumable,
         gap_objective=route.gap_aim_ms / 1e3,
-        patience=_patience(route),
+        patience=_caller_timeout(route),
     )
 
 
-def _patience(route: _Route) -> float:
-    """Return after how many seconds callers of a route leave a silent stream."""
-    objective = OBJECTIVES_OF_PATIENCE * route.target_latency_ms
-    gaps = GAPS_OF_PATIENCE * route.gap_aim_ms
-    return max(LEAST_PATIENCE_MS, objective, gaps) / 1e3
+def _caller_timeout(route: _Route) -> float:
+    """Return the seconds without an event after which a route's callers time out."""
+    objective = CALLER_TIMEOUT_OBJECTIVES * route.target_latency_ms
+    gaps = CALLER_TIMEOUT_GAPS * route.gap_aim_ms
+    return max(MIN_CALLER_TIMEOUT_MS, objective, gaps) / 1e3
 
 
-def _engine(engine: _Engine | None) -> EngineTraits | None:
+def _to_engine_traits(engine: _Engine | None) -> EngineTraits | None:
     if engine is None:
         return None
     return EngineTraits(engine.slots, engine.kv_capacity_tokens, engine.handle_ttl_s)
--- a/src/bergamotmast/policy/load_hint.py
+++ b/src/bergamotmast/policy/load_hint.py
@@ -1,27 +1,30 @@
-"""What an upstream says of its load, which counts less as it ages."""
+"""Load that an upstream reports in its replies, with exponential decay."""
 
 from __future__ import annotations
 
 import math
 
 
-class FadingHint:
-    """An upstream's word on the work that others than this entry have given it.
+class DecayingLoadHint:
+    """Estimate of the work that others than this entry have at an upstream.
 
-    :param seconds: time constant with which it fades.
+    :param seconds: time constant of the decay.
     """
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self.told = 0
+        self.reported = 0
         self.at = -math.inf
 
-    def take(self, running: int, waiting: int, own: int, now: float) -> None:
-        """Take the upstream's word on all its work, this entry's own included."""
-        self.told = max(0, running + waiting - own)
+    def update(self, running: int, waiting: int, own: int, now: float) -> None:
+        """Record the upstream's reported load.
+
+        :param own: this entry's requests, which the report includes.
+        """
+        self.reported = max(0, running + waiting - own)
         self.at = now
 
-    def others(self, now: float) -> float:
-        """Return how much work of others is thought to be there."""
+    def estimate(self, now: float) -> float:
+        """Return the estimated number of requests of others."""
         age = max(0.0, now - self.at)
-        return self.told * math.exp(-age / self.seconds)
+        return self.reported * math.exp(-age / self.seconds)
--- /dev/null
+++ b/src/bergamotmast/policy/plain_placement.py
@@ -0,0 +1,91 @@
+"""Placement of calls on plain upstreams, those that aren't engines.
+
+Load pattern: short calls on few slots, an upstream that slows down or fails part of its
+calls, callers that arrive in bursts.
+
+Without it: calls queue behind a full or failing upstream while others have free slots.
+
+The less loaded of two random candidates gets the call, so that entries with little
+knowledge of each other don't all choose the same one. An upstream that has failed
+:data:`FAILURES_TO_EJECT` calls in a row is ejected for :data:`EJECTION_SECONDS` while
+others are available.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import random
+import typing as t
+
+from .load_hint import DecayingLoadHint
+
+LOAD_HINT_SECONDS = 0.3
+"""Time constant with which an upstream's reported load decays."""
+
+FAILURES_TO_EJECT = 2
+"""Consecutive failures that eject an upstream."""
+
+EJECTION_SECONDS = 2.0
+"""Time of an ejection; the next call then shows whether the upstream has recovered."""
+
+CROSS_ZONE_LOAD = 0.1
+"""Load added to an upstream in another zone, as a share of its slots."""
+
+
+class PlainUpstreamLoad:
+    """Estimated load and health of one plain upstream."""
+
+    def __init__(self) -> None:
+        self.running = 0
+        self.reported_load = DecayingLoadHint(LOAD_HINT_SECONDS)
+        self.failures = 0
+        self.ejected_until = float("-inf")
+
+    def hint(self, running: int, waiting: int, now: float) -> None:
+        """Record the load that the upstream reports, this entry's calls included."""
+        self.reported_load.update(running, waiting, self.running, now)
+
+    def load(self, now: float) -> float:
+        """Return the estimated number of running calls."""
+        return self.running + self.reported_load.estimate(now)
+
+    def is_ejected(self, now: float) -> bool:
+        """Return whether the upstream is ejected."""
+        return now < self.ejected_until
+
+    def succeeded(self) -> None:
+        """Record an answer."""
+        self.failures = 0
+
+    def failed(self, now: float) -> None:
+        """Record a call that the upstream failed."""
+        self.failures += 1
+        if self.failures >= FAILURES_TO_EJECT:
+            self.ejected_until = now + EJECTION_SECONDS
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PlainCandidate:
+    """A plain upstream as a candidate for one call."""
+
+    name: str
+    same_zone: bool
+    slots: int
+    load: float
+    ejected: bool = False
+
+
+def choose_plain_upstream(
+    views: t.Sequence[PlainCandidate], rng: random.Random
+) -> str | None:
+    """Return the name of the upstream that gets the call, or ``None``."""
+    available = [view for view in views if not view.ejected] or list(views)
+    if not available:
+        return None
+    pair = rng.sample(available, min(2, len(available)))
+    return min(pair, key=_share).name
+
+
+def _share(view: PlainCandidate) -> float:
+    share = view.load / view.slots
+    return share if view.same_zone else share + CROSS_ZONE_LOAD
--- a/src/bergamotmast/served_shares.py
+++ b/src/bergamotmast/served_shares.py
@@ -1,23 +1,24 @@
-"""What was served of large prompts, compared with all prompts of their class."""
+"""Served share of large prompts, compared with all prompts of their request class."""
 
 from __future__ import annotations
 
 import collections.abc as cabc
 import dataclasses
 
-LEAST_RATIO = 0.5
-"""Least served share of large prompts against all that operators expect."""
+MIN_SERVED_RATIO = 0.5
+"""Minimum served share of large prompts that operators expect, relative to all."""
 
-FEWEST_PROMPTS = 10
-"""Prompts below which a class has no largest tenth."""
+MIN_PROMPTS = 10
+"""Minimum number of prompts of a class, as fewer have no largest tenth."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServedShares:
-    """Shares of a class's prompts that were served, by size.
+    """Served shares of the prompts of a request class, by prompt size.
 
-    :param largest: of the largest tenth.
-    :param large: of the fifth below it.
+    :param all: served share of all prompts.
+    :param largest: served share of the largest tenth.
+    :param large: served share of the fifth below it.
     """
 
     all: float
@@ -25,20 +26,20 @@
     large: float
 
     @property
-    def least_ratio(self) -> float:
-        """The lesser of the two against all; 1 where nothing was served at all."""
+    def min_served_ratio(self) -> float:
+        """The lower of ``largest`` and ``large`` over ``all``; 1 if none was served."""
         return min(self.largest, self.large) / self.all if self.all else 1.0
 
 
 def served_shares(
     prompts: cabc.Iterable[tuple[int, bool]],
 ) -> ServedShares | None:
-    """Return what was served of a class; ``None`` for too few prompts.
+    """Return the served shares of a class; ``None`` for too few prompts.
 
-    :param prompts: size in tokens, and whether it was served.
+    :param prompts: pairs of size in tokens and whether the prompt was served.
     """
     ordered = [served for _, served in sorted(prompts, key=lambda prompt: prompt[0])]
-    tenth = len(ordered) // FEWEST_PROMPTS
+    tenth = len(ordered) // MIN_PROMPTS
     if not tenth:
         return None
     largest, large = ordered[-tenth:], ordered[-3 * tenth : -tenth]
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -1,7 +1,8 @@
-"""The side process: sessions with entries, a queue, and one upstream behind it.
+"""Transport-independent core of a side: admission, queueing and execution of offers.
 
-Everything that touches the upstream passes through here, so the counts are exact, a
-leaving upstream refuses work itself, and what was told "not run" cannot run.
+All work for the upstream passes through here. The load counts are therefore exact, a
+leaving upstream refuses work by itself, and an attempt that was reported as "not run"
+can't run.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from ..history import AttemptRecord
 from ..history import HistorySink
 from ..logs import request_context
-from ..model import NO_TOKEN
+from ..model import NO_FENCING_TOKEN
 from ..model import Cost
 from ..model import EngineState
 from ..model import FencingToken
@@ -31,7 +32,7 @@
 from ..telemetry import Telemetry
 from .attempt import Attempt
 from .attempt import AttemptPhase
-from .offers import demand
+from .offers import offered_demand
 from .offers import queue_item
 from .report import read_report
 from .runners import Runner
@@ -41,32 +42,45 @@
 logger = logging.getLogger(__name__)
 
 EXPIRY_INTERVAL = 0.1
-"""Seconds between two looks for waiting work that can no longer be answered."""
+"""Seconds between checks for waiting attempts that have expired."""
 
-ANSWER_KEPT = 30.0
-"""Seconds a plain service's answer is kept for an entry that lost its session."""
+ANSWER_RETENTION = 30.0
+"""Seconds for which a service's answer is kept for an entry that lost its session."""
 
-_STATES: dict[AttemptPhase, t.Literal["never_started", "started", "done"]] = {
+_WIRE_STATES: dict[AttemptPhase, t.Literal["never_started", "started", "done"]] = {
     AttemptPhase.WAITING: "never_started",
     AttemptPhase.STARTED: "started",
     AttemptPhase.DONE: "done",
 }
 
-ENDED_DETAIL = "the side's time to end was over"
+SHUTDOWN_DETAIL = "the side's time to end was over"
 
 RETRY_AFTER_FULL = 1.0
-"""Seconds after which a caller refused for load may come back."""
+"""Seconds in ``Retry-After`` of a refusal for load."""
 
 
 class SideCore:
-    """One side process without its sockets.
+    """Queues the offers of entries and runs them on one upstream, without sockets.
 
     :param name: name of the upstream.
-    :param listener: where entries connect.
+    :param listener: the socket that entries connect to.
     :param runner: runs an attempt on the upstream.
-    :param policy: what waits and what starts next.
+    :param policy: decides on admission and on what starts next.
     :param holder: the configuration in force.
-    :param incarnation: random for each start.
+    :param history: receives the events of attempts.
+    :param incarnation: random identifier of this start of the process.
+    :param telemetry: receives metrics; none are recorded without it.
+    :param attempts: attempts that wait or run, and done ones whose answer is kept.
+    :param running: names of the attempts that run on the upstream.
+    :param leaving: whether this process is shutting down.
+    :param admission_paused: whether a planned change keeps new work away.
+    :param engine: last known state of the upstream; ``None`` while it is unknown.
+    :param engine_readiness: readiness of the upstream itself.
+    :param plan_seen: highest plan token that an earlier side of the upstream obeyed.
+    :param plan_token: returns the token of the plan that this side obeys.
+    :param offered: demand offered since the start, in tokens.
+    :param done: work done since the start, in tokens.
+    :param shed: offers refused or expired since the start.
     """
 
     def __init__(
@@ -97,7 +111,7 @@
         self.admission_paused = False
         self.engine: EngineState | None = None
         self.engine_readiness = Readiness.UNKNOWN
-        self.plan_seen = NO_TOKEN
+        self.plan_seen = NO_FENCING_TOKEN
         self.plan_token: cabc.Callable[[], FencingToken] = _no_plan
         self.offered = Cost(0, 0)
         self.done = Cost(0, 0)
@@ -106,19 +120,22 @@
         self._idle = asyncio.Event()
         self._idle.set()
 
-    # What the rest of the side process asks of it
+    # Readiness and shutdown
 
     @property
     def readiness(self) -> Readiness:
-        """Whether new work is taken now."""
+        """Whether new work is accepted now."""
         if self.leaving or self.name in self.holder.selection.leaving:
             return Readiness.LEAVING
         if self.admission_paused:
             return Readiness.CHANGING
         return self.engine_readiness
 
-    def on_engine(self, state: EngineState | None, readiness: Readiness) -> None:
-        """Learn what the upstream is; waiting work leaves if it can't start here."""
+    def on_engine_state(self, state: EngineState | None, readiness: Readiness) -> None:
+        """Update the state of the upstream.
+
+        Waiting attempts are refused if the upstream is not ready any more.
+        """
         if state is not None and state != self.engine:
             self.policy.configure(
                 state.max_streams,
@@ -132,12 +149,12 @@
         self._after_readiness_change()
 
     def pause_admission(self) -> None:
-        """Refuse new work and hand waiting work back, for a planned change."""
+        """Refuse new and waiting attempts, for a planned change."""
         self.admission_paused = True
         self._after_readiness_change()
 
     def resume_admission(self) -> None:
-        """Take new work again."""
+        """Accept new work again."""
         self.admission_paused = False
 
     async def drained(self) -> None:
@@ -145,37 +162,38 @@
         await self._idle.wait()
 
     async def leave(self) -> None:
-        """Refuse new work, hand waiting work back and wait for the rest.
+        """Shut down gracefully: refuse new and waiting attempts, drain running ones.
 
-        Offers that cross the news are refused meanwhile, and the last answers are read.
+        Offers that are still on their way are refused meanwhile. Returns once the
+        entries have read the last answers.
         """
         self.leaving = True
         self._after_readiness_change()
         await self.drained()
         await self.flush()
-        await self.server.until_read()
+        await self.server.wait_until_read()
         await self.flush()
 
-    async def end_attempts(self) -> None:
-        """End what still runs and say so: the entries need not wait for this side.
+    async def abort_attempts(self) -> None:
+        """Cancel the running attempts and report them as failed to their entries.
 
-        Streams go on elsewhere; a call that may not be repeated ends as unknown now,
-        not when the side counts as lost.
+        Streams are resumed elsewhere, and a call that may not be repeated ends as
+        unknown now, not when the entry counts the side as lost.
         """
-        # Attempts end, and are forgotten, while others are told of.
+        # A copy, as attempts may end and be removed while a message is sent.
         for attempt in [self.attempts[name] for name in sorted(self.running)]:
             failed = messages.Failed(
-                attempt.name, ResultCode.OUTCOME_UNKNOWN, ENDED_DETAIL
+                attempt.name, ResultCode.OUTCOME_UNKNOWN, SHUTDOWN_DETAIL
             )
             await self.send(attempt.session.peer, failed)
             if attempt.task is not None:
                 attempt.task.cancel()
         await self.flush()
-        await self.server.until_read()
+        await self.server.wait_until_read()
         await self.flush()
 
     async def flush(self) -> None:
-        """Hand over all frames; they would else wait for a turn that may not come."""
+        """Send all queued frames now, as the event loop may stop before it would."""
         await asyncio.gather(*self._background)
         await self.server.outbox.flush()
 
@@ -184,15 +202,15 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self.server.run())
             group.create_task(self._expire())
-            group.create_task(self._follow_configuration())
+            group.create_task(self._watch_configuration())
 
-    async def on_followed(self, earlier: Session, session: Session) -> None:
-        """Move what an ended session still runs to the one that follows it.
+    async def on_session_replaced(self, earlier: Session, session: Session) -> None:
+        """Move the attempts of an ended session to the session that replaces it.
 
-        Waiting attempts never start, streams end because the entry resumes them
-        elsewhere, and calls of plain services go on: their answers are owed.
+        Waiting attempts are refused, and streams are cancelled, as the entry resumes
+        them elsewhere. Calls of plain services go on: the entry waits for the answer.
         """
-        for attempt in self._of_session(earlier):
+        for attempt in self._attempts_of(earlier):
             attempt.session = session
             if attempt.phase is AttemptPhase.WAITING:
                 await self._refuse_waiting(attempt, ResultCode.STALE_SESSION)
@@ -200,13 +218,13 @@
                 self._end_stream(attempt)
 
     def on_plan_seen(self, token: FencingToken) -> None:
-        """Learn of a plan that an earlier side of this upstream obeyed."""
+        """Record the token of a plan that an earlier side of this upstream obeyed."""
         self.plan_seen = max(self.plan_seen, token)
 
-    # Offers and what follows them
+    # Offers and attempts
 
     async def on_offer(self, session: Session, offer: messages.Offer) -> None:
-        """Queue an offer, or refuse it at once; a copy of one seen is ignored."""
+        """Queue an offer, or refuse it at once; a duplicate is ignored."""
         if not session.remember(offer.attempt):
             return
         code = self._admit(session, offer)
@@ -214,9 +232,10 @@
             self.shed += 1
             await self._refuse(session, offer, code)
             return
-        self._start_waiting()
+        self._start_ready_attempts()
 
     def _admit(self, session: Session, offer: messages.Offer) -> ResultCode:
+        """Queue an offer if the side is ready and the policy admits it."""
         readiness = self.readiness
         if readiness is Readiness.LEAVING:
             return ResultCode.UPSTREAM_LEAVING
@@ -225,7 +244,7 @@
         now = self._now()
         item = queue_item(offer, now)
         code = self.policy.offer(item, now)
-        added = demand(offer.work, code)
+        added = offered_demand(offer.work, code)
         self.offered = Cost(
             self.offered.prefill + added.prefill, self.offered.decode + added.decode
         )
@@ -238,6 +257,10 @@
     async def _refuse(
         self, session: Session, offer: messages.Offer, code: ResultCode
     ) -> None:
+        """Refuse an offer.
+
+        Refusals for load, which have codes from 200 to 299, name a delay for a retry.
+        """
         self._record(offer, "refused")
         retry_after = RETRY_AFTER_FULL if 200 <= code < 300 else 0.0
         await self.send(
@@ -245,24 +268,24 @@
         )
 
     async def _refuse_waiting(self, attempt: Attempt, code: ResultCode) -> None:
-        self._take_out(attempt)
+        self._withdraw(attempt)
         await self._refuse(attempt.session, attempt.offer, code)
 
-    def _take_out(self, attempt: Attempt) -> None:
-        """Take a waiting attempt out of the queue: from here on it never starts."""
+    def _withdraw(self, attempt: Attempt) -> None:
+        """Remove a waiting attempt from the queue; after this it never starts."""
         self.policy.withdraw(attempt.name)
         del self.attempts[attempt.name]
 
-    def _end(self, attempt: Attempt) -> None:
-        """End an attempt; a call of a service that runs goes on."""
+    def _end_attempt(self, attempt: Attempt) -> None:
+        """End an attempt, unless it is a running call of a service, which goes on."""
         if attempt.phase is AttemptPhase.WAITING:
-            self._take_out(attempt)
+            self._withdraw(attempt)
             self._record(attempt.offer, "never_started")
         elif attempt.is_model:
             self._end_stream(attempt)
 
-    def _start_waiting(self) -> None:
-        """Start what the policy says may start now."""
+    def _start_ready_attempts(self) -> None:
+        """Start the waiting attempts that the policy selects."""
         while (item := self.policy.next(self._now())) is not None:
             attempt = self.attempts[item.attempt]
             attempt.phase = AttemptPhase.STARTED
@@ -285,40 +308,40 @@
             await self.runner.run(attempt, self)
 
     def _on_attempt_ended(self, attempt: Attempt, task: asyncio.Task[None]) -> None:
-        """Free what an attempt held.
+        """Release the resources of an attempt, as a callback of its task.
 
-        A task that is cancelled before its first step never enters its body, so this
-        can't stand in a ``finally`` there: the upstream's place would stay taken.
+        A task that is cancelled before its first step never enters its body, so a
+        ``finally`` there would not run and the attempt's slot would stay occupied.
         """
         if not task.cancelled() and (error := task.exception()) is not None:
             logger.error("attempt %s failed", attempt.name, exc_info=error)
         attempt.phase = AttemptPhase.DONE
-        attempt.forget_at = self._now() + ANSWER_KEPT
+        attempt.forget_at = self._now() + ANSWER_RETENTION
         self.running.discard(attempt.name)
         attempt.session.on_started(attempt.name)
         if attempt.answer is None:
             self.attempts.pop(attempt.name, None)
         self._record(attempt.offer, "done")
         self.policy.on_ended(attempt.name, self._now())
-        self._start_waiting()
+        self._start_ready_attempts()
         if not self.running:
             self._idle.set()
 
     def on_credit(self, credit: messages.Credit) -> None:
-        """Let a stream send more chunks."""
+        """Grant more credit to a stream."""
         attempt = self.attempts.get(credit.attempt)
         if attempt is not None:
             attempt.credit += credit.chunks
             self.runner.on_credit(attempt)
 
     async def on_cancel(self, session: Session, cancel: messages.Cancel) -> None:
-        """End an attempt, except a call of a service that runs, and say its state."""
+        """End an attempt, except a running call of a service, and report its state."""
         attempt = self.attempts.get(cancel.attempt)
         if attempt is None:
             await self._on_cancel_of_unknown(session, cancel)
             return
-        state = _STATES[attempt.phase]
-        self._end(attempt)
+        state = _WIRE_STATES[attempt.phase]
+        self._end_attempt(attempt)
         await self.send(session.peer, messages.AttemptState(attempt.name, state))
         if attempt.answer is not None:
             await self.send(session.peer, attempt.answer)
@@ -326,10 +349,10 @@
     async def _on_cancel_of_unknown(
         self, session: Session, cancel: messages.Cancel
     ) -> None:
-        """Answer for an attempt that is not here.
+        """Report the state of an attempt that is no longer, or not yet, known.
 
-        If it was ever started, it has ended. If not, remembering it leaves the
-        tombstone that keeps a later offer of it from starting.
+        If it was ever started, it has ended. Otherwise a tombstone is left, which keeps
+        an offer of it that arrives later from starting.
         """
         state: t.Literal["never_started", "done"] = "done"
         if not session.may_have_started(cancel.attempt):
@@ -341,9 +364,10 @@
         if attempt.task is not None:
             attempt.task.cancel()
 
-    # Time
+    # Expiry
 
     async def _expire(self) -> None:
+        """Drop expired attempts, sessions and kept answers until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL)
             now = self._now()
@@ -353,12 +377,12 @@
                 await self._refuse(attempt.session, attempt.offer, code)
             self.server.end_expired(now)
             self._forget_answers(now)
-            self._start_waiting()
+            self._start_ready_attempts()
 
-    def on_ended(self, session: Session) -> None:
-        """Learn that a session is over: its calls of services go on."""
-        for attempt in self._of_session(session):
-            self._end(attempt)
+    def on_session_ended(self, session: Session) -> None:
+        """End the attempts of a closed session, except running calls of services."""
+        for attempt in self._attempts_of(session):
+            self._end_attempt(attempt)
 
     def _forget_answers(self, now: float) -> None:
         done = AttemptPhase.DONE
@@ -367,6 +391,7 @@
                 del self.attempts[attempt.name]
 
     def _after_readiness_change(self) -> None:
+        """Unless ready, refuse the waiting attempts and send all entries a report."""
         if self.readiness is Readiness.READY:
             return
         code = ResultCode.ENGINE_NOT_READY
@@ -374,7 +399,7 @@
             code = ResultCode.UPSTREAM_LEAVING
         waiting = [a for a in self.attempts.values() if a.phase is AttemptPhase.WAITING]
         for attempt in waiting:
-            self._take_out(attempt)
+            self._withdraw(attempt)
             self._in_background(self._refuse(attempt.session, attempt.offer, code))
         for session in self.sessions.by_name.values():
             self._in_background(self.server.send_report(session))
@@ -386,32 +411,37 @@
 
     # Configuration
 
-    async def _follow_configuration(self) -> None:
+    async def _watch_configuration(self) -> None:
+        """Apply each new configuration, which may mark this upstream as leaving."""
         generation = -1
         while True:
-            configuration = await self.holder.wait_newer(generation)
+            configuration = await self.holder.wait_for_newer(generation)
             generation = configuration.generation
             self.telemetry.on_generation(generation)
             self._after_readiness_change()
 
-    # Small helpers
+    # Reports, messages and progress
 
     def report(self) -> SideReport:
-        """Return the exact state of this moment."""
+        """Return a report of the current state."""
         return read_report(self)
 
     async def send(self, peer: bytes, message: messages.ToEntry) -> None:
-        """Send to an entry, in the next turn of the event loop."""
+        """Send a message to an entry in the next iteration of the event loop."""
         await self.server.send(peer, message)
 
     def on_tokens(self, attempt: Attempt, tokens: int, prefilled: int) -> None:
-        """Learn of a stream's progress from the runner."""
+        """Record the progress of a stream.
+
+        :param tokens: output tokens that were added.
+        :param prefilled: prompt tokens whose prefill is complete.
+        """
         self.done = Cost(self.done.prefill + prefilled, self.done.decode + tokens)
         self.policy.on_progress(attempt.name, tokens, self._now())
         if prefilled:
-            self._start_waiting()
+            self._start_ready_attempts()
 
-    def _of_session(self, session: Session) -> list[Attempt]:
+    def _attempts_of(self, session: Session) -> list[Attempt]:
         return [a for a in self.attempts.values() if a.session is session]
 
     def _record(self, offer: messages.Offer, event: str) -> None:
@@ -430,4 +460,4 @@
 
 
 def _no_plan() -> FencingToken:
-    return NO_TOKEN
+    return NO_FENCING_TOKEN
--- a/src/bergamotmast/side/orders.py
+++ b/src/bergamotmast/side/orders.py
@@ -1,9 +1,9 @@
-"""Gives one engine its orders, one at a time, from its part of the plan.
+"""Reconciliation of one engine with its plan, by one order at a time.
 
-All orders to an engine go through its side, which is the serial point: an order is
-given only after the engine's state has been read back as settled, and never while an
-earlier order may still be on its way or be carried out. What an engine is, it says
-itself; a reply, or its absence, is never taken for it.
+All orders to an engine go through its side, which serializes them: an order is given
+only after the engine's state has been read as settled, and never while an earlier order
+may still be delivered or carried out. The state is always read from the engine; it is
+never inferred from the reply to an order or from a missing reply.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from ..errors import NotReachedError
 from ..errors import OrderRefusedError
 from ..errors import PortError
-from ..key_watch import follow
-from ..model import NO_TOKEN
+from ..key_watch import watch_keys
+from ..model import NO_FENCING_TOKEN
 from ..model import Assignment
 from ..model import EngineState
 from ..model import FencingToken
@@ -38,82 +38,84 @@
 from .order_states import OrderMachine
 from .order_states import OrderState
 
-POLL_SECONDS = 1.0
-"""Between two readings of the engine's state: how late a restart may be noticed."""
+STATE_POLL_SECONDS = 1.0
+"""Time between two reads of the engine's state, and thus to detect a restart."""
 
-STATE_SECONDS = 2.0
-"""Longest wait for the engine's state."""
+STATE_TIMEOUT_SECONDS = 2.0
+"""Timeout of a read of the engine's state."""
 
-MISSES_ALLOWED = 2
-"""Failed readings in a row before the engine's state counts as unknown."""
+MAX_FAILED_READS = 2
+"""Consecutive failed reads that are tolerated before the engine's state is unknown."""
 
-ORDER_REPLY_SECONDS = 5.0
-"""Longest wait for an engine to take an order."""
+ORDER_REPLY_TIMEOUT_SECONDS = 5.0
+"""Timeout of an engine's reply to an order."""
 
-ORDER_SETTLE_SECONDS = 3.0
-"""How long an order may lie in a socket before its engine takes it.
+MAX_ORDER_DELIVERY_SECONDS = 3.0
+"""Time for which an order may remain in a socket before its engine receives it.
 
 An order whose sender gave up, or was killed, can still be delivered. Until this time
-has passed, or the engine shows that it has the order, no other is given.
+has passed, or the engine's state shows that it has the order, no other is given.
 """
 
 ORDER_RETRY_SECONDS = 2.0
-LONGEST_RETRY_SECONDS = 30.0
-"""Bounds of the time between orders that the engine refuses or that have no effect.
+MAX_ORDER_RETRY_SECONDS = 30.0
+"""Bounds of the backoff between orders that the engine refuses or that have no effect.
 
-In between, an engine that is fit for work goes on with it as it is.
+Meanwhile a usable engine goes on serving with its present assignment.
 """
 
-CONFIRM_SECONDS = 1.0
-"""Longest wait for the plan to be read again before an order."""
+PLAN_CONFIRM_TIMEOUT_SECONDS = 1.0
+"""Timeout of the read that confirms the plan before an order."""
 
 logger = logging.getLogger(__name__)
 
 
 class Workload(t.Protocol):
-    """The work at a side's engine, as far as a change has to wait for it."""
+    """Control of admission, and of the work that a change of the engine waits for."""
 
     def pause_admission(self) -> None:
-        """Start no more work; called again without effect."""
+        """Start no more work; idempotent."""
         ...
 
     def resume_admission(self) -> None:
-        """Start work again; called again without effect."""
+        """Start work again; idempotent."""
         ...
 
     async def drained(self) -> None:
-        """Return when no started work is left.
+        """Wait until all started work has ended.
 
-        Work ends by its deadline at the latest, so this does too.
+        Work ends by its deadline at the latest, so the wait is bounded.
         """
         ...
 
 
-class EngineListener(t.Protocol):
-    """Is told what the engine is and whether it takes work."""
+class EngineStateCallback(t.Protocol):
+    """Callback with the engine's state and its readiness for work."""
 
     def __call__(self, state: EngineState | None, readiness: Readiness) -> None:
-        """Take the newest word on the engine; ``None`` while nothing is known."""
+        """Handle the last read of the engine; ``None`` while its state is unknown."""
         ...
 
 
 def no_plan_seen() -> FencingToken:
-    """Know of no earlier plan."""
-    return NO_TOKEN
+    """Return ``NO_FENCING_TOKEN``: no earlier plan is known."""
+    return NO_FENCING_TOKEN
 
 
-class OrderKeeper:
-    """One side's task that keeps its engine at the plan.
+class OrderReconciler:
+    """Reconciliation loop of a side, which brings its engine to the plan.
 
     :param name: name of the engine.
     :param engine: the engine.
-    :param kv: the key-value service, which holds the plan.
-    :param workload: what a change has to wait for.
-    :param on_engine: told after each reading of the engine.
+    :param kv: the key-value service, which stores the plan.
+    :param workload: admission control, and the work that a change waits for.
+    :param on_engine_state: called after each read of the engine.
     :param rng: source of jitter.
-    :param plan_seen: tells the highest plan that an earlier side obeyed.
-    :param plan: the highest plan seen; it stays while the service is down.
-    :param engine_state: the last reading.
+    :param plan_seen: returns the highest plan token that an earlier side obeyed.
+    :param plan: the highest plan seen; it stays in force while the key-value service
+        is down.
+    :param engine_state: the last state read from the engine.
+    :param machine: the state of the orders.
     """
 
     def __init__(
@@ -122,7 +124,7 @@
         engine: Engine,
         kv: KeyValueService,
         workload: Workload,
-        on_engine: EngineListener,
+        on_engine_state: EngineStateCallback,
         rng: random.Random,
         plan_seen: cabc.Callable[[], FencingToken] = no_plan_seen,
     ) -> None:
@@ -130,32 +132,32 @@
         self.engine = engine
         self.kv = kv
         self.workload = workload
-        self.on_engine = on_engine
+        self.on_engine_state = on_engine_state
         self.rng = rng
         self.plan_seen = plan_seen
         self.plan: EnginePlan | None = None
         self.engine_state: EngineState | None = None
         self.machine = OrderMachine()
-        self._settled: Assignment | None = None
-        self._in_doubt: Order | None = None
-        self._quiet_until = 0.0
+        self._settled_assignment: Assignment | None = None
+        self._in_doubt_order: Order | None = None
+        self._no_order_before = 0.0
         self._retry_at = 0.0
-        self._retries = Backoff(rng, ORDER_RETRY_SECONDS, LONGEST_RETRY_SECONDS)
-        self._fit = False
-        self._gentle = False
-        self._misses = 0
+        self._retries = Backoff(rng, ORDER_RETRY_SECONDS, MAX_ORDER_RETRY_SECONDS)
+        self._is_usable = False
+        self._online_change = False
+        self._failed_reads = 0
         self._drain: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
 
     @property
     def state(self) -> OrderState:
-        """Where the side stands with its orders."""
+        """The state of the orders to the engine."""
         return self.machine.state
 
     @property
     def token(self) -> FencingToken:
-        """Authority of the plan that is obeyed; ``NO_TOKEN`` before the first."""
-        return self.plan.token if self.plan is not None else NO_TOKEN
+        """Fencing token of the plan; ``NO_FENCING_TOKEN`` before the first plan."""
+        return self.plan.token if self.plan is not None else NO_FENCING_TOKEN
 
     @property
     def readiness(self) -> Readiness:
@@ -164,149 +166,159 @@
             return Readiness.READY
         if self.state is OrderState.UNKNOWN:
             return Readiness.UNKNOWN
-        if self._gentle and self.state is not OrderState.DRAINING:
+        if self._online_change and self.state is not OrderState.DRAINING:
             return Readiness.READY
         return Readiness.CHANGING
 
     async def run(self) -> None:
-        """Keep the engine at the plan until cancelled."""
-        self._quiet_until = _now() + ORDER_SETTLE_SECONDS
+        """Reconcile the engine with the plan until cancelled."""
+        self._no_order_before = _now() + MAX_ORDER_DELIVERY_SECONDS
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._follow_plan())
-                group.create_task(self._keep())
+                group.create_task(self._watch_plan())
+                group.create_task(self._reconcile_loop())
         finally:
             self._stop_drain()
 
     def offer_plan(self, data: bytes) -> None:
-        """Take a part of the plan if its authority is above all seen."""
+        """Accept the engine's plan if its token is above those of all plans seen."""
         try:
             plan = decode_engine_plan(data)
         except msgspec.DecodeError as error:
-            logger.error("plan of %s can't be read: %s", self.name, error)
+            logger.error("plan of engine %s can't be decoded: %s", self.name, error)
             return
         if self.plan is None or plan.token > self.plan.token:
             self.plan = plan
             self._retry_at = 0.0
             self._wake.set()
 
-    async def _follow_plan(self) -> None:
+    async def _watch_plan(self) -> None:
         key = engine_key(self.name)
         async with contextlib.aclosing(
-            follow(self.kv, engine_prefix(self.name), self.rng)
+            watch_keys(self.kv, engine_prefix(self.name), self.rng)
         ) as changes:
             async for change in changes:
                 if change.key == key and change.value is not None:
                     self.offer_plan(change.value)
 
-    async def _keep(self) -> None:
+    async def _reconcile_loop(self) -> None:
         self._publish()
         while True:
             self._wake.clear()
-            await self._step()
+            await self._reconcile()
             self._publish()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(POLL_SECONDS):
+                async with asyncio.timeout(STATE_POLL_SECONDS):
                     await self._wake.wait()
 
-    async def _step(self) -> None:
-        """Read the engine back and do the one next thing that brings it to the plan."""
+    async def _reconcile(self) -> None:
+        """Read the engine's state and take the next step that brings it to the plan."""
         state = await self._read_back()
         if state is None:
             return
         if state.changing:
-            self._found_changing()
+            self._on_changing()
         elif self._order_may_arrive(state):
             return
-        elif self._goal(state) is None:
-            self._found_settled(state.assignment)
+        elif self._due_order(state) is None:
+            self._on_settled(state.assignment)
             self._retries.reset()
         elif _now() < self._retry_at:
-            self._found_settled(state.assignment if self._fit else None)
-        elif await self._free_to_order(state.assignment):
+            self._on_settled(state.assignment if self._is_usable else None)
+        elif await self._drain_if_needed(state.assignment):
             await self._order_if_still_due(state)
 
     async def _read_back(self) -> EngineState | None:
+        """Read the engine's state; ``None`` if that failed."""
         try:
-            async with asyncio.timeout(STATE_SECONDS):
+            async with asyncio.timeout(STATE_TIMEOUT_SECONDS):
                 state = await self.engine.state()
         except (PortError, TimeoutError):
-            self._misses += 1
-            if self._misses > MISSES_ALLOWED:
-                self._lose()
+            self._failed_reads += 1
+            if self._failed_reads > MAX_FAILED_READS:
+                self._reset_to_unknown()
             return None
-        self._misses = 0
-        self._notice_restart(state)
+        self._failed_reads = 0
+        self._detect_restart(state)
         self.engine_state = state
         return state
 
-    def _notice_restart(self, state: EngineState) -> None:
-        """Forget what was known of an engine that has another boot identity.
+    def _detect_restart(self, state: EngineState) -> None:
+        """Reset the known state of an engine whose boot identity has changed.
 
-        An engine may crash in the middle of a change and be back before any call
-        fails, with the change done, half done or not done. Work sent to it then would
-        meet a role or models it does not have. What it says after its restart is
-        compared with the plan anew, and no work goes there until they agree.
+        An engine may crash during a change and be back before any call fails, with the
+        change done, half done or not done. Work sent to it then could need a role or
+        models that it does not have. Its state is therefore compared with the plan
+        again, and it gets no work until the two agree.
         """
-        before = self.engine_state
-        if before is not None and before.boot_id != state.boot_id:
+        previous = self.engine_state
+        if previous is not None and previous.boot_id != state.boot_id:
             logger.warning("engine %s has restarted", self.name)
-            self._lose()
+            self._reset_to_unknown()
 
-    def _lose(self) -> None:
+    def _reset_to_unknown(self) -> None:
+        """Treat the engine's state as unknown, which closes admission."""
         self._stop_drain()
-        self._gentle = False
-        self._fit = False
+        self._online_change = False
+        self._is_usable = False
         self.machine.trigger("lost")
 
-    def _found_changing(self) -> None:
-        self._in_doubt = None
+    def _on_changing(self) -> None:
+        """Wait for a change that the engine is carrying out.
+
+        Admission stays open only for an online change that this side has ordered.
+        """
+        self._in_doubt_order = None
         if self.state is not OrderState.CHANGING:
-            self._gentle = self._gentle and self.state is OrderState.ORDERING
+            self._online_change = (
+                self._online_change and self.state is OrderState.ORDERING
+            )
             self._stop_drain()
             self.machine.trigger("found_changing")
 
-    def _found_settled(self, assignment: Assignment | None) -> None:
-        """Let an engine work as it is; ``None`` where it is not fit for that.
+    def _on_settled(self, assignment: Assignment | None) -> None:
+        """Let the engine serve with an assignment; ``None`` if it is not usable.
 
-        It is unfit from a restart until it has been found at the plan: a crash in
-        the middle of a change may leave anything.
+        After a restart an engine is not usable until it has been found to match the
+        plan, as a crash during a change may leave it in any state.
         """
         if assignment is None:
-            self._lose()
+            self._reset_to_unknown()
             return
         self._stop_drain()
-        self._gentle = False
-        self._fit = True
-        self._settled = assignment
+        self._online_change = False
+        self._is_usable = True
+        self._settled_assignment = assignment
         self.machine.trigger("found_settled")
 
     def _order_may_arrive(self, state: EngineState) -> bool:
-        """Return whether an order may still lie in a socket to the engine.
+        """Return whether an earlier order may still be delivered to the engine.
 
-        The sender was this process, whose reply was lost, or an earlier one that was
-        killed. Ordering something else now would leave an engine that ignores fencing
-        tokens with two orders, the older of which comes last.
+        It may be an order of this process whose reply was lost, or of an earlier
+        process that was killed. With another order now, an engine that ignores fencing
+        tokens would get two, the older of which might arrive last.
         """
-        doubt = self._in_doubt
-        if doubt is not None:
-            arrived = state.token >= doubt.token or state.assignment == doubt.assignment
+        in_doubt = self._in_doubt_order
+        if in_doubt is not None:
+            arrived = (
+                state.token >= in_doubt.token or state.assignment == in_doubt.assignment
+            )
             if arrived:
-                self._quiet_until = _now()
-        if _now() < self._quiet_until:
+                self._no_order_before = _now()
+        if _now() < self._no_order_before:
             return True
-        self._in_doubt = None
+        self._in_doubt_order = None
         if self.state is OrderState.ORDERING:
             self.machine.trigger("not_taken")
         return False
 
-    def _goal(self, state: EngineState) -> Order | None:
-        """Return the order that is due, if the engine is not at the plan.
+    def _due_order(self, state: EngineState) -> Order | None:
+        """Return the order that is due; ``None`` if the engine matches the plan.
 
-        A plan of less authority than the engine has already obeyed came from a
-        service restored from a backup; the engine stays as it is until a higher one.
-        Where side and engine were both replaced, neither remembers: then the entries
-        tell what the earlier side obeyed.
+        A plan with a lower token than one that the engine has already obeyed comes from
+        a key-value service that was restored from a backup; the engine stays as it is
+        until a higher one. If side and engine were both replaced, neither remembers
+        that token, and the entries report what the earlier side obeyed.
         """
         plan = self.plan
         if plan is None or plan.token < max(state.token, self.plan_seen()):
@@ -315,14 +327,17 @@
             return None
         return Order(plan.token, plan.assignment)
 
-    async def _free_to_order(self, present: Assignment | None) -> bool:
-        """Return whether no work stands in the way, else see to it that it ends."""
+    async def _drain_if_needed(self, present: Assignment | None) -> bool:
+        """Return whether a change can be ordered now; start a drain if it needs one.
+
+        :param present: the engine's assignment; ``None`` if it does not know it.
+        """
         assert self.plan is not None
         if not needs_drain(present, self.plan.assignment):
             self._stop_drain()
             return True
         if self._drain is None:
-            self._gentle = False
+            self._online_change = False
             self.machine.trigger("drain")
             self._publish()
             self._drain = asyncio.create_task(self.workload.drained())
@@ -334,44 +349,51 @@
         return True
 
     async def _order_if_still_due(self, state: EngineState) -> None:
-        """Give the order that the newest plan asks for, if it still asks for one.
+        """Read the plan again and give the order if it is still due.
 
-        A side that was paused wakes with the plan of before. Reading its part again
-        keeps it from giving an order whose planner was replaced meanwhile. With the
-        service down the last plan counts.
+        A side that was suspended resumes with an old plan. The read keeps it from
+        giving an order of a planner that was replaced meanwhile. While the key-value
+        service is down, the last plan stays in force.
         """
-        before = self.plan
+        plan_before = self.plan
         await self._confirm_plan()
-        order = self._goal(state)
-        if order is None or self.plan is not before:
+        order = self._due_order(state)
+        if order is None or self.plan is not plan_before:
             self._wake.set()
             return
-        self._gentle = not needs_drain(state.assignment, order.assignment)
-        await self._give(order)
+        self._online_change = not needs_drain(state.assignment, order.assignment)
+        await self._send_order(order)
 
     async def _confirm_plan(self) -> None:
         with contextlib.suppress(PortError, TimeoutError):
-            async with asyncio.timeout(CONFIRM_SECONDS):
+            async with asyncio.timeout(PLAN_CONFIRM_TIMEOUT_SECONDS):
                 item = await self.kv.get(engine_key(self.name))
             if item is not None:
                 self.offer_plan(item.value)
 
-    async def _give(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
+        """Send an order to the engine.
+
+        If its outcome is unknown, no other order is given until the engine shows this
+        one or the time for its delivery has passed.
+        """
         self.machine.trigger("give")
         self._publish()
         self._stop_drain()
         self._retry_at = _now() + ORDER_RETRY_SECONDS + self._retries.next_delay()
         try:
-            async with asyncio.timeout(ORDER_REPLY_SECONDS):
+            async with asyncio.timeout(ORDER_REPLY_TIMEOUT_SECONDS):
                 await self.engine.order(order)
         except (NotReachedError, OrderRefusedError) as error:
             logger.warning("engine %s took no order: %s", self.name, error.message)
             self.machine.trigger("not_taken")
-            self._found_settled(self._settled if self._fit else None)
+            self._on_settled(self._settled_assignment if self._is_usable else None)
         except (PortError, TimeoutError) as error:
-            logger.warning("engine %s: order of unknown end: %r", self.name, error)
-            self._in_doubt = order
-            self._quiet_until = _now() + ORDER_SETTLE_SECONDS
+            logger.warning(
+                "outcome of order to engine %s is unknown: %r", self.name, error
+            )
+            self._in_doubt_order = order
+            self._no_order_before = _now() + MAX_ORDER_DELIVERY_SECONDS
         else:
             self.machine.trigger("taken")
 
@@ -381,29 +403,30 @@
             self._drain = None
 
     def _publish(self) -> None:
-        """Open or close admission and say what the engine is.
+        """Open or close admission and report the engine's state and readiness.
 
-        An engine that loads beside its work says that it is not settled; what it
-        carried before is still true of it, and work for that goes on.
+        An engine that loads a model while it serves has no settled assignment. Its
+        previous one still holds, so work for that goes on.
         """
         readiness = self.readiness
         state = self.engine_state
         if readiness is Readiness.READY:
             if state is not None and state.assignment is None:
-                state = dataclasses.replace(state, assignment=self._settled)
+                state = dataclasses.replace(state, assignment=self._settled_assignment)
             self.workload.resume_admission()
         else:
             self.workload.pause_admission()
-        self.on_engine(state, readiness)
+        self.on_engine_state(state, readiness)
 
 
 def needs_drain(present: Assignment | None, wanted: Assignment) -> bool:
-    """Return whether a change would take something away from work in flight.
+    """Return whether the work in flight must end before a change.
 
-    A new role stops the engine for seconds, and dropping a model or an adapter ends
-    its streams. Loading one more goes on beside the work.
+    A new role stops the engine for seconds, and unloading a model or an adapter ends
+    its streams. Another model can be loaded while the engine serves.
 
-    :param present: what the engine is; ``None`` where it does not know.
+    :param present: the engine's assignment; ``None`` if it does not know it.
+    :param wanted: the assignment after the change.
     """
     if present is None:
         return True
--- a/src/bergamotmast/standins/key_value_front.py
+++ b/src/bergamotmast/standins/key_value_frontend.py
@@ -1,4 +1,4 @@
-"""HTTP front of the key-value stand-in, in the style of etcd's v3 JSON gateway."""
+"""HTTP frontend of the key-value stand-in, modelled on etcd's v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from ..ports import KeyValue
 from ..ports import Put
 from ..ports import WatchEvent
-from . import http_front
+from . import http_common
 from .key_value import KeyValueClient
 from .key_value import KeyValueStandIn
 from .key_value_store import Snapshot
 
 
-class KeyValueFront:
-    """Serves a key-value stand-in.
+class KeyValueFrontend:
+    """Serves a key-value stand-in over HTTP.
 
-    :param saved: content kept by the control path's ``save`` for its ``restore``.
+    :param saved: snapshot taken by the control path ``save``, for ``restore``.
     """
 
     def __init__(self, standin: KeyValueStandIn) -> None:
@@ -40,8 +40,8 @@
         self.saved: Snapshot | None = None
 
     def application(self) -> web.Application:
-        """Return the application."""
-        app = http_front.application()
+        """Return the aiohttp application."""
+        app = http_common.application()
         router = app.router
         router.add_post("/v3/kv/range", self._range)
         router.add_post("/v3/kv/txn", self._txn)
@@ -55,9 +55,9 @@
 
     def _add_control(self, app: web.Application) -> None:
         standin = self.standin
-        knobs: dict[str, http_front.Knob] = {
-            "down": http_front.attribute(standin, "down"),
-            "delay": http_front.attribute(standin, "delay"),
+        knobs: dict[str, http_common.Knob] = {
+            "down": http_common.attribute_setter(standin, "down"),
+            "delay": http_common.attribute_setter(standin, "delay"),
             "cut": standin.cut,
             "heal": standin.heal,
             "lose_next_reply": standin.lose_next_reply,
@@ -66,7 +66,7 @@
             "save": self._save,
             "restore": self._restore,
         }
-        http_front.add_control(app, knobs, self._counters)
+        http_common.add_control(app, knobs, self._counters)
 
     def _counters(self) -> dict[str, object]:
         standin = self.standin
@@ -87,7 +87,7 @@
         self.standin.restore(self.saved)
 
     async def _range(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         client = self._client(request)
         if "range_end" in body:
             found = await client.range(_prefix(body))
@@ -97,38 +97,38 @@
             items = (item,) if item else ()
             revision = self.standin.store.revision
         kvs = [_item(item) for item in items]
-        return _answer(revision, kvs=kvs, count=str(len(kvs)))
+        return _response(revision, kvs=kvs, count=str(len(kvs)))
 
     async def _txn(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         compares = [_compare(compare) for compare in body.get("compare", [])]
         writes = [_write(write) for write in body.get("success", [])]
         result = await self._client(request).txn(compares, writes)
-        return _answer(result.revision, succeeded=result.succeeded)
+        return _response(result.revision, succeeded=result.succeeded)
 
     async def _grant(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         lease = await self._client(request).grant_lease(int(body["TTL"]))
-        return _answer(0, ID=str(lease), TTL=body["TTL"])
+        return _response(0, ID=str(lease), TTL=body["TTL"])
 
     async def _keep_alive(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         alive = await self._client(request).keep_alive(int(body["ID"]))
         result = {"ID": body["ID"]} | ({"TTL": "1"} if alive else {})
-        return http_front.json_response({"result": result})
+        return http_common.json_response({"result": result})
 
     async def _revoke(self, request: web.Request) -> web.Response:
-        body = await _body(request)
+        body = await _json_body(request)
         await self._client(request).revoke_lease(int(body["ID"]))
-        return _answer(0)
+        return _response(0)
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        create = (await _body(request))["create_request"]
+        create = (await _json_body(request))["create_request"]
         start = int(create.get("start_revision", 0))
         events = self._client(request).watch(_prefix(create), start)
         async with contextlib.aclosing(events):
-            # The watch must be open before the client is told so: it would miss
-            # what it writes as soon as it knows.
+            # The watch must be open before the response confirms it: otherwise the
+            # client would miss the events of writes that it makes right after.
             first = asyncio.ensure_future(anext(events))
             try:
                 await asyncio.sleep(0)
@@ -160,7 +160,7 @@
         return self.standin.client(request.headers.get(CLIENT_HEADER, ""))
 
 
-_body = functools.partial(http_front.read_json, kind=JsonObject)
+_json_body = functools.partial(http_common.read_json, kind=JsonObject)
 
 
 def _prefix(body: JsonObject) -> str:
@@ -200,6 +200,6 @@
     return msgspec.json.encode({"result": result}) + b"\n"
 
 
-def _answer(revision: int, **fields: t.Any) -> web.Response:
+def _response(revision: int, **fields: t.Any) -> web.Response:
     header = {"revision": str(revision)}
-    return http_front.json_response({"header": header, **fields})
+    return http_common.json_response({"header": header, **fields})
