--- a/tests/prompt_load.py
+++ b/tests/prompt_load.py
@@ -1,7 +1,7 @@
-"""Direct entries before simulated engines, under a load of prompts of all sizes.
+"""Load simulation: direct entries and simulated engines with prompts of all sizes.
 
-Everything but the engines and the callers is the code that serves; with the event
-loop's clock simulated, seconds of load take tenths of one.
+Only the engines and the callers are simulated; the entries run the production code.
+With a simulated event loop clock, seconds of load take tenths of a second.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from bergamotmast.direct.context import Context
 from bergamotmast.direct.core import DirectCore
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.notices import Notices
-from bergamotmast.direct.placing import Placing
-from bergamotmast.direct.second_sends import SecondSends
+from bergamotmast.direct.notices import NoticeExchange
+from bergamotmast.direct.placer import RequestPlacer
+from bergamotmast.direct.retry_budget import SharedRetryBudget
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.headers import PlatformDialect
-from bergamotmast.policy.decisions import ALL
+from bergamotmast.policy.decisions import ALL_DECISIONS
 from bergamotmast.policy.decisions import Decisions
 from bergamotmast.policy.retry_window import RetryLimits
 from bergamotmast.ports import KeyValue
@@ -47,7 +47,7 @@
 
 TOKENS_PER_SECOND = 45_000
 PAIR_SECONDS = 0.4e-9
-"""Of each pair of a token and one before it."""
+"""Attention cost of each pair of a token and an earlier one."""
 
 CALL_SECONDS = 0.015
 TRANSFER_SECONDS = 0.03
@@ -55,7 +55,7 @@
 
 
 class SimulatedEngine:
-    """Reads one prompt at a time, the most urgent first, and answers at once."""
+    """Prefills one prompt at a time, the most urgent first, and decodes instantly."""
 
     def __init__(self, name: str, stage: str, number: int) -> None:
         self.entry = engine(name, None, stage)
@@ -66,7 +66,10 @@
         self.busy = False
 
     async def read(self, tokens: int, priority: int) -> None:
-        """Return once a prompt is read."""
+        """Return when a prompt is prefilled.
+
+        :param tokens: length of the prompt.
+        """
         seconds = tokens / TOKENS_PER_SECOND + tokens**2 / 2 * PAIR_SECONDS
         if self.busy:
             await self._turn(priority)
@@ -97,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SimulatedReply:
-    """A reply that has come whole."""
+    """A complete reply."""
 
     headers: dict[str, str]
     body: bytes
@@ -143,42 +146,43 @@
             yield SimulatedReply(reply, event(1))
 
 
-class SoundEngines:
-    """Says of every engine that it lives."""
+class LiveEngines:
+    """A liveness probe that succeeds for every engine."""
 
-    async def answers(self, engine) -> bool:
+    async def probe(self, engine) -> bool:
         return True
 
 
 class SimulatedBody:
-    """A body that came with its head."""
+    """A body that arrived with the headers."""
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         return b"hello"
 
 
 class SimulatedCaller:
-    """Takes the answer to one try.
+    """Receives the response to one attempt.
 
-    :param status: 0 until something has come.
+    :param status: HTTP status; 0 before the response starts.
+    :param response_started: set when the response starts.
     """
 
     def __init__(self) -> None:
         self.status = 0
-        self.heard = asyncio.Event()
+        self.response_started = asyncio.Event()
         self.retry_after = 0.0
 
     @property
     def started(self) -> bool:
         return self.status != 0
 
-    async def answer(self, status, headers, body) -> None:
+    async def respond(self, status, headers, body) -> None:
         self.retry_after = float(dict(headers).get("Retry-After", "0"))
         await self.start(status, headers)
 
     async def start(self, status, headers) -> None:
         self.status = status
-        self.heard.set()
+        self.response_started.set()
 
     async def write(self, data) -> None:
         pass
@@ -194,7 +198,7 @@
 class Prompt:
     """One request of a load.
 
-    :param at: when its caller first sends it; seconds from the beginning.
+    :param at: when its caller first sends it; seconds from the start of the load.
     :param size: prompt tokens.
     """
 
@@ -206,12 +210,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """How many callers come, and for how long.
+    """Rates and sizes of a load's prompts.
 
+    :param seconds: duration of the load.
     :param reports: long prompts a second.
     :param checks: short prompts a second.
-    :param peak: from when to when there are more.
-    :param factor: how many times more.
+    :param peak: start and end of the peak in seconds.
+    :param factor: multiple of the rates during the peak.
+    :param median: median length of long prompts in tokens.
+    :param spread: standard deviation of the logarithm of a prompt's length.
     """
 
     seconds: float = 16.0
@@ -223,7 +230,7 @@
     spread: float = 0.8
 
     def draw(self, rng: random.Random) -> list[Prompt]:
-        """Return the requests of one play."""
+        """Return the requests of one simulation, in no particular order."""
         reports = list(self._prompts("/report/x", self.reports, rng))
         return reports + list(self._prompts("/check/x", self.checks, rng))
 
@@ -243,9 +250,9 @@
 
 
 class LoadedFleet:
-    """Entries and engines in one event loop.
+    """Entries and simulated engines in one event loop.
 
-    :param served: names of the prompts whose callers have an answer.
+    :param served: names of the prompts whose callers got a response.
     """
 
     def __init__(
@@ -254,7 +261,7 @@
         readers: int,
         answering: int,
         rng: random.Random,
-        decisions: Decisions = ALL,
+        decisions: Decisions = ALL_DECISIONS,
     ) -> None:
         self.rng = rng
         stages = ["prefill"] * readers + ["decode"] * answering
@@ -263,12 +270,12 @@
             for number, stage in enumerate(stages, start=1)
         ]
         self.client = SimulatedClient(self.engines)
-        self.notices: dict[tuple[str, int], Notices] = {}
+        self.notices: dict[tuple[str, int], NoticeExchange] = {}
         self.cores = [self._entry(number, decisions) for number in range(entries)]
         self.served: set[str] = set()
 
     async def play(self, prompts: cabc.Iterable[Prompt]) -> None:
-        """Send all prompts at their times and wait for their ends."""
+        """Send all prompts at their times and wait until all have ended."""
         async with asyncio.TaskGroup() as group:
             for prompt in prompts:
                 group.create_task(self._call(prompt))
@@ -278,24 +285,24 @@
         name = f"entry-{number}"
         fleet = Fleet(PlatformDirectory(), loop.time)
         rng = random.Random(self.rng.random())
-        placing = Placing(fleet, name, "zone-a", rng, decisions)
+        placer = RequestPlacer(fleet, name, "zone-a", rng, decisions)
         telemetry = NullTelemetry()
-        second_sends = SecondSends(fleet, RetryLimits(), telemetry)
+        retry_budget = SharedRetryBudget(fleet, RetryLimits(), telemetry)
         context = Context(
             fleet,
             self.client,
             PlatformDialect(),
-            placing,
+            placer,
             rng,
-            second_sends,
-            engine_check=SoundEngines(),
+            retry_budget,
+            liveness_probe=LiveEngines(),
         )
         address = (name, 1)
-        context.notices = Notices(
-            name, placing, lambda: self.notices.keys() - {address}, self._deliver
+        context.notices = NoticeExchange(
+            name, placer, lambda: self.notices.keys() - {address}, self._deliver
         )
         self.notices[address] = context.notices
-        fleet.settled = True
+        fleet.upstreams_loaded = True
         values = {
             f"servers/{e.entry.name}": registration(e.entry) for e in self.engines
         }
@@ -310,14 +317,14 @@
     async def _call(self, prompt: Prompt) -> None:
         await asyncio.sleep(prompt.at)
         for number in range(2):
-            caller = await self._try(prompt, f"{prompt.name}-{number}")
+            caller = await self._attempt(prompt, f"{prompt.name}-{number}")
             if caller.status == 200:
                 self.served.add(prompt.name)
             if caller.status != 503:
                 return
             await asyncio.sleep(caller.retry_after)
 
-    async def _try(self, prompt: Prompt, request_id: str) -> SimulatedCaller:
+    async def _attempt(self, prompt: Prompt, request_id: str) -> SimulatedCaller:
         loop = asyncio.get_running_loop()
         core = self.rng.choice(self.cores)
         caller = SimulatedCaller()
@@ -340,7 +347,7 @@
         handling = asyncio.create_task(core.handle(request, caller))
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(found.patience):
-                await caller.heard.wait()
+                await caller.response_started.wait()
         if not caller.started:
             handling.cancel()
         with contextlib.suppress(asyncio.CancelledError):
@@ -351,9 +358,9 @@
 def shares_of(
     prompts: cabc.Iterable[Prompt], served: cabc.Container[str]
 ) -> ServedShares:
-    """Return what was served of some prompts of one class.
+    """Return the served shares of some prompts of one class.
 
-    :param served: names of those that were.
+    :param served: names of the prompts that were served.
     """
     shares = served_shares((prompt.size, prompt.name in served) for prompt in prompts)
     assert shares is not None
--- a/tests/series_fleet.py
+++ b/tests/series_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a series of stops: entries, replicas, and the store before them."""
+"""The processes of a series of stops: entries, replicas and the platform's store."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from direct_support import config
 from direct_support import route
 from platform_standin import Store
-from series_checks import KILL_SECONDS
-from series_checks import Life
+from series_checks import KILL_TIMEOUT_SECONDS
+from series_checks import EntryIncarnation
 from series_plan import Plan
 
 TESTS = pathlib.Path(__file__).resolve().parent
 
 PORT_BLOCKS = range(5_000, 11_800, 200)
-"""Below those of other tests, and of the system's own choice."""
+"""First ports of blocks below the ports of other tests and the ephemeral ports."""
 
 START_SECONDS = 20.0
 
@@ -40,9 +40,9 @@
 
 
 class SeriesStore(Store):
-    """The platform's store, which may be slow.
+    """The platform's store, which can be slow.
 
-    :param delay: seconds that each call takes before anything is done.
+    :param delay: seconds before a call takes effect.
     """
 
     delay = 0.0
@@ -54,10 +54,13 @@
 
 
 class SeriesFleet:
-    """Starts and ends the processes of a series.
+    """Starts and stops the processes of a series.
 
-    :param folder: where they log and replicas note what they receive.
+    :param folder: folder of the processes' logs, and of the ids of the requests that
+        replicas receive.
+    :param incarnations: all processes of entries so far.
     :param current: the latest process of each entry.
+    :param block: socket that reserves the block of ports.
     """
 
     replica_script = "series_replica.py"
@@ -72,12 +75,12 @@
         self.entry_ports = [base + 1 + 3 * n for n in range(plan.entries)]
         self.replica_ports = [base + 100 + n for n in range(plan.replicas)]
         self.replicas: dict[int, asyncio.subprocess.Process] = {}
-        self.lives: list[Life] = []
-        self.current: dict[int, Life] = {}
+        self.incarnations: list[EntryIncarnation] = []
+        self.current: dict[int, EntryIncarnation] = {}
         self.watches: list[asyncio.Task[None]] = []
 
     async def __aenter__(self) -> SeriesFleet:
-        """Start everything and wait until it serves."""
+        """Start all processes and wait until they serve."""
         await self.store.__aenter__()
         self.store.put("op/config", config(routes=self.routes))
         async with asyncio.TaskGroup() as group:
@@ -89,17 +92,17 @@
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        for life in self.lives:
-            if life.process.returncode is None:
-                life.killed_at = life.killed_at or time.monotonic()
-                life.process.kill()
+        for incarnation in self.incarnations:
+            if incarnation.process.returncode is None:
+                incarnation.killed_at = incarnation.killed_at or time.monotonic()
+                incarnation.process.kill()
         for replica in self.replicas.values():
             if replica.returncode is None:
                 replica.kill()
             await replica.wait()
         await asyncio.gather(*self.watches)
-        for life in self.lives:
-            os.close(life.handle)
+        for incarnation in self.incarnations:
+            os.close(incarnation.handle)
         await self.store.__aexit__()
         self.block.close()
 
@@ -108,7 +111,7 @@
         return self._record.read_text().split() if self._record.exists() else []
 
     async def is_ready(self, entry: int) -> bool:
-        """Return what an entry says of its readiness."""
+        """Return whether an entry reports itself ready."""
         try:
             streams = await asyncio.open_connection(
                 "127.0.0.1", self.entry_ports[entry] + 1
@@ -140,20 +143,23 @@
                 await asyncio.sleep(0.02)
         entry = {"address": f"127.0.0.1:{port}", "zone": "zone-a", "version": "v1"}
         state = {"state": "ready", "cold-remaining-ms": 0, "sequence": 4, "slots": 64}
-        self.store.put(f"servers/i-{number}", entry | self.kind(number) | state)
+        self.store.put(f"servers/i-{number}", entry | self.registration(number) | state)
 
     def arguments(self, number: int) -> tuple[str, ...]:
-        """Return what a replica's process is told beside the usual."""
+        """Return additional arguments of a replica's process."""
         return ()
 
-    def kind(self, number: int) -> dict[str, object]:
-        """Return what a replica registers as."""
+    def registration(self, number: int) -> dict[str, object]:
+        """Return the part of a replica's registration that states its service."""
         if number < self.plan.plain:
             return {"service": "plain"}
         return {"service": "llm", "stage": "decode"}
 
-    async def leave(self, number: int) -> None:
-        """End a replica, known before or only after, and bring it back."""
+    async def restart_replica(self, number: int) -> None:
+        """Shut a replica down and start it again a second later.
+
+        It is deregistered either before or only after its shutdown.
+        """
         process, key = self.replicas[number], f"servers/i-{number}"
         known_before = self.rng.random() < 0.5
         if known_before:
@@ -167,7 +173,7 @@
         await self.start_replica(number)
 
     async def start_entry(self, number: int) -> None:
-        """Start an entry and wait until it is ready, or has ended."""
+        """Start an entry and wait until it is ready or has exited."""
         ports = range(self.entry_ports[number], self.entry_ports[number] + 3)
         listen, ready, peer = (f"127.0.0.1:{port}" for port in ports)
         process = await self._spawn(
@@ -180,22 +186,22 @@
             BERGAMOTMAST_LISTEN_ADDRESS=listen,
             BERGAMOTMAST_READY_ADDRESS=ready,
             BERGAMOTMAST_PEER_ADDRESS=peer,
-            BERGAMOTMAST_SHUTDOWN_SECONDS=str(KILL_SECONDS),
+            BERGAMOTMAST_SHUTDOWN_SECONDS=str(KILL_TIMEOUT_SECONDS),
         )
-        life = Life(number, process, os.pidfd_open(process.pid))
-        self.lives.append(life)
-        self.current[number] = life
-        self.watches.append(asyncio.create_task(_watch_end(life)))
+        incarnation = EntryIncarnation(number, process, os.pidfd_open(process.pid))
+        self.incarnations.append(incarnation)
+        self.current[number] = incarnation
+        self.watches.append(asyncio.create_task(_watch_end(incarnation)))
         while process.returncode is None and not await self.is_ready(number):
             await asyncio.sleep(0.02)
-        life.ready_at = time.monotonic() if process.returncode is None else 0.0
+        incarnation.ready_at = time.monotonic() if process.returncode is None else 0.0
 
     async def restart_entry(self, number: int) -> None:
-        """Kill an entry, start it anew and wait until it is ready."""
-        life = self.current.pop(number)
-        life.killed_at = time.monotonic()
-        life.process.kill()
-        await life.process.wait()
+        """Kill an entry, start it again and wait until it is ready."""
+        incarnation = self.current.pop(number)
+        incarnation.killed_at = time.monotonic()
+        incarnation.process.kill()
+        await incarnation.process.wait()
         await self.start_entry(number)
 
     async def _spawn(
@@ -216,32 +222,43 @@
         return self.folder / "received"
 
 
-async def until_loading(life: Life) -> None:
-    """Wait until a process loads its libraries; no program hears a signal before."""
-    maps = pathlib.Path(f"/proc/{life.process.pid}/maps")
+async def wait_until_loading(incarnation: EntryIncarnation) -> None:
+    """Wait until a process loads its libraries.
+
+    No program can handle a signal before that.
+    """
+    maps = pathlib.Path(f"/proc/{incarnation.process.pid}/maps")
     with contextlib.suppress(FileNotFoundError, ProcessLookupError):
-        while life.process.returncode is None and "msgspec" not in maps.read_text():
+        while (
+            incarnation.process.returncode is None and "msgspec" not in maps.read_text()
+        ):
             await asyncio.sleep(0.002)
 
 
-async def send_signal(life: Life, number: signal.Signals, after: float) -> None:
-    """Send a signal after a while to a process that still runs then."""
+async def send_signal(
+    incarnation: EntryIncarnation, number: signal.Signals, after: float
+) -> None:
+    """Send a signal to a process after a delay, unless it has exited by then.
+
+    :param after: delay in seconds.
+    """
     await asyncio.sleep(after)
     with contextlib.suppress(ProcessLookupError):
-        # The library's own way would take the exit code from whoever waits for it.
-        signal.pidfd_send_signal(life.handle, number)
-        life.signals.add(number)
+        # ``Process.send_signal`` polls the process, which would reap it and take its
+        # exit code from the task that waits for it.
+        signal.pidfd_send_signal(incarnation.handle, number)
+        incarnation.signals.add(number)
 
 
-async def _watch_end(life: Life) -> None:
-    """Note when a process ends, without the way through a waiting thread."""
+async def _watch_end(incarnation: EntryIncarnation) -> None:
+    """Record when a process exits, by its pidfd and so without a thread's delay."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
-    loop.add_reader(life.handle, ended.set)
+    loop.add_reader(incarnation.handle, ended.set)
     await ended.wait()
-    life.ended_at = time.monotonic()
-    loop.remove_reader(life.handle)
-    await life.process.wait()
+    incarnation.ended_at = time.monotonic()
+    loop.remove_reader(incarnation.handle)
+    await incarnation.process.wait()
 
 
 async def _listens(port: int) -> bool:
@@ -254,7 +271,11 @@
 
 
 def _reserve_ports() -> tuple[socket.socket, int]:
-    """Return a block of ports that no other series uses, held by its first."""
+    """Reserve a block of ports that no other series uses.
+
+    :return: a socket bound to the block's first port, which holds the reservation,
+        and this port.
+    """
     for base in PORT_BLOCKS:
         held = socket.socket()
         try:
--- a/tests/test_config_over_http.py
+++ b/tests/test_config_over_http.py
@@ -14,13 +14,13 @@
 from bergamotmast.config.watch import ConfigWatcher
 from bergamotmast.errors import KeyValueUnavailableError
 from bergamotmast.history import NullHistory
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 from bergamotmast.standins.key_value import KeyValueStandIn
-from bergamotmast.standins.key_value_front import KeyValueFront
+from bergamotmast.standins.key_value_frontend import KeyValueFrontend
 
 EXAMPLE = pathlib.Path(__file__).parent.parent / "examples/trindade/config.yaml"
 
-WITHIN_SECONDS = 18.0
+MAX_DELIVERY_SECONDS = 18.0
 
 
 async def run(*words: str) -> None:
@@ -45,26 +45,26 @@
 
 async def test_edits_over_real_sockets_are_in_force_within_seconds(monkeypatch, capsys):
     # An operator applies a file and drains an engine with the command; the service
-    # goes away, comes back at the same address, and is edited again. Each edit must
-    # be in force within seconds.
+    # stops, restarts at the same address, and is edited again. Each edit must be in
+    # force within seconds.
     standin = KeyValueStandIn()
-    server = serving(KeyValueFront(standin).application())
+    server = serving(KeyValueFrontend(standin).application())
     url = await server.__aenter__()
     monkeypatch.setenv("BERGAMOTMAST_KEY_VALUE_URL", url)
     async with watching(url, "entry-1") as holder:
-        async with asyncio.timeout(WITHIN_SECONDS):
+        async with asyncio.timeout(MAX_DELIVERY_SECONDS):
             await run("apply", str(EXAMPLE))
-            await holder.wait_newer(0)
+            await holder.wait_for_newer(0)
             await run("label", "engine-3", "state=draining")
-            await holder.wait_newer(1)
+            await holder.wait_for_newer(1)
         await server.__aexit__(None, None, None)
         with pytest.raises(KeyValueUnavailableError):
             await run("label", "engine-3", "state=active")
         port = int(url.rpartition(":")[2])
-        async with serving(KeyValueFront(standin).application(), port=port):
-            async with asyncio.timeout(WITHIN_SECONDS):
+        async with serving(KeyValueFrontend(standin).application(), port=port):
+            async with asyncio.timeout(MAX_DELIVERY_SECONDS):
                 await run("label", "engine-3", "state=active")
-                await holder.wait_newer(2)
+                await holder.wait_for_newer(2)
             capsys.readouterr()
             await run("show")
     assert capsys.readouterr().out.startswith("generation: 3\n")
--- a/tests/test_direct_streams.py
+++ b/tests/test_direct_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a direct entry: prefill, handles, resume, callers that leave."""
+"""Tests of streams: prefill, KV handles, resumption, disconnecting callers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import pytest
 
 from bergamotmast.direct import fleet as fleet_module
-from bergamotmast.direct.answering import STALL_SECONDS
-from bergamotmast.direct.fleet import USUAL_CHANGE_SECONDS
+from bergamotmast.direct.decode_attempt import STALL_TIMEOUT_SECONDS
+from bergamotmast.direct.fleet import TYPICAL_ROLE_CHANGE_SECONDS
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
 from bergamotmast.protocol.plan import EnginePlan
@@ -43,7 +43,7 @@
 
 
 async def ask_first(entry: Entry, path: str, one: Replica, two: Replica) -> Answer:
-    """Ask so that one engine gets the request, and another can take it over."""
+    """Send a request that one engine receives and another one can take over."""
     entry.register(two, state="draining")
     task = asyncio.create_task(entry.ask(path, **SHORT))
     await until(lambda: bool(one.received))
@@ -51,10 +51,10 @@
     return await task
 
 
-async def test_long_prompt_is_read_apart():
-    """A reading engine reads, an answering one streams from its handle."""
-    reader, answerer = EngineScript(), EngineScript()
-    one, two = engine("i-1", reader, "prefill"), engine("i-2", answerer)
+async def test_long_prompt_is_prefilled_at_a_prefill_engine():
+    """A prefill engine runs the prompt, and a decode engine imports its KV cache."""
+    prefill_script, decode_script = EngineScript(), EngineScript()
+    one, two = engine("i-1", prefill_script, "prefill"), engine("i-2", decode_script)
     async with serving(one, two) as entry:
         got = await entry.ask("/talk/x", **LONG)
     assert got.complete
@@ -62,11 +62,11 @@
     assert one.received[0].headers["x-stage"] == "prefill"
     assert two.received[0].headers["x-kv-source"] == f"{one.address}/h0"
     assert "x-stage" not in two.received[0].headers
-    assert reader.freed == []
+    assert prefill_script.freed == []
 
 
-async def test_events_come_as_they_are_made():
-    """An event must not wait for the next one."""
+async def test_events_are_forwarded_without_delay():
+    """Guards against holding an event back until the next one arrives."""
     script = EngineScript(last=3, pause=0.15)
     async with serving(engine("i-1", script)) as entry:
         reader, writer = await entry.connect()
@@ -77,14 +77,15 @@
         writer.close()
 
 
-async def test_stream_goes_on_elsewhere_with_whole_events():
-    """The engine dies within event 3; another goes on at 3, under the first's headers.
+async def test_stream_resumes_elsewhere_with_complete_events():
+    """The engine dies within event 3, and another one resumes the stream there.
 
-    The caller sees each event once, in order, and one complete answer.
+    The caller receives each event once, in order, in one complete response with the
+    headers of the first engine.
     """
     breaking = EngineScript(last=6, break_after=2, pause=0.05)
-    sound = EngineScript(last=6)
-    one, two = engine("i-1", breaking), engine("i-2", sound)
+    healthy = EngineScript(last=6)
+    one, two = engine("i-1", breaking), engine("i-2", healthy)
     async with serving(one, two) as entry:
         got = await ask_first(entry, "/long/x", one, two)
     assert got.complete
@@ -94,8 +95,11 @@
     assert resumed["x-expect-version"] == "1"
 
 
-async def test_stream_that_may_not_resume_looks_incomplete():
-    """The engine dies within event 3 of a stream that must not run twice."""
+async def test_stream_that_may_not_resume_is_visibly_truncated():
+    """Guards against retrying a stream that must not run twice.
+
+    The engine dies within event 3.
+    """
     one = engine("i-1", EngineScript(break_after=2))
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
@@ -115,8 +119,8 @@
     assert sum(len(replica.received) for replica in replicas) == 2
 
 
-async def test_callers_last_event_is_kept():
-    """A caller resumes by itself: the engine hears its number, not ours."""
+async def test_last_event_id_of_a_caller_is_forwarded():
+    """A caller that resumes a stream itself: its event number is forwarded."""
     one = engine("i-1", EngineScript(last=5))
     async with serving(one) as entry:
         got = await entry.ask("/long/x", Last_Event_Id="3", **SHORT)
@@ -124,7 +128,7 @@
     assert got.body == events(4, 5)
 
 
-async def test_caller_that_leaves_a_stream_ends_it_at_the_engine():
+async def test_disconnect_during_a_stream_cancels_it_at_the_engine():
     one = engine("i-1", EngineScript(last=1000, pause=0.02))
     async with serving(one) as entry:
         reader, writer = await entry.connect()
@@ -134,7 +138,7 @@
         await until(lambda: one.closed == ["id-1"], 0.5)
 
 
-async def test_caller_that_leaves_during_the_prefill_ends_that():
+async def test_disconnect_during_the_prefill_cancels_it():
     one = engine("i-1", EngineScript(prefill_seconds=30), "prefill")
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
@@ -146,8 +150,8 @@
     assert two.received == []
 
 
-async def test_handle_that_nobody_takes_is_freed():
-    """The prompt is read, then the caller leaves before an engine took the KV cache."""
+async def test_unused_kv_handle_is_released():
+    """The caller disconnects after the prefill, before the KV cache is imported."""
     reader = EngineScript()
     one, two = engine("i-1", reader, "prefill"), engine("i-2", hang())
     async with serving(one, two) as entry:
@@ -158,10 +162,11 @@
         await until(lambda: reader.freed == ["h0"])
 
 
-async def test_refused_handle_leads_to_a_direct_run():
-    """The engine can't have the KV cache (503, not run): it reads the prompt itself.
+async def test_refused_kv_handle_leads_to_a_prefill_at_the_decode_engine():
+    """The decode engine can't import the KV cache (503, not run) and prefills itself.
 
-    The same engine again is no second engine, so that a route with one attempt may.
+    A second attempt at the same engine does not count against the maximum number of
+    upstreams.
     """
 
     async def script(replica: Replica, received: Received, writer) -> None:
@@ -178,16 +183,16 @@
         assert "retry-after" in got.headers
 
 
-async def test_silent_reading_engine_is_left_for_another():
-    """A reading engine loses power: nothing comes, no reset either.
+async def test_unresponsive_prefill_engine_is_replaced():
+    """Guards against waiting for a prefill engine after a power loss, without a reset.
 
-    The caller gets its first event well before it would leave, and the dead engine
-    gets no further prompt for a while.
+    The caller gets its first event well before it would disconnect, and the dead engine
+    gets no other prompt during its cool-down.
     """
     dead = engine("i-1", hang(), "prefill")
-    sound = engine("i-2", EngineScript(), "prefill")
-    answerer = engine("i-3", EngineScript())
-    async with serving(dead, sound, answerer) as entry:
+    healthy = engine("i-2", EngineScript(), "prefill")
+    decoder = engine("i-3", EngineScript())
+    async with serving(dead, healthy, decoder) as entry:
         began = time.monotonic()
         results = [
             await entry.ask("/talk/x", request_id=f"id-{n}", **LONG) for n in range(4)
@@ -198,8 +203,8 @@
     assert len(dead.received) == 1
 
 
-async def test_stalled_stream_goes_on_elsewhere():
-    """An engine stops in the middle without closing: the stream goes on at another."""
+async def test_stalled_stream_resumes_elsewhere():
+    """An engine stops in the middle of a stream without closing the connection."""
 
     async def stall(replica: Replica, received: Received, writer) -> None:
         writer.write(
@@ -222,13 +227,13 @@
     assert got.body == events(1, 4)
 
 
-async def test_engine_that_refuses_is_left_alone_for_a_moment():
-    """An engine restarted into another role answers 421 until its entry is right.
+async def test_engine_that_refuses_a_request_cools_down():
+    """An engine that restarted in another role replies 421 until it has registered.
 
-    The first request there is refused truthfully; the next ones go elsewhere.
+    The first request is refused as not run; the next ones go to another engine.
     """
-    wrong, sound = engine("i-1", not_run(421)), engine("i-2", EngineScript())
-    async with serving(wrong, sound) as entry:
+    wrong, healthy = engine("i-1", not_run(421)), engine("i-2", EngineScript())
+    async with serving(wrong, healthy) as entry:
         statuses = [
             (await entry.ask("/talk/x", request_id=f"id-{n}", **SHORT)).status
             for n in range(5)
@@ -239,7 +244,7 @@
 
 @pytest.mark.parametrize("resumable", [True, False])
 async def test_failure_before_the_first_event(resumable):
-    """An engine answers 500: passed on as it is, with its signature."""
+    """An engine's 500 is forwarded unchanged, with its signature."""
     one = engine("i-1", answer(500, b"broken"))
     async with serving(one) as entry:
         got = await entry.ask("/long/x" if resumable else "/talk/x", **SHORT)
@@ -247,11 +252,11 @@
     assert "x-response-signature" in got.headers
 
 
-async def test_shared_part_is_fetched_from_the_engine_that_keeps_it():
-    """A prompt's beginning is kept by an engine that reads something else for long.
+async def test_shared_prefix_is_transferred_from_the_engine_that_has_it_cached():
+    """A prefix is transferred from the busy engine that has it cached.
 
-    Another engine fetches it from there. While the beginning is only on its way, it
-    can't be had, and the engine that asks for it would read it all by itself.
+    Guards against asking an engine whose prefill of the prefix is still running: the
+    transfer would fail, and the whole prompt would be prefilled.
     """
     one = engine("i-1", EngineScript(prefill_seconds=0.3), "prefill")
     two = engine("i-2", EngineScript(prefill_seconds=0.3), "prefill")
@@ -273,11 +278,12 @@
     assert fetches == [one.address]
 
 
-async def test_request_given_up_in_the_queue_does_not_pass_for_cached():
-    """A caller leaves while its prompt waits unread, and comes back with it.
+async def test_cancelled_prefill_does_not_count_as_cached():
+    """Guards against counting a cancelled prefill as cached.
 
-    Its own part was never read: taken for cached, 4,000 tokens would be read at an
-    answering engine, which begins no answer meanwhile.
+    A caller disconnects while its prompt is queued, and sends it again. If its 4,000
+    unshared tokens counted as cached, they would be prefilled at a decode engine, which
+    starts no other stream meanwhile.
     """
     one = engine("i-1", EngineScript(prefill_seconds=30), "prefill")
     two = engine("i-2", EngineScript())
@@ -294,10 +300,10 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-async def test_two_engines_that_refused_once_are_not_all_left_alone():
-    """Both answering engines refuse one request each, in one moment, then have room.
+async def test_cool_down_never_excludes_all_decode_engines():
+    """Guards against refusing all requests while all decode engines are cooling down.
 
-    Left alone for a while, both, they would have every caller refused meanwhile.
+    Both engines refuse one request at the same time and have room again afterwards.
     """
 
     def script():
@@ -319,14 +325,14 @@
 
 
 async def test_stalled_stream_without_another_engine_waits():
-    """The only engine puts a stream back for want of memory and goes on later.
+    """Guards against cancelling a stalled stream that no other engine can resume.
 
-    Nobody else could go on with it: the caller gets the whole answer, late.
+    The only engine preempts the stream for lack of memory and resumes it later.
     """
 
     async def pausing(replica: Replica, received: Received, writer) -> None:
         if not replica.received[:-1]:
-            script = EngineScript(last=2, pause=STALL_SECONDS + 0.4)
+            script = EngineScript(last=2, pause=STALL_TIMEOUT_SECONDS + 0.4)
             await script(replica, received, writer)
 
     one = engine("i-1", pausing)
@@ -339,8 +345,11 @@
 
 
 @pytest.mark.parametrize("streamed", [0, 1])
-async def test_stalled_stream_goes_on_where_its_prompt_was_once_not_read(streamed):
-    """The stalled stream was ended for that engine, and then not sent to it."""
+async def test_stalled_stream_resumes_at_an_engine_whose_prefill_failed(streamed):
+    """Guards against excluding an engine from decode after a failed prefill.
+
+    The stalled stream was cancelled in favour of that engine and then not sent to it.
+    """
     full = engine("i-1", answer(503, b""), "prefill")
     reader = engine("i-2", EngineScript(prefill_seconds=0.1), "prefill")
 
@@ -349,18 +358,18 @@
         writer.write(head(200, received.request_id, "X-Weight-Versions: 1", *headers))
         for number in range(1, streamed + 1):
             writer.write(chunk(event(number)))
-        await asyncio.sleep(STALL_SECONDS + 2.0)
+        await asyncio.sleep(STALL_TIMEOUT_SECONDS + 2.0)
 
     stalled = engine("i-3", stall)
     slow = route("/slow/", "streaming", "llm", resumable=True, **{"timeout-ms": 9000})
     async with serving(
         full, reader, stalled, document=config(routes=[slow | {"max-attempts": 3}])
     ) as entry:
-        # Unknown to the entry, the other reader is the worse choice.
+        # Pending work makes the other prefill engine the worse choice.
         others = entry.fleet.members("llm", asyncio.get_running_loop().time())
         busy = next(member for member in others if member.name == "i-2")
-        book = entry.core.context.placing.engine_book(busy)
-        book.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
+        tracker = entry.core.context.placer.engine_load(busy)
+        tracker.begin(("peer", 1), 0.5, 0, asyncio.get_running_loop().time())
         asking = asyncio.create_task(
             entry.ask("/slow/x", X_Deadline_Ms="60000", **LONG)
         )
@@ -373,20 +382,20 @@
     assert got.body == events(1, 2)
 
 
-async def test_stream_that_nobody_would_wait_for_is_refused_at_once(caplog):
-    """Every engine has prompts for five seconds; callers leave after two.
+async def test_stream_that_starts_after_the_callers_timeout_is_refused_at_once(caplog):
+    """Guards against queueing a stream whose caller disconnects before it starts.
 
-    The caller hears at once that nothing ran and when to come back, and the log tells
-    what time was predicted.
+    Every engine has five seconds of work, and callers disconnect after two. The request
+    is refused at once with a Retry-After, and the log line has the predicted time.
     """
     caplog.set_level("INFO")
     one = engine("i-1", EngineScript(), "prefill")
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
-        placing = entry.core.context.placing
+        placer = entry.core.context.placer
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_book(upstream).begin(("peer", 1), 5.0, 0, now)
+            placer.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
         began = time.monotonic()
         got = await entry.ask("/talk/x", **LONG)
         assert time.monotonic() - began < 0.2
@@ -400,38 +409,40 @@
     assert ended.size == "rest"
 
 
-async def test_refused_callers_do_not_all_return_in_one_moment():
-    """A burst is refused for one cause, with the same prediction for all.
+async def test_retries_of_refused_callers_are_spread():
+    """Guards against refused callers that all retry at the same time.
 
-    Told the same time to come back they would be a burst again, and refused again.
+    A burst is refused with one prediction. With the same Retry-After for all, the
+    callers would return as a burst and be refused again.
     """
     one = engine("i-1", EngineScript(), "prefill")
     two = engine("i-2", EngineScript())
     async with serving(one, two) as entry:
-        placing = entry.core.context.placing
+        placer = entry.core.context.placer
         now = asyncio.get_running_loop().time()
         for upstream in entry.fleet.members("llm", now):
-            placing.engine_book(upstream).begin(("peer", 1), 5.0, 0, now)
-        told = []
+            placer.engine_load(upstream).begin(("peer", 1), 5.0, 0, now)
+        retry_afters = []
         for number in range(8):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **LONG)
-            told.append(float(got.headers["retry-after"]))
-    assert max(told) - min(told) > 0.1
+            retry_afters.append(float(got.headers["retry-after"]))
+    assert max(retry_afters) - min(retry_afters) > 0.1
 
 
 def plan(entry: Entry, name: str, role: str) -> None:
-    """Let an entry learn that an engine has been ordered to change its role."""
+    """Apply a plan that changes an engine's role to an entry's fleet."""
     part = EnginePlan(1, 1, Assignment(Role(role)))
     entry.put(engine_key(name), encode_record(part))
 
 
-async def test_stream_waits_for_the_engine_that_is_about_to_answer(monkeypatch):
-    """All answering engines have left; a reading one is on its way to answering.
+async def test_stream_waits_for_a_role_change_to_decode(monkeypatch):
+    """Guards against refusing a stream that can wait for a role change.
 
-    The caller stays long enough for it: it gets its answer as soon as the engine is
-    there, where a refusal would cost it the way back and forth.
+    All decode engines have left, and a prefill engine is changing its role. The caller
+    stays long enough: its stream starts as soon as the engine is ready, without the
+    round trip that a refusal would cost.
     """
-    monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.6)
+    monkeypatch.setattr(fleet_module, "TYPICAL_ROLE_CHANGE_SECONDS", 0.6)
     one, two = engine("i-1", EngineScript(), "prefill"), engine("i-2", EngineScript())
     async with serving(one, two) as entry:
         entry.register(two, state="draining")
@@ -446,32 +457,32 @@
     assert got.body == events(1, 4)
 
 
-async def test_stream_is_told_when_an_engine_will_answer():
-    """The engine on its way is too late for this caller: it may come back then.
+async def test_retry_after_covers_a_running_role_change():
+    """A caller that can't wait for a role change is told when to retry.
 
-    Callers that were all told the same moment would return in a flood.
+    Guards against a burst of retries: each caller gets another Retry-After.
     """
     one = engine("i-1", EngineScript(), "prefill")
-    told = set()
+    retry_afters = set()
     async with serving(one) as entry:
         plan(entry, "i-1", "decode")
         for number in range(5):
             got = await entry.ask("/talk/x", request_id=f"id-{number}", **SHORT)
             assert got.status == 503
-            told.add(float(got.headers["retry-after"]))
+            retry_afters.add(float(got.headers["retry-after"]))
     assert one.received == []
-    assert min(told) > USUAL_CHANGE_SECONDS - 0.5
-    assert max(told) < USUAL_CHANGE_SECONDS + 0.5
-    assert len(told) == 5
+    assert min(retry_afters) > TYPICAL_ROLE_CHANGE_SECONDS - 0.5
+    assert max(retry_afters) < TYPICAL_ROLE_CHANGE_SECONDS + 0.5
+    assert len(retry_afters) == 5
 
 
 async def test_stream_does_not_wait_for_a_change_that_never_ends(monkeypatch):
-    """The engine's change is overdue: its order was lost, as nobody here can know.
+    """Guards against waiting for a role change whose order was lost.
 
-    Each caller is told to come back before it would leave by itself, two seconds after
-    it came; held to the end it would have nothing.
+    The change is overdue, and the entry can't know that it will never complete. Each
+    caller is refused before it would disconnect, two seconds after its request.
     """
-    monkeypatch.setattr(fleet_module, "USUAL_CHANGE_SECONDS", 0.1)
+    monkeypatch.setattr(fleet_module, "TYPICAL_ROLE_CHANGE_SECONDS", 0.1)
     one = engine("i-1", EngineScript(), "prefill")
     async with serving(one) as entry:
         plan(entry, "i-1", "decode")
--- a/tests/test_key_value_port.py
+++ b/tests/test_key_value_port.py
@@ -1,4 +1,4 @@
-"""The key-value port, in process and over HTTP, on a real clock."""
+"""The key-value port in process and over HTTP, in real time."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from bergamotmast.ports import Delete
 from bergamotmast.ports import Put
 from bergamotmast.ports import WatchEvent
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 from bergamotmast.standins.key_value import KeyValueStandIn
-from bergamotmast.standins.key_value_front import KeyValueFront
+from bergamotmast.standins.key_value_frontend import KeyValueFrontend
 
 
 @pytest.fixture
@@ -31,13 +31,13 @@
     if request.param == "in process":
         yield standin.client("a")
         return
-    async with serving(KeyValueFront(standin).application()) as url:
+    async with serving(KeyValueFrontend(standin).application()) as url:
         async with client_session() as session:
             yield HttpKeyValueService(session, url, "a")
 
 
 async def next_event(watch):
-    """Return the next change, past any signs of life."""
+    """Return the next change, skipping keep-alives."""
     while (event := await anext(watch)) is None:
         pass
     return event
@@ -85,7 +85,7 @@
     await watch.aclose()
 
 
-async def test_a_quiet_watch_gives_signs_of_life_until_it_is_silenced(client, standin):
+async def test_idle_watch_sends_keep_alives_until_it_is_silenced(client, standin):
     watch = client.watch("", 0)
     assert await anext(watch) is None
     while standin.waiting_watches == 0:
@@ -111,7 +111,7 @@
         await anext(client.watch("", 0))
 
 
-async def test_a_cut_and_a_compacted_start(client, standin):
+async def test_partitioned_client_and_compacted_start_revision(client, standin):
     await client.txn([], [Put("k", b"1")])
     standin.compact()
     with pytest.raises(KeyValueUnavailableError):
@@ -131,12 +131,12 @@
 
 
 async def test_timeouts_and_a_stopped_server(monkeypatch):
-    # Reads that get no answer are unavailable. A write that was sent may take effect
-    # after its caller gave up; one that was never sent may not.
-    monkeypatch.setattr(key_value_http, "CALL_SECONDS", 0.5)
+    # A read without an answer is reported as unavailable. A write that was sent may
+    # still take effect after a timeout; one that was never sent may not.
+    monkeypatch.setattr(key_value_http, "CALL_TIMEOUT_SECONDS", 0.5)
     standin = KeyValueStandIn(delay=2.0)
     async with client_session() as session:
-        async with serving(KeyValueFront(standin).application()) as url:
+        async with serving(KeyValueFrontend(standin).application()) as url:
             client = HttpKeyValueService(session, url, "a")
             with pytest.raises(KeyValueUnavailableError):
                 await client.get("k")
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -43,12 +43,12 @@
 
 
 @pytest.mark.parametrize("place", [0, 20, PUBLIC_KEY_LENGTH - 1])
-def test_a_key_with_the_comment_mark_in_it_is_a_key(place, tmp_path):
-    """A process would not start: "give public keys of 40 characters, one a line".
+def test_public_key_may_contain_the_comment_character(place, tmp_path):
+    """A process did not start: "give public keys of 40 characters, one a line".
 
-    Z85, in which keys are written, has "#" among its characters. A key that ends with
-    it, followed by a comment, was cut off at its last character; about one fleet of
-    three keys in thirty has such a key.
+    Keys are encoded in Z85, whose alphabet contains "#". A key that ends with it,
+    followed by a comment, lost its last character; about one fleet of three keys in
+    thirty has such a key.
     """
     secret_file, _ = certificate(tmp_path, "side")
     key = "a" * place + "#" + "b" * (PUBLIC_KEY_LENGTH - 1 - place)
@@ -76,16 +76,16 @@
         load_keys(str(path), str(path))
 
 
-async def test_a_system_with_keys_and_tls_serves_and_lets_no_stranger_in(tmp_path):
-    # Entries and sides have CURVE keys and entries speak TLS. A caller is answered;
-    # an entry whose key the sides do not know never gets a session.
+async def test_fleet_with_keys_and_tls_refuses_an_unknown_key(tmp_path):
+    # Entries and sides have CURVE keys, and entries use TLS. A caller is answered; an
+    # entry whose key the sides do not know never gets a session.
     side_secret, side_public = certificate(tmp_path, "side")
     entry_secret, entry_public = certificate(tmp_path, "entry")
     stranger_secret, _ = certificate(tmp_path, "stranger")
     sides = peers_file(tmp_path, "sides", side_public)
     entries = peers_file(tmp_path, "entries", entry_public)
-    authority = trustme.CA()
-    issued = authority.issue_cert("127.0.0.1")
+    election = trustme.CA()
+    issued = election.issue_cert("127.0.0.1")
     issued.private_key_pem.write_to_path(tmp_path / "key.pem")
     for part in issued.cert_chain_pems:
         part.write_to_path(tmp_path / "chain.pem", append=True)
@@ -108,7 +108,7 @@
         f.entry_flags = (*curve, stranger_secret)
         await f.start_entry("entry-2")
         context = ssl.create_default_context()
-        authority.configure_trust(context)
+        election.configure_trust(context)
         url = f.urls["entry-1"].replace("http:", "https:")
         connector = aiohttp.TCPConnector(ssl=context)
         async with aiohttp.ClientSession(connector=connector) as session:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,15 +21,15 @@
 from bergamotmast.protocol.plan import encode_record
 from bergamotmast.protocol.plan import engine_key
 from bergamotmast.side.order_states import OrderState
-from bergamotmast.side.orders import ORDER_SETTLE_SECONDS
-from bergamotmast.side.orders import OrderKeeper
+from bergamotmast.side.orders import MAX_ORDER_DELIVERY_SECONDS
+from bergamotmast.side.orders import OrderReconciler
 from bergamotmast.side.orders import needs_drain
 from bergamotmast.standins.engine import EngineStandIn
 from bergamotmast.standins.engine_spec import EngineSpec
 from bergamotmast.standins.key_value import KeyValueStandIn
 
 CHANGE_SECONDS = 8.0
-SETTLED = ORDER_SETTLE_SECONDS + 1.5
+SETTLE_SECONDS = MAX_ORDER_DELIVERY_SECONDS + 1.5
 MIXED = Assignment(Role.MIXED, ("model@1",))
 PREFILL = Assignment(Role.PREFILL, ("model@1",))
 DECODE = Assignment(Role.DECODE, ("model@1",))
@@ -38,8 +38,8 @@
 pytestmark = pytest.mark.looptime
 
 
-class Work:
-    """Counts what runs and how admission stands."""
+class FakeWorkload:
+    """A workload whose admission and idleness the test controls."""
 
     def __init__(self):
         self.open = True
@@ -56,8 +56,8 @@
         await self.idle.wait()
 
 
-class Stuck:
-    """An engine's socket that holds orders back, as under a paused sender."""
+class DelayingEngine:
+    """An engine whose orders are delayed in a socket until a gate opens."""
 
     def __init__(self, engine):
         self.engine = engine
@@ -79,8 +79,8 @@
             self.refused += 1
 
 
-class Bench:
-    """One engine with its plan and any number of sides."""
+class OrderHarness:
+    """One engine with its plan, and any number of sides that reconcile it."""
 
     def __init__(self, honours_fencing=True):
         self.history = MemoryHistory()
@@ -109,11 +109,11 @@
         await self.planner.write({"e1": assignment})
 
     def side(self, engine=None):
-        """Start a side as its process does: first bind the address, then order."""
+        """Start a side as its process does: bind the address, then reconcile."""
         listener = self.network.listen("side:1")
-        work = Work()
+        work = FakeWorkload()
         seen = []
-        keeper = OrderKeeper(
+        reconciler = OrderReconciler(
             "e1",
             engine or self.engine,
             self.service.client("side"),
@@ -121,54 +121,54 @@
             lambda state, readiness: seen.append(readiness),
             random.Random(7),
         )
-        keeper.work = work
-        keeper.seen = seen
-        keeper.listener = listener
-        keeper.task = asyncio.create_task(keeper.run())
-        self.tasks.append(keeper.task)
-        return keeper
-
-    async def kill(self, keeper):
-        keeper.task.cancel()
-        await asyncio.gather(keeper.task, return_exceptions=True)
-        keeper.listener.close()
+        reconciler.work = work
+        reconciler.seen = seen
+        reconciler.listener = listener
+        reconciler.task = asyncio.create_task(reconciler.run())
+        self.tasks.append(reconciler.task)
+        return reconciler
+
+    async def kill(self, reconciler):
+        reconciler.task.cancel()
+        await asyncio.gather(reconciler.task, return_exceptions=True)
+        reconciler.listener.close()
 
     def taken(self):
         return [r.assignment for r in self.history.records if type(r) is OrderTaken]
 
-    def broken(self):
+    def violations(self):
         return check(self.history.records)
 
 
 @contextlib.asynccontextmanager
-async def bench(**options):
-    made = Bench(**options)
-    yield made
-    for task in made.tasks:
+async def order_harness(**options):
+    harness = OrderHarness(**options)
+    yield harness
+    for task in harness.tasks:
         assert not task.done() or task.cancelled()
         task.cancel()
-    await asyncio.gather(*made.tasks, return_exceptions=True)
-    assert made.broken() == []
+    await asyncio.gather(*harness.tasks, return_exceptions=True)
+    assert harness.violations() == []
 
 
 async def test_without_a_plan_an_engine_serves_as_it_is():
-    async with bench() as b:
+    async with order_harness() as b:
         side = b.side()
         await asyncio.sleep(0.5)
         assert side.readiness is Readiness.UNKNOWN
         assert not side.work.open
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         assert side.readiness is Readiness.READY
         assert side.work.open
         assert b.taken() == []
 
 
 async def test_a_role_change_waits_for_work_in_flight_and_closes_admission():
-    # Operators move the engine to prefill while it works. Callers see nothing: no
-    # new work starts, what runs ends, and only then is the order given.
-    async with bench() as b:
+    # The plan moves a busy engine to prefill. No new work starts, running work ends,
+    # and only then is the order given.
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         await b.plan(PREFILL)
         await asyncio.sleep(60)
@@ -185,9 +185,9 @@
 
 
 async def test_a_plan_that_goes_back_during_a_drain_ends_the_drain():
-    async with bench() as b:
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         await b.plan(PREFILL)
         await asyncio.sleep(2)
@@ -197,10 +197,10 @@
         assert b.taken() == []
 
 
-async def test_one_more_model_loads_beside_the_work():
-    async with bench() as b:
+async def test_another_model_is_loaded_without_draining():
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         side.seen.clear()
         await b.plan(MORE)
@@ -218,17 +218,19 @@
         (None, MIXED, True),
     ],
 )
-async def test_what_takes_nothing_away_needs_no_drain(present, wanted, drains):
+async def test_change_needs_a_drain_only_if_it_takes_something_away(
+    present, wanted, drains
+):
     assert needs_drain(present, wanted) is drains
 
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
 async def test_a_plan_that_comes_during_a_change_waits_for_its_end(honours_fencing):
-    # Two plans follow each other faster than a change. The engine must never hold
-    # both orders; the newer is given once the first is carried out.
-    async with bench(honours_fencing=honours_fencing) as b:
+    # Two plans follow each other faster than a change. The engine must never hold both
+    # orders; the newer one is given once the first is carried out.
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(2)
         await b.plan(DECODE)
@@ -243,12 +245,12 @@
 @pytest.mark.parametrize("incomplete", [True, False])
 @pytest.mark.parametrize("seconds", [1, 4])
 async def test_a_crash_in_mid_change(honours_fencing, change_done, incomplete, seconds):
-    # The engine dies while it changes and is back within a second, with the change
-    # done, not done, or not knowing what it is. Callers must not be sent there until
-    # it has been read back at the plan; no call may even have failed.
-    async with bench(honours_fencing=honours_fencing) as b:
+    # The engine crashes during a change and is back within a second, with the change
+    # done, not done, or with an incomplete state. It must not get work until its state
+    # has been read and matches the plan, although no call may have failed.
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(seconds)
         assert side.readiness is Readiness.CHANGING
@@ -265,11 +267,11 @@
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
 async def test_an_order_whose_reply_is_lost_is_not_given_again(honours_fencing):
-    # The engine takes the order and the reply is lost. The side reads the engine
-    # back, sees it changing and waits.
-    async with bench(honours_fencing=honours_fencing) as b:
+    # The engine accepts the order and the reply is lost. The side reads the engine's
+    # state, sees that it is changing and waits.
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         b.engine.lost_order_replies = 1
         await b.plan(PREFILL)
         await asyncio.sleep(2 * CHANGE_SECONDS)
@@ -277,38 +279,38 @@
         assert side.readiness is Readiness.READY
 
 
-async def test_a_delayed_order_and_a_newer_plan_never_meet_at_the_engine():
-    # The order hangs in a socket, its reply is given up, and the plan changes. An
-    # engine without fencing would take both: the side holds the newer one back until
-    # the older can't arrive any more, or has.
-    async with bench(honours_fencing=False) as b:
-        stuck = Stuck(b.engine)
-        side = b.side(stuck)
-        await asyncio.sleep(SETTLED)
+async def test_newer_order_waits_until_a_delayed_one_is_delivered():
+    # An order is delayed in a socket, its reply times out, and the plan changes. An
+    # engine without fencing would accept both, so the side holds the newer one back
+    # until the older one has arrived or can't arrive any more.
+    async with order_harness(honours_fencing=False) as b:
+        delaying = DelayingEngine(b.engine)
+        side = b.side(delaying)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(5.5)
         assert side.state is OrderState.ORDERING
         await b.plan(DECODE)
-        await asyncio.sleep(ORDER_SETTLE_SECONDS - 1)
-        stuck.gate.set()
+        await asyncio.sleep(MAX_ORDER_DELIVERY_SECONDS - 1)
+        delaying.gate.set()
         await asyncio.sleep(4 * CHANGE_SECONDS)
         assert len(b.taken()) == 2
         assert side.engine_state.assignment == DECODE
 
 
 async def test_a_lost_order_that_never_arrived_is_given_again():
-    async with bench() as b:
+    async with order_harness() as b:
         losses = []
 
-        class Lossy(Stuck):
+        class ReplyLosingEngine(DelayingEngine):
             async def order(self, order):
                 if not losses:
                     losses.append(order)
                     raise ReplyLostError("the connection broke")
                 await self.engine.order(order)
 
-        side = b.side(Lossy(b.engine))
-        await asyncio.sleep(SETTLED)
+        side = b.side(ReplyLosingEngine(b.engine))
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(2 * CHANGE_SECONDS)
         assert len(b.taken()) == 1
@@ -316,35 +318,36 @@
 
 
 async def test_two_sides_at_an_engine_that_honours_fencing():
-    # The old side is paused with an order decided; its address was taken from it, so
-    # a new side runs and obeys a newer plan. The old order is refused by its number.
-    async with bench() as b:
-        stuck = Stuck(b.engine)
-        old = b.side(stuck)
-        await asyncio.sleep(SETTLED)
+    # The old side is suspended while it sends an order. It has lost its address, so a
+    # new side runs and follows a newer plan. The engine refuses the old order by its
+    # fencing token.
+    async with order_harness() as b:
+        delaying = DelayingEngine(b.engine)
+        old = b.side(delaying)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(1)
         old.listener.close()
         new = b.side()
         await b.plan(DECODE)
-        await asyncio.sleep(SETTLED + CHANGE_SECONDS + 2)
+        await asyncio.sleep(SETTLE_SECONDS + CHANGE_SECONDS + 2)
         assert new.engine_state.assignment == DECODE
         await b.kill(old)
-        stuck.gate.set()
+        delaying.gate.set()
         await asyncio.sleep(2 * CHANGE_SECONDS)
-        assert stuck.refused
+        assert delaying.refused
         assert len(b.taken()) == 1
         assert new.readiness is Readiness.READY
 
 
 async def test_two_sides_at_an_engine_that_ignores_fencing():
-    # The paused side still holds its address, so the new one can't start beside it.
-    # Once the old one is killed, its last order arrives within the settling time: the
-    # new side sees the engine change and only then orders.
-    async with bench(honours_fencing=False) as b:
-        stuck = Stuck(b.engine)
-        old = b.side(stuck)
-        await asyncio.sleep(SETTLED)
+    # The suspended side still holds its address, so a new one can't start beside it.
+    # Once the old one is killed, its last order arrives within the delivery time: the
+    # new side sees the engine change, and gives its own order only after that.
+    async with order_harness(honours_fencing=False) as b:
+        delaying = DelayingEngine(b.engine)
+        old = b.side(delaying)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(1)
         await b.plan(DECODE)
@@ -352,21 +355,23 @@
             b.side()
         await b.kill(old)
         new = b.side()
-        await asyncio.sleep(ORDER_SETTLE_SECONDS - 1)
+        await asyncio.sleep(MAX_ORDER_DELIVERY_SECONDS - 1)
         assert b.taken() == []
-        stuck.gate.set()
+        delaying.gate.set()
         await asyncio.sleep(3 * CHANGE_SECONDS)
         assert len(b.taken()) == 2
         assert new.engine_state.assignment == DECODE
 
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
-async def test_a_side_cut_off_from_the_plan_reads_it_before_it_orders(honours_fencing):
-    # The side's watch is silent while a new planner replaces the plan. When work in
-    # flight ends, the side must not give the order of the planner that was replaced.
-    async with bench(honours_fencing=honours_fencing) as b:
+async def test_side_with_a_silent_watch_confirms_the_plan_before_ordering(
+    honours_fencing,
+):
+    # The side's watch reports nothing while a new planner replaces the plan. When the
+    # drain ends, the side must not give the order of the planner that was replaced.
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         side.work.idle.clear()
         await b.plan(PREFILL)
         await asyncio.sleep(2)
@@ -380,11 +385,11 @@
 
 
 async def test_the_key_value_service_down_during_a_change_and_back():
-    # The last plan stays: the change ends, a crash in the outage is driven to the
-    # plan again, and a newer plan is obeyed after the outage.
-    async with bench() as b:
+    # The last plan stays in force: the change ends, an engine that crashes during the
+    # outage is brought to the plan again, and a newer plan is followed after it.
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         await b.plan(PREFILL)
         await asyncio.sleep(2)
         b.service.down = True
@@ -402,14 +407,14 @@
 
 
 @pytest.mark.parametrize("honours_fencing", [True, False])
-async def test_an_older_plan_after_a_restore_moves_nothing(honours_fencing):
-    # The service comes back from a backup and its watch shows an older plan for the
-    # engine. Neither the side, nor a new side where the engine keeps the number,
-    # takes the engine back.
-    async with bench(honours_fencing=honours_fencing) as b:
+async def test_older_plan_after_a_restore_changes_nothing(honours_fencing):
+    # The key-value service is restored from a backup and its watch shows an older plan.
+    # The side does not return the engine to it, nor does a new side if the engine
+    # stores the fencing token.
+    async with order_harness(honours_fencing=honours_fencing) as b:
         side = b.side()
         await b.plan(DECODE)
-        await asyncio.sleep(SETTLED + CHANGE_SECONDS + 1)
+        await asyncio.sleep(SETTLE_SECONDS + CHANGE_SECONDS + 1)
         backup = b.service.snapshot()
         await b.plan(PREFILL)
         await asyncio.sleep(CHANGE_SECONDS + 3)
@@ -424,14 +429,14 @@
         assert side.readiness is Readiness.READY
 
 
-async def test_an_older_plan_moves_nothing_where_side_and_engine_were_replaced():
-    # The service comes back with an older plan, and neither the engine, which keeps no
-    # number, nor its new side remembers the later one. The entries do: they tell what
-    # the earlier side obeyed, and the older plan is not taken for the newest.
-    async with bench(honours_fencing=False) as b:
+async def test_older_plan_changes_nothing_though_side_and_engine_were_replaced():
+    # The key-value service is restored with an older plan, and neither the engine,
+    # which stores no token, nor its new side remembers the later one. The entries
+    # report the token that the earlier side obeyed, so the older plan is not followed.
+    async with order_harness(honours_fencing=False) as b:
         first = b.side()
         await b.plan(DECODE)
-        await asyncio.sleep(SETTLED + CHANGE_SECONDS + 1)
+        await asyncio.sleep(SETTLE_SECONDS + CHANGE_SECONDS + 1)
         backup = b.service.snapshot()
         await b.plan(PREFILL)
         await asyncio.sleep(CHANGE_SECONDS + 3)
@@ -446,10 +451,10 @@
         assert len(b.taken()) == 2
 
 
-async def test_an_unreachable_engine_is_unknown_after_some_readings():
-    async with bench() as b:
+async def test_unreachable_engine_is_unknown_after_failed_reads():
+    async with order_harness() as b:
         side = b.side()
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         b.engine.reachable = False
         await asyncio.sleep(1.5)
         assert side.readiness is Readiness.READY
@@ -461,8 +466,8 @@
         assert side.readiness is Readiness.READY
 
 
-async def test_what_is_no_plan_is_left_alone():
-    async with bench() as b:
+async def test_invalid_and_older_plans_are_ignored():
+    async with order_harness() as b:
         side = b.side()
         side.offer_plan(b"{")
         assert side.plan is None
@@ -472,11 +477,11 @@
         assert side.plan.assignment == MIXED
 
 
-async def test_a_side_does_not_hear_of_other_engines():
-    async with bench() as b:
+async def test_plans_of_other_engines_are_ignored():
+    async with order_harness() as b:
         side = b.side()
         await b.planner.open()
         await b.planner.write({"e10": PREFILL})
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLE_SECONDS)
         assert side.plan is None
         assert engine_key("e10") in b.service.store.items
--- a/tests/test_orders_machine.py
+++ b/tests/test_orders_machine.py
@@ -1,8 +1,8 @@
-"""The steps of spec/orders.pml, made by the real planner against one engine.
+"""Model-based tests: the planner and one engine take the steps of spec/orders.pml.
 
-Two planners follow each other, are paused between any two of their steps, lose replies;
-the engine carries orders out late and restarts under its own name. Engines compare no
-fencing tokens here, as in the specification.
+Two planners lead in turn, are suspended between any two steps and lose replies. The
+engine carries orders out late and restarts under its name. As in the specification,
+engines compare no fencing tokens.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 from bergamotmast.direct.fleet import Fleet
 from bergamotmast.direct.model import Upstream
-from bergamotmast.direct.placing import Placing
+from bergamotmast.direct.placer import RequestPlacer
 from bergamotmast.direct.role_planner import OrderReply
-from bergamotmast.direct.role_planner import RoleOrderCall
+from bergamotmast.direct.role_planner import RoleOrderCommand
 from bergamotmast.direct.role_planner import RolePlanner
-from bergamotmast.errors import AuthorityLostError
+from bergamotmast.errors import LeadershipLostError
 from bergamotmast.errors import PortError
 from bergamotmast.errors import ReplyLostError
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Role
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.policy.direct_roles import MixMeter
@@ -35,10 +35,10 @@
 from bergamotmast.standins.key_value import KeyValueStandIn
 
 RESTART_SECONDS = 2.0
-"""Least time that an engine is away when it restarts."""
+"""Minimum duration of an engine's restart."""
 
 LEASE_SECONDS = 10_000
-"""Leases lapse by the rule that takes over and not by time."""
+"""Long enough that leases end only by the rule that takes over."""
 
 ENGINE = Upstream("i-1", "7", "llm", "10.0.0.1:80", "z", 64, False, Role.DECODE)
 ORDER = RoleOrder("i-1", Role.PREFILL, "by the test")
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Given:
-    """An order on its way; ``number`` counts orders as they are given."""
+    """An order in flight; ``number`` increases in the order of sending."""
 
     number: int
     token: int
@@ -54,7 +54,7 @@
 
 
 class Engine:
-    """Carries orders out, now or later, and checks that they come in order."""
+    """Carries orders out, now or later, and checks their sequence."""
 
     def __init__(self) -> None:
         self.given = 0
@@ -66,7 +66,7 @@
         self.last = Given(0, 0, 0)
         self.late.clear()
 
-    def give(self, call: RoleOrderCall) -> Given:
+    def give(self, call: RoleOrderCommand) -> Given:
         self.given += 1
         return Given(self.given, call.token, call.sequence)
 
@@ -84,7 +84,7 @@
 
 
 class Orders:
-    """How one planner reaches the engine; ``meanwhile`` happens while it is paused."""
+    """One planner's port to the engine; ``meanwhile`` runs while it is suspended."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
@@ -97,7 +97,7 @@
             await self.meanwhile()
         return count
 
-    async def order(self, call: RoleOrderCall) -> OrderReply:
+    async def order(self, call: RoleOrderCommand) -> OrderReply:
         order = self.engine.give(call)
         if self.how == "late":
             self.engine.late.append(order)
@@ -133,10 +133,10 @@
         client = self.service.client(name)
         return RolePlanner(
             name,
-            Authority(client, name, rng, LEASE_SECONDS),
+            PlannerElection(client, name, rng, LEASE_SECONDS),
             PlanStore(client, name, rng, NullHistory(), carry_over=False),
             fleet,
-            Placing(fleet, name, "z", rng),
+            RequestPlacer(fleet, name, "z", rng),
             Orders(self.engine),
             MixMeter(),
             0.0,
@@ -145,22 +145,22 @@
 
     async def take_over(self, number: int) -> None:
         """Let the lease lapse without its holder's knowledge; another planner opens."""
-        held = self.planners[1 - number].authority.lease
+        held = self.planners[1 - number].election.lease
         if held:
             self.service.end_lease(held)
         planner = self.planners[number]
-        with contextlib.suppress(PortError, AuthorityLostError):
-            if await planner.authority._try():
+        with contextlib.suppress(PortError, LeadershipLostError):
+            if await planner.election._try_acquire():
                 await planner.store.open()
 
     async def give(self, number: int) -> None:
         planner = self.planners[number]
-        if not planner.authority.lease:
+        if not planner.election.lease:
             await self.take_over(number)
         try:
-            await planner._give(ENGINE, ORDER, self.loop.time())
-        except AuthorityLostError:
-            await planner.authority.release()
+            await planner._send_order(ENGINE, ORDER, self.loop.time())
+        except LeadershipLostError:
+            await planner.election.release()
         except PortError:
             pass
 
@@ -221,14 +221,14 @@
 
 
 class CarelessEngine(Engine):
-    """A broken twin: carries out an order whatever count it names."""
+    """A faulty engine: ignores the sequence number of an order."""
 
     def applies(self, order: Given) -> bool:
         return True
 
 
 class BrokenMachine(OrdersMachine):
-    """The same before an engine that looks at no count."""
+    """The same state machine with a faulty engine."""
 
     def new_engine(self) -> Engine:
         return CarelessEngine()
--- a/tests/test_review.py
+++ b/tests/test_review.py
@@ -1,4 +1,4 @@
-"""Ways in which a request can still lose its answer as a process ends."""
+"""Requests that could lose their answer while a process shuts down."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 from aiohttp import web
 
 from bergamotmast.load import LoadDriver
-from bergamotmast.serving import Listening
+from bergamotmast.serving import HttpListener
 from process_fleet import process_fleet
-from test_daemon_stopping import ended
+from test_daemon_stopping import exit_status
 from test_daemon_stopping import stream
 from test_serving import REQUEST
-from test_serving import Front
+from test_serving import Frontend
 from test_serving import connect
 
-SOON_SECONDS = 1.0
-"""An idle connection is closed within so long, whatever its caller does."""
+MAX_IDLE_CLOSE_SECONDS = 1.0
+"""Seconds within which an idle connection is closed, whatever its caller does."""
 
 
-async def test_a_process_without_a_free_descriptor_stops_taking():
-    """Every caller at work is cut off as an entry with all descriptors in use ends.
+async def test_process_without_a_free_descriptor_stops_accepting():
+    """Shutdown with no free descriptor must not abort the requests in flight.
 
-    To take the last connections of the queue, the listening socket is duplicated. With
-    no descriptor free that raises, and the error ends the process before its answers.
+    To accept the last connections of the backlog, the listening socket is duplicated.
+    Without a free descriptor that raises, and the error ended the process before its
+    responses were sent.
     """
-    front = Front(pace=0.3)
+    front = Frontend(pace=0.3)
     listening = await front.listen()
     raw = connect(listening)
     raw.send(REQUEST)
@@ -48,7 +49,7 @@
         with contextlib.suppress(OSError):
             while True:
                 stack.enter_context(socket.socket())
-        await listening.stop_taking()
+        await listening.stop_accepting_requests()
         assert await listening.wait_until_closed(asyncio.get_running_loop().time() + 2)
     loop = asyncio.get_running_loop()
     got = await asyncio.wait_for(loop.sock_recv(raw, 1000), 1)
@@ -58,19 +59,19 @@
 
 
 @pytest.mark.parametrize("turns", range(16))
-async def test_a_request_within_the_steps_in_which_taking_stops_is_answered(turns):
-    """A kept connection brings a request while idle ones are looked for.
+async def test_request_that_arrives_while_accepting_stops_is_answered(turns):
+    """A request arrives on a keep-alive connection while idle ones are searched for.
 
-    They are not read meanwhile: the request waits in the system's receive buffer, and
-    closing its connection would reset it.
+    Connections are not read during the search: the request waits in the system's
+    receive buffer, and closing its connection would reset it.
     """
-    front = Front()
+    front = Frontend()
     listening = await front.listen()
     raw = connect(listening)
     raw.send(REQUEST)
     loop = asyncio.get_running_loop()
     assert b"200 OK" in await asyncio.wait_for(loop.sock_recv(raw, 1000), 2)
-    stopping = asyncio.create_task(listening.stop_taking())
+    stopping = asyncio.create_task(listening.stop_accepting_requests())
     for _ in range(turns):
         await asyncio.sleep(0)
     too_late = stopping.done()
@@ -87,18 +88,18 @@
 @pytest.fixture(scope="module")
 def tls():
     """Return the contexts of a server and of its callers."""
-    authority = trustme.CA()
+    election = trustme.CA()
     server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-    authority.issue_cert("127.0.0.1").configure_cert(server)
+    election.issue_cert("127.0.0.1").configure_cert(server)
     caller = ssl.create_default_context()
-    authority.configure_trust(caller)
+    election.configure_trust(caller)
     return server, caller
 
 
 @contextlib.asynccontextmanager
 async def tls_listening(front, context):
     server = web.Server(front.handle, access_log=None)
-    listening = Listening(server, "127.0.0.1:0", front.busy, context)
+    listening = HttpListener(server, "127.0.0.1:0", front.busy, context)
     await listening.start()
     try:
         yield listening
@@ -106,15 +107,15 @@
         await listening.close()
 
 
-async def test_an_idle_caller_over_tls_that_reads_nothing_does_not_hold_the_end_up(tls):
-    """An entry with TLS that has nothing to do ends half a minute late.
+async def test_idle_tls_connection_that_reads_nothing_does_not_delay_shutdown(tls):
+    """An idle entry with TLS must not shut down half a minute late.
 
-    A caller keeps a connection without looking at it, as pools of blocking clients do.
-    Closing it sends "close notify" and waits for the caller's own, for 30 s; so long
-    the entry takes the connection for one whose answer is still going out.
+    A caller keeps a connection without reading from it, as pools of blocking clients
+    do. Closing it sends "close notify" and waits up to 30 s for the caller's own; for
+    that time the entry counted the connection as one with a response in flight.
     """
     server, caller = tls
-    front = Front()
+    front = Frontend()
     async with tls_listening(front, server) as listening:
 
         def ask():
@@ -126,24 +127,24 @@
 
         loop = asyncio.get_running_loop()
         kept = await loop.run_in_executor(None, ask)
-        await listening.stop_taking()
+        await listening.stop_accepting_requests()
         wait_until_closed = await listening.wait_until_closed(
-            loop.time() + SOON_SECONDS
+            loop.time() + MAX_IDLE_CLOSE_SECONDS
         )
         kept.close()
     assert wait_until_closed
 
 
 @pytest.mark.parametrize("turns", range(16))
-async def test_a_request_over_tls_as_taking_stops_is_answered(tls, turns):
-    """A caller over TLS finds its connection closed though its request had arrived.
+async def test_tls_request_that_arrives_while_accepting_stops_is_answered(tls, turns):
+    """A TLS connection must not be closed as idle after its request has arrived.
 
-    While an idle connection is not read, the look for unread bytes asks the system's
-    receive buffer. With TLS the library reads on and keeps what came to itself: the
-    look finds nothing, and the request is thrown away with the connection.
+    The check for unread bytes of an idle connection looks at the system's receive
+    buffer. With TLS the library goes on reading and buffers the data itself: the check
+    finds nothing, and the request is discarded with the connection.
     """
     server, caller = tls
-    front = Front()
+    front = Frontend()
     async with tls_listening(front, server) as listening:
         reader, writer = await asyncio.open_connection(
             *listening.runner.addresses[0], ssl=caller, server_hostname="127.0.0.1"
@@ -151,7 +152,7 @@
         writer.write(REQUEST)
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(2)
-        stopping = asyncio.create_task(listening.stop_taking())
+        stopping = asyncio.create_task(listening.stop_accepting_requests())
         for _ in range(turns):
             await asyncio.sleep(0)
         too_late = stopping.done()
@@ -164,15 +165,15 @@
     assert too_late or got.count(b"200 OK") == 1
 
 
-async def test_callers_over_tls_that_leave_as_taking_stops_end_nothing(tls):
-    """An entry with TLS fails as it stops, and cuts off what it still answers.
+async def test_tls_disconnects_while_accepting_stops_raise_no_error(tls):
+    """Shutdown with TLS must not fail, and abort requests, when idle callers leave.
 
-    Idle callers leave in the very moment in which idle connections are looked for. The
-    system's socket is closed one turn of the event loop before the library tells of it:
-    asked for unread bytes in between, it raises, and the error ends the process.
+    Idle callers disconnect while idle connections are searched for. The system's socket
+    is closed one iteration of the event loop before the library reports it: a check for
+    unread bytes in between raises, and the error ended the process.
     """
     server, caller = tls
-    front = Front()
+    front = Frontend()
     async with tls_listening(front, server) as listening:
         kept = [
             await asyncio.open_connection(
@@ -184,7 +185,7 @@
             writer.write(REQUEST)
         for reader, _ in kept:
             await reader.readuntil(b"\r\n\r\n")
-        stopping = asyncio.create_task(listening.stop_taking())
+        stopping = asyncio.create_task(listening.stop_accepting_requests())
         for number, (_, writer) in enumerate(kept):
             if number % 2:
                 writer.transport.abort()
@@ -197,19 +198,19 @@
 
 
 @pytest.mark.parametrize("part", [4, len(REQUEST) - 2])
-async def test_a_request_whose_head_has_come_in_part_is_answered(part):
-    """A caller finds its connection closed in the midst of sending its request.
+async def test_request_whose_head_has_partly_arrived_is_answered(part):
+    """A connection must not be closed as idle while its request is being sent.
 
-    A long head comes in two packets, a moment apart, and taking stops between them.
-    What was read has no handler and nothing waits unread, so the connection passes for
-    idle. It is not: a caller that sent all within 50 ms has not been slow.
+    A long head arrives in two packets, and accepting stops between them. The part that
+    was read has no handler yet and nothing is left unread, so the connection looks
+    idle. A caller that sends all within 50 ms is not slow and must be answered.
     """
-    front = Front()
+    front = Frontend()
     listening = await front.listen()
     raw = connect(listening)
     raw.send(REQUEST[:part])
     await asyncio.sleep(0.03)
-    stopping = asyncio.create_task(listening.stop_taking())
+    stopping = asyncio.create_task(listening.stop_accepting_requests())
     await asyncio.sleep(0.02)
     got = b""
     with contextlib.suppress(ConnectionError):
@@ -230,12 +231,14 @@
             return response.status, await response.read()
 
 
-async def test_a_claim_is_completed_though_another_request_is_left_at_the_end(tmp_path):
-    """An order was answered, and its replay is told that it may have run.
+async def test_claim_is_completed_though_another_request_is_aborted_at_shutdown(
+    tmp_path,
+):
+    """The replay of an answered order must not end as "may have run".
 
-    Its entry puts the record of the answer off, for two seconds at most, and writes
-    what it has put off as it ends. But only once its last answer is out: here a stream
-    is under way when the time is over, and the process ends without that write.
+    The entry defers the record of the answer for two seconds at most, and writes what
+    is deferred at shutdown, but did so only after the last answer was sent: with a
+    stream still running when the time was over, the process ended without that write.
     """
     flags = ("--shutdown-seconds", "6")
     async with process_fleet(
@@ -248,29 +251,30 @@
             f.signal("entry-1", signal.SIGTERM)
             await asyncio.sleep(4.6)
             first = await order(f.urls["entry-1"], "key-1")
-            assert await ended(f, "entry-1") == 0
+            assert await exit_status(f, "entry-1") == 0
             await long
         again = await order(f.urls["entry-2"], "key-1")
     assert first[0] == 200
     assert again == first
 
 
-async def test_an_entry_with_a_silent_store_ends_in_its_time(tmp_path):
-    """An entry that is to end in six seconds is killed by its platform.
+async def test_shutdown_with_an_unresponsive_store_ends_in_time(tmp_path):
+    """An entry must end within its shutdown time though the store does not reply.
 
-    An order was answered a moment before; the write of its claim has been put off. The
-    store takes calls and answers none. The bound of that write, two seconds, is over in
-    the same pass as the call's own two seconds, and the HTTP library swallows it: where
-    its timeout and another one cancel a call at once, it takes both back.
+    An order was answered shortly before, and the write of its claim is deferred. The
+    store accepts calls and answers none. The timeout of that write, two seconds,
+    expires in the same loop iteration as the call's own two seconds. The HTTP library
+    swallows it: if its timeout and another one cancel a call at once, it uncancels
+    both, and the platform would kill the process.
     """
     flags = ("--shutdown-seconds", "6")
     async with process_fleet(tmp_path, 0, 1, 1, entry_flags=flags) as f:
-        told_at = time.monotonic()
+        signaled_at = time.monotonic()
         f.signal("entry-1", signal.SIGTERM)
         await asyncio.sleep(4.6)
         assert (await order(f.urls["entry-1"], "key-1"))[0] == 200
         f.signal("key-value", signal.SIGSTOP)
-        assert await ended(f, "entry-1") == 0
-        seconds = time.monotonic() - told_at
+        assert await exit_status(f, "entry-1") == 0
+        seconds = time.monotonic() - signaled_at
         f.signal("key-value", signal.SIGCONT)
     assert seconds < 8.0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from bergamotmast.settings import declarations
 from bergamotmast.settings import load_settings
 
-ALL = (KeyValueSettings, EntrySettings, SideSettings)
+ALL_DECISIONS = (KeyValueSettings, EntrySettings, SideSettings)
 
 REQUIRED = {
     "BERGAMOTMAST_NAME": "engine-1",
@@ -35,7 +35,7 @@
     return load_settings(settings, parser.parse_args(flags), environment)
 
 
-@pytest.mark.parametrize("settings", ALL)
+@pytest.mark.parametrize("settings", ALL_DECISIONS)
 def test_every_default_is_allowed(settings):
     for declaration in declarations(settings):
         if declaration.default is not None:
@@ -44,15 +44,15 @@
             assert type(parsed) is type(declaration.default)
 
 
-def test_no_setting_is_taken_and_ignored():
+def test_every_setting_is_used():
     package = pathlib.Path(bergamotmast.__file__).parent
     code = "\n".join(path.read_text() for path in package.rglob("*.py"))
-    for settings in ALL:
+    for settings in ALL_DECISIONS:
         for declaration in declarations(settings):
             assert re.search(rf"\bsettings\.{declaration.field}\b", code), declaration
 
 
-@pytest.mark.parametrize("settings", ALL)
+@pytest.mark.parametrize("settings", ALL_DECISIONS)
 def test_help_shows_every_setting_below_its_group(settings):
     parser = argparse.ArgumentParser()
     add_settings(parser, settings)
@@ -62,7 +62,7 @@
         assert f"{declaration.group}:" in shown
 
 
-def test_flags_go_before_variables_and_variables_before_defaults():
+def test_flags_override_variables_and_variables_override_defaults():
     loaded = load(EntrySettings, "--log-level", "debug", LOG_LEVEL="error", ZONE="b")
     assert (loaded.log_level, loaded.zone, loaded.log_format) == ("debug", "b", "text")
     assert loaded.key_value_url == "http://10.0.0.1:2379"
@@ -116,7 +116,7 @@
         ("--curve-secret-file", "--curve-peers-file"),
     ],
 )
-def test_files_that_belong_together(given, missing, tmp_path):
+def test_a_file_setting_requires_its_counterpart(given, missing, tmp_path):
     file = tmp_path / "file"
     file.touch()
     with pytest.raises(SettingError, match=f"{missing}.*because {given} is given"):
--- a/tests/test_small_ports.py
+++ b/tests/test_small_ports.py
@@ -1,4 +1,4 @@
-"""Plain service, instance list and weight store, in process and over HTTP."""
+"""The ports of services, instance list and weight store, in process and over HTTP."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from bergamotmast.model import Priority
 from bergamotmast.model import ServiceCall
 from bergamotmast.model import UpstreamKind
-from bergamotmast.standins.http_front import serving
+from bergamotmast.standins.http_common import serving
 from bergamotmast.standins.instance_list import InstanceListStandIn
 from bergamotmast.standins.service import ServiceStandIn
 from bergamotmast.standins.service import expected_body
-from bergamotmast.standins.small_fronts import instance_list_application
-from bergamotmast.standins.small_fronts import service_application
-from bergamotmast.standins.small_fronts import weight_store_application
+from bergamotmast.standins.small_frontends import instance_list_application
+from bergamotmast.standins.small_frontends import service_application
+from bergamotmast.standins.small_frontends import weight_store_application
 from bergamotmast.standins.weights import WeightStoreStandIn
 
 INFO = InstanceInfo(
@@ -35,7 +35,7 @@
 
 @pytest.fixture(params=["in process", "over HTTP"])
 async def reach(request):
-    """Return a function that gives a stand-in's port."""
+    """Return a function that returns the port of a stand-in."""
     if request.param == "in process":
         yield lambda standin, application, adapter: _direct(standin)
         return
@@ -85,10 +85,10 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST", "PUT", "DELETE"])
-async def test_a_lost_reply_is_not_asked_for_again(reach, method):
-    # The service runs the call and its connection breaks before the reply. The caller
-    # must hear that the outcome is unknown; HTTP libraries tend to send GET, PUT and
-    # DELETE a second time of their own accord, which would run the call twice.
+async def test_call_with_a_lost_reply_is_not_retried(reach, method):
+    # The service runs the call, and its connection breaks before the reply. The outcome
+    # must be reported as unknown; HTTP libraries tend to retry GET, PUT and DELETE by
+    # themselves, which would run the call twice.
     standin = ServiceStandIn("s")
     standin.lost_replies = 1
     service = await reach(standin, service_application, HttpService)
@@ -97,7 +97,7 @@
     assert standin.executions == {"r-1": 1}
 
 
-async def test_a_service_that_crashes_loses_the_replies_it_owes(reach):
+async def test_crash_of_a_service_loses_its_pending_replies(reach):
     standin = ServiceStandIn("s", seconds=60)
     service = await reach(standin, service_application, HttpService)
     task = asyncio.create_task(service.call(call()))
@@ -112,7 +112,7 @@
     assert standin.executions == {"r-1": 2}
 
 
-async def test_deadline_and_reach_over_http():
+async def test_deadline_and_unreachable_service_over_http():
     standin = ServiceStandIn("s", seconds=60)
     async with client_session() as session:
         async with serving(service_application(standin)) as url:
--- a/tests/test_store_restore.py
+++ b/tests/test_store_restore.py
@@ -13,19 +13,19 @@
 from answer_support import CALLER
 from answer_support import entry_before
 from answer_support import send
-from bergamotmast.direct.fleet import RETURN_SECONDS
+from bergamotmast.direct.fleet import MISSING_UPSTREAM_GRACE_SECONDS
 from bergamotmast.direct.fleet import Fleet
-from bergamotmast.direct.following import Follower
 from bergamotmast.direct.presence import PRESENCE_PREFIX
 from bergamotmast.direct.presence import Presence
-from bergamotmast.errors import AuthorityLostError
+from bergamotmast.direct.store_watcher import StoreWatcher
 from bergamotmast.errors import KeyValueOutcomeUnknownError
 from bergamotmast.errors import KeyValueUnavailableError
+from bergamotmast.errors import LeadershipLostError
 from bergamotmast.errors import LeaseLapsedError
 from bergamotmast.history import NullHistory
 from bergamotmast.model import Assignment
 from bergamotmast.model import Role
-from bergamotmast.planner.authority import Authority
+from bergamotmast.planner.election import PlannerElection
 from bergamotmast.planner.plan_store import PlanStore
 from bergamotmast.platform.directory import PlatformDirectory
 from bergamotmast.platform.store import PlatformStore
@@ -53,7 +53,7 @@
     async with Store() as store, store_session() as session:
         fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
         adapter = PlatformStore(session, store.address, RECOVERY_SECONDS)
-        follower = Follower(adapter, fleet, random.Random(1))
+        follower = StoreWatcher(adapter, fleet, random.Random(1))
         adapter.on_restored.append(follower.on_restored)
         task = asyncio.create_task(follower.run())
         try:
@@ -91,7 +91,7 @@
         name,
         random.Random(name),
         NullHistory(),
-        epoch_hint=adapter.least_epoch,
+        epoch_hint=adapter.min_epoch,
         carry_over=False,
     )
 
@@ -105,7 +105,7 @@
         backup = store.backup()
         for _ in range(5):
             store.put("servers/i-1", upstream_entry(slots=9))
-        await until(lambda: fleet.seen["servers/i-1"].upstream.slots == 9)
+        await until(lambda: fleet.upstream_records["servers/i-1"].upstream.slots == 9)
         store.restore(backup)
         store.put("servers/i-1", upstream_entry(state="draining"))
         await until(lambda: member_names(fleet) == set())
@@ -152,11 +152,12 @@
         store.put("servers/i-2", upstream_entry())
         await until(lambda: member_names(fleet) == {"i-1", "i-2"})
         store.restore(backup)
-        await until(lambda: fleet.seen["servers/i-1"].gone_at)
+        await until(lambda: fleet.upstream_records["servers/i-1"].gone_at)
         assert member_names(fleet) == {"i-1", "i-2"}
         store.put("servers/i-1", upstream_entry())
         await until(
-            lambda: member_names(fleet) == {"i-1"}, seconds=RETURN_SECONDS + 1.0
+            lambda: member_names(fleet) == {"i-1"},
+            seconds=MISSING_UPSTREAM_GRACE_SECONDS + 1.0,
         )
 
 
@@ -182,7 +183,7 @@
         store.compacted = 0
         await asyncio.sleep(0.3)
         assert member_names(fleet) == {"i-3", "i-4"}
-        assert fleet.seen["servers/i-3"].upstream.address == "10.0.0.3:80"
+        assert fleet.upstream_records["servers/i-3"].upstream.address == "10.0.0.3:80"
         store.put("servers/i-2", upstream_entry(born=1))
         await until(lambda: member_names(fleet) == {"i-2", "i-3", "i-4"})
 
@@ -275,15 +276,15 @@
         made = await adapter.txn([Compare("k", 0)], [Put("k", b"v")])
         assert made.revision == store.revision
         assert (await adapter.get("k")).mod_revision == store.revision
-        assert adapter.least_epoch() == 0
+        assert adapter.min_epoch() == 0
 
 
 async def test_former_plan_holder_loses_authority_after_a_restore():
     """Guards against two holders when another entry takes the lost lease."""
     async with store_adapters(2) as (store, (first, second)):
         backup = store.backup()
-        former = Authority(first, "a", random.Random(1), 3, 0.01)
-        successor = Authority(second, "b", random.Random(2), 3, 0.01)
+        former = PlannerElection(first, "a", random.Random(1), 3, 0.01)
+        successor = PlannerElection(second, "b", random.Random(2), 3, 0.01)
         plans = plan_store(first, "a"), plan_store(second, "b")
         await former.acquire()
         before = await plans[0].open()
@@ -292,11 +293,11 @@
         await successor.acquire()
         after = await plans[1].open()
         assert after > before
-        with pytest.raises((AuthorityLostError, KeyValueUnavailableError)):
+        with pytest.raises((LeadershipLostError, KeyValueUnavailableError)):
             await plans[0].write({"i-1": Assignment(Role.PREFILL)})
         await asyncio.wait_for(holding, 2.0)
-        assert not former.in_force
-        assert successor.in_force
+        assert not former.lease_is_valid
+        assert successor.lease_is_valid
 
 
 async def test_new_planner_epoch_exceeds_epochs_missing_from_a_backup():
