--- a/src/bergamotmast/policy/admission.py
+++ b/src/bergamotmast/policy/admission.py
@@ -31,7 +31,7 @@
 """Lower bound of the delay that a refused caller is asked to keep."""
 
 MAX_RETRY_AFTER_SECONDS = 30.0
-"""Upper bound of that delay."""
+"""Upper bound of the same delay."""
 
 RETRY_JITTER = 0.5
 """Largest random addition to the delay, as a share of it."""
@@ -44,6 +44,7 @@
 
     :param predicted: predicted seconds until the request is served.
     :param seconds_left: seconds until its deadline.
+    :param slack: multiple of ``seconds_left`` that the prediction must exceed.
     """
     return seconds_left <= 0.0 or predicted > slack * seconds_left
 
@@ -53,6 +54,7 @@
 
     :param predicted: predicted seconds until the request is served.
     :param seconds_left: seconds until its deadline.
+    :param slack: share of ``seconds_left`` that the prediction may take.
     """
     return seconds_left <= 0.0 or predicted > slack * seconds_left
 
--- a/src/bergamotmast/policy/capacity.py
+++ b/src/bergamotmast/policy/capacity.py
@@ -21,6 +21,7 @@
 """Weight of one report in the moving average of a role's rates."""
 
 _BISECTION_STEPS = 24
+"""Halvings of the interval that contains the share."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,22 +56,22 @@
                 engine.role, TokenRates(report.prefill_rate, report.decode_rate)
             )
 
-    def _learn(self, role: Role, pair: TokenRates) -> None:
-        old = self.known.get(role, pair)
+    def _learn(self, role: Role, token_rates: TokenRates) -> None:
+        old = self.known.get(role, token_rates)
         self.known[role] = TokenRates(
-            old.prefill + RATE_EWMA_WEIGHT * (pair.prefill - old.prefill),
-            old.decode + RATE_EWMA_WEIGHT * (pair.decode - old.decode),
+            old.prefill + RATE_EWMA_WEIGHT * (token_rates.prefill - old.prefill),
+            old.decode + RATE_EWMA_WEIGHT * (token_rates.decode - old.decode),
         )
 
     def of(self, role: Role) -> TokenRates:
         """Return a role's rates; for an unseen role, scaled from another role's."""
         if role in self.known:
             return self.known[role]
-        for other, pair in self.known.items():
+        for other, token_rates in self.known.items():
             other_ratios, role_ratios = PRIOR_RATIOS[other], PRIOR_RATIOS[role]
             return TokenRates(
-                pair.prefill * role_ratios.prefill / other_ratios.prefill,
-                pair.decode * role_ratios.decode / other_ratios.decode,
+                token_rates.prefill * role_ratios.prefill / other_ratios.prefill,
+                token_rates.decode * role_ratios.decode / other_ratios.decode,
             )
         return PRIOR_RATIOS[role]
 
@@ -92,12 +93,16 @@
 def _fits(
     share: float, counts: dict[Role, int], rates: RoleRates, demand: Demand
 ) -> bool:
-    used = TARGET_UTILISATION
-    prefill = rates.of(Role.PREFILL).prefill * counts[Role.PREFILL] * used
-    decode = rates.of(Role.DECODE).decode * counts[Role.DECODE] * used
+    """Return whether the engines can serve this share of a demand.
+
+    Mixed engines serve what is left by the engines in the other roles.
+    """
+    utilisation = TARGET_UTILISATION
+    prefill = rates.of(Role.PREFILL).prefill * counts[Role.PREFILL] * utilisation
+    decode = rates.of(Role.DECODE).decode * counts[Role.DECODE] * utilisation
     left_prefill = max(0.0, share * demand.prefill - prefill)
     left_decode = max(0.0, share * demand.decode - decode)
     mixed = rates.of(Role.MIXED)
     seconds = left_prefill / max(mixed.prefill, 1e-9)
     seconds += left_decode / max(mixed.decode, 1e-9)
-    return seconds <= counts[Role.MIXED] * used + 1e-9
+    return seconds <= counts[Role.MIXED] * utilisation + 1e-9
--- a/src/bergamotmast/policy/demand.py
+++ b/src/bergamotmast/policy/demand.py
@@ -27,6 +27,9 @@
     """Exponential moving average of the demand, computed from cumulative counters.
 
     :param seconds: time constant.
+    :param last_counters: last prefill and decode counter of each engine, in tokens.
+    :param observed_at: time of the last observation; a point in time.
+    :param weight: sum of the weights of all observations, from 0 to 1.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -45,9 +48,9 @@
         """
         prefill, decode = 0, 0
         for engine in engines:
-            more = self._increase(engine)
-            prefill += more[0]
-            decode += more[1]
+            increase = self._increase(engine)
+            prefill += increase[0]
+            decode += increase[1]
         if self.observed_at is not None and now > self.observed_at:
             self._smooth(prefill, decode, now - self.observed_at)
         self.observed_at = now
--- a/src/bergamotmast/policy/direct_placement.py
+++ b/src/bergamotmast/policy/direct_placement.py
@@ -175,7 +175,7 @@
 ) -> EngineCandidate | None:
     """Return the decode engine for a prompt that is prefilled elsewhere."""
     suitable = [engine for engine in engines if engine.role is not Role.PREFILL]
-    return min(suitable, key=_answer_load, default=None)
+    return min(suitable, key=_decode_load, default=None)
 
 
 def place_prompt(
@@ -213,7 +213,7 @@
         decisions.packing
         and engine.prefill_seconds >= LONG_PROMPT_SHARE * min_objective
     ):
-        seconds, engine = _packed(options, objective) or (seconds, engine)
+        seconds, engine = _choose_packed(options, objective) or (seconds, engine)
     if engine.role is Role.PREFILL:
         return Placement(engine.name, decode_candidate.name, seconds, engine)
     return Placement(None, engine.name, seconds, engine)
@@ -227,7 +227,7 @@
     )
 
 
-def _packed(
+def _choose_packed(
     options: t.Sequence[tuple[float, EngineCandidate]], objective: float
 ) -> tuple[float, EngineCandidate] | None:
     """Return the most loaded prefill engine well within the objective."""
@@ -241,6 +241,7 @@
 
 
 def _first_token(engine: EngineCandidate) -> float:
+    """Return the predicted seconds to the first token if this engine prefills."""
     seconds = predict_prefill(engine)
     return seconds + engine.handoff_seconds if engine.role is Role.PREFILL else seconds
 
@@ -251,9 +252,10 @@
     return seconds if engine.same_zone else seconds + CROSS_ZONE_PENALTY_SECONDS
 
 
-def _answer_load(engine: EngineCandidate) -> tuple[float, int, str]:
-    waits = engine.wait * DECODES_PER_QUEUED_SECOND
-    load = (engine.running_decodes + waits) * engine.slowdown
+def _decode_load(engine: EngineCandidate) -> tuple[float, int, str]:
+    """Return the sort key of decode engines: the estimated load, then the tie-break."""
+    queued_load = engine.wait * DECODES_PER_QUEUED_SECOND
+    load = (engine.running_decodes + queued_load) * engine.slowdown
     load = load if engine.same_zone else load + CROSS_ZONE_PENALTY_DECODES
     return (load, *_tie_break_key(engine))
 
--- a/src/bergamotmast/policy/direct_refusal.py
+++ b/src/bergamotmast/policy/direct_refusal.py
@@ -29,7 +29,7 @@
 ) -> bool:
     """Return whether a caller would time out before its first event.
 
-    :param first_token: predicted seconds to it.
+    :param first_token: predicted seconds to the first event.
     :param seconds_left: seconds until the caller times out.
     :param goes_first: whether the prompt precedes the others of its rank.
     """
--- a/src/bergamotmast/policy/direct_roles.py
+++ b/src/bergamotmast/policy/direct_roles.py
@@ -51,20 +51,27 @@
 
 
 class MixMeter:
-    """Exponentially decaying measure of prefill and decode work."""
+    """Exponentially decaying measure of prefill and decode work.
+
+    :param prefill: decayed prefill work, in engine-seconds.
+    :param decode: decayed decode work, in engine-seconds.
+    :param decayed_at: when both were last decayed; a point in time.
+    """
 
     def __init__(self) -> None:
         self.prefill = 0.0
         self.decode = 0.0
-        self.at: float | None = None
+        self.decayed_at: float | None = None
 
     def observe(self, prompt_tokens: float, output_tokens: float, now: float) -> None:
         """Add an admitted request."""
-        if self.at is not None:
-            decay = math.exp(-max(0.0, now - self.at) / MIX_TIME_CONSTANT_SECONDS)
+        if self.decayed_at is not None:
+            decay = math.exp(
+                -max(0.0, now - self.decayed_at) / MIX_TIME_CONSTANT_SECONDS
+            )
             self.prefill *= decay
             self.decode *= decay
-        self.at = now
+        self.decayed_at = now
         self.prefill += prompt_tokens / PREFILL_TOKENS_PER_SECOND
         self.decode += output_tokens / DECODE_TOKENS_PER_SECOND
 
@@ -117,7 +124,11 @@
 
 
 class RoleController:
-    """Chooses the next engine of one group to change its role."""
+    """Chooses the next engine of one group to change its role.
+
+    :param wanted_sign: 1 if a prefill engine is wanted, -1 for a decode engine.
+    :param wanted_since: since when; a point in time, ``None`` if the roles are right.
+    """
 
     def __init__(self) -> None:
         self.wanted_sign = 0
--- a/src/bergamotmast/policy/engine_load.py
+++ b/src/bergamotmast/policy/engine_load.py
@@ -51,8 +51,8 @@
 and a queueing delay that matters is under two."""
 
 MAX_URGENT_SHARE = 0.75
-"""Upper bound of that load as a share of engine time. It limits the expected wait to
-four times the work that is queued ahead."""
+"""Upper bound of the load of more urgent prompts, as a share of engine time. It limits
+the expected wait to four times the work that is queued ahead."""
 
 UNRESPONSIVE_SECONDS = 0.7
 """Time without a reply on any of this entry's calls, besides the time of the running
@@ -60,7 +60,8 @@
 prompt must be prefilled again before that."""
 
 UNRESPONSIVE_FACTOR = 2.0
-"""Multiple of the running prefill's predicted time that is allowed for."""
+"""Multiple of the running prefill's predicted time that is added to
+:data:`UNRESPONSIVE_SECONDS`."""
 
 OVERDUE_FACTOR = 2.0
 """Multiple of a prompt's predicted time after which it is overdue at an engine that
@@ -101,11 +102,14 @@
     A prompt waits for the work queued ahead of it and for more urgent prompts that
     arrive meanwhile. During bursts of short prompts, a long one waits three times as
     long as its place in the queue suggests.
+
+    :param seconds: decayed prefill time, in engine-seconds, by priority.
+    :param decayed_at: when it was last decayed; a point in time.
     """
 
     def __init__(self) -> None:
         self.seconds: dict[int, float] = {}
-        self.at = 0.0
+        self.decayed_at = 0.0
 
     def add(self, priority: int, seconds: float, now: float) -> None:
         """Add a prompt that takes some seconds to prefill."""
@@ -119,8 +123,8 @@
         return min(MAX_URGENT_SHARE, urgent / URGENT_LOAD_SECONDS)
 
     def _decay(self, now: float) -> None:
-        factor = math.exp(-max(0.0, now - self.at) / URGENT_LOAD_SECONDS)
-        self.at = now
+        factor = math.exp(-max(0.0, now - self.decayed_at) / URGENT_LOAD_SECONDS)
+        self.decayed_at = now
         self.seconds = {known: s * factor for known, s in self.seconds.items()}
 
 
@@ -129,12 +133,19 @@
 
     :param current: the prompt assumed to be running.
     :param current_since: when its prefill began; a point in time.
+    :param pending_prefills: prompts queued or running there, of all entries.
+    :param urgent: recent load of prompts of each priority.
+    :param prefix: model of its prefix cache.
     :param streams: this entry's answers that the engine is decoding.
+    :param reported_load: decodes of other entries, as the engine last reported.
     :param last_reply_at: when this entry last received anything from it; a point in
         time.
     :param cool_down_until: end of the cool-down after a failure; a point in time.
     :param role: its role at the last lookup.
     :param prefill_times: prefill times of its group's engines.
+    :param time_ratio: ratio of its prefill times to those of its group.
+    :param slowdown_log: natural logarithm of its slowdown factor at ``slowdown_at``,
+        a point in time.
     :param tie_break: see :class:`~.direct_placement.EngineCandidate`.
     """
 
@@ -245,9 +256,9 @@
     def observe_slowdown(self, predicted: float, actual: float, now: float) -> None:
         """Update the slowdown factor from a predicted and an actual time.
 
-        A ratio below the present factor counts at once, one above by its weight: a
-        queue unknown to this entry looks like slowness once, a slow engine does each
-        time.
+        A ratio below the present factor counts at once, one above it by
+        :data:`SLOWDOWN_WEIGHT`: a queue unknown to this entry raises the ratio once, a
+        slow engine raises it each time.
         """
         if predicted <= 0.0 or actual <= 0.0:
             return
--- a/src/bergamotmast/policy/plain_placement.py
+++ b/src/bergamotmast/policy/plain_placement.py
@@ -33,7 +33,12 @@
 
 
 class PlainUpstreamLoad:
-    """Estimated load and health of one plain upstream."""
+    """Estimated load and health of one plain upstream.
+
+    :param running: this entry's running calls.
+    :param failures: consecutive failed calls.
+    :param ejected_until: end of the last ejection; a point in time.
+    """
 
     def __init__(self) -> None:
         self.running = 0
@@ -66,7 +71,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlainCandidate:
-    """A plain upstream as a candidate for one call."""
+    """A plain upstream as a candidate for one call.
+
+    :param slots: maximum number of concurrent calls.
+    :param load: estimated number of running calls.
+    """
 
     name: str
     same_zone: bool
@@ -76,16 +85,18 @@
 
 
 def choose_plain_upstream(
-    views: t.Sequence[PlainCandidate], rng: random.Random
+    candidates: t.Sequence[PlainCandidate], rng: random.Random
 ) -> str | None:
     """Return the name of the upstream that gets the call, or ``None``."""
-    available = [view for view in views if not view.ejected] or list(views)
+    available = [
+        candidate for candidate in candidates if not candidate.ejected
+    ] or list(candidates)
     if not available:
         return None
     pair = rng.sample(available, min(2, len(available)))
-    return min(pair, key=_share).name
+    return min(pair, key=_load_share).name
 
 
-def _share(view: PlainCandidate) -> float:
-    share = view.load / view.slots
-    return share if view.same_zone else share + CROSS_ZONE_LOAD
+def _load_share(candidate: PlainCandidate) -> float:
+    share = candidate.load / candidate.slots
+    return share if candidate.same_zone else share + CROSS_ZONE_LOAD
--- a/src/bergamotmast/policy/prefix_cache.py
+++ b/src/bergamotmast/policy/prefix_cache.py
@@ -4,8 +4,8 @@
 engine evicts the least recently used one.
 
 Without it: a prefix is prefilled again although another engine has it cached, or a KV
-transfer is requested from an engine that has evicted it or has not prefilled it yet,
-and brings nothing.
+transfer is requested from an engine that has evicted the prefix or has not prefilled it
+yet, and transfers nothing.
 """
 
 from __future__ import annotations
@@ -25,6 +25,7 @@
 
     :param capacity: cache size in tokens.
     :param cached_parts: tokens of each cached part, by hash.
+    :param total: sum of these tokens.
     :param pending: parts of the prompts that are queued or running there.
     :param pending_counts: number of those prompts that contain each part.
     """
--- a/src/bergamotmast/policy/queueing.py
+++ b/src/bergamotmast/policy/queueing.py
@@ -112,6 +112,11 @@
     :param lower_priority_share: share of started work that lower priorities are
         entitled to.
     :param min_waited_share: share of its allowed wait after which an item may claim it.
+    :param items: waiting items and the upstream's seconds for each, by attempt.
+    :param virtual_finish: virtual finish time of each tenant's last started item.
+    :param virtual_time: virtual start time of the last started item.
+    :param deficits: started work that each lower priority is still entitled to, in
+        engine-seconds.
     """
 
     def __init__(
@@ -188,6 +193,7 @@
         return self.deficits[priority] >= min(seconds, MAX_DEFICIT_SECONDS)
 
     def _start(self, tenant: str) -> float:
+        """Return the virtual start time of a tenant's next item."""
         return max(self.virtual_time, self.virtual_finish.get(tenant, 0.0))
 
     def is_entitled(self, priority: Priority, now: float) -> bool:
@@ -266,6 +272,7 @@
     def _share_ahead(
         self, priority: Priority, tenant: str, queue: TenantQueue, item: QueueItem
     ) -> float:
+        """Return the share of a tenant's queue that will start before an item."""
         if priority < item.priority:
             return 1.0
         own_name = self._tenant(item)
--- a/src/bergamotmast/policy/rate_meters.py
+++ b/src/bergamotmast/policy/rate_meters.py
@@ -28,13 +28,18 @@
 """Bounds of a measured rate, as multiples of the nominal rate."""
 
 STEP_WEIGHT = 0.05
-"""Weight of one finished answer in the moving average of the time between tokens."""
+"""Weight of an answer in the moving average of the time between tokens, multiplied by
+the square root of its number of tokens."""
 
 
 class PrefillMeter:
     """Measures prompt tokens, cached ones included, per busy second.
 
-    :param nominal: the upstream's nominal rate.
+    :param nominal: the upstream's nominal rate, in prompt tokens a second.
+    :param pending: number of prefills that have begun and not ended.
+    :param marked_at: until when busy time has been counted; a point in time.
+    :param tokens: decayed sum of prefilled tokens.
+    :param seconds: decayed sum of busy time.
     """
 
     def __init__(self, nominal: float) -> None:
@@ -72,7 +77,8 @@
 class StepMeter:
     """Measures the seconds between the tokens of one answer.
 
-    :param nominal: nominal time between tokens with a full batch.
+    :param nominal: nominal time between tokens with a full batch, in seconds.
+    :param measured: moving average of the measured time, in seconds.
     """
 
     def __init__(self, nominal: float) -> None:
--- a/src/bergamotmast/policy/retry_window.py
+++ b/src/bergamotmast/policy/retry_window.py
@@ -28,8 +28,10 @@
 """Length of the time slots in which requests and retries are counted."""
 
 WINDOW_SLOTS = int(WINDOW_SECONDS / SLOT_SECONDS)
+"""Time slots in a window."""
 
 HALF_SLOTS = WINDOW_SLOTS // 2
+"""Time slots in half a window."""
 
 USED_LIMIT_SHARE = 0.9
 """Share of the operators' limit that is used: they count a request when it is sent, an
--- a/src/bergamotmast/policy/shutdown_admission.py
+++ b/src/bergamotmast/policy/shutdown_admission.py
@@ -33,6 +33,6 @@
     end_by: float
 
 
-def is_admitted(end: ShutdownWindow, deadline: float, now: float) -> bool:
+def is_admitted(window: ShutdownWindow, deadline: float, now: float) -> bool:
     """Return whether a request with this deadline is still admitted."""
-    return now <= end.routed_until or deadline <= end.end_by
+    return now <= window.routed_until or deadline <= window.end_by
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -12,12 +12,12 @@
 two scheduling rounds and a check never waits behind more than that; an engine honours
 priorities, so only work of the same or a higher one counts. Each lower priority leaves
 a larger share of the batch free (:attr:`SideTuning.reserved`), but little of the
-memory: with a quarter of the memory reserved, a decode engine held 18 long answers in
-48 places. With the smaller reservation, and with waits predicted by memory as well as
-by places, 2.0% of tokens were wasted at full load instead of 3.9% (trial,
-docs/EXPERIMENTS.md, round 8). Waiting is bounded by each item's own first-token time
-and deadline, and the number of waiting items by :data:`QUEUE_BATCHES` batches, which
-bounds memory and the time of a decision.
+memory: with a quarter of the memory reserved, a decode engine holds only 18 long
+answers in 48 places. The smaller reservation, and waits that are predicted by memory as
+well as by places, reduce the share of tokens wasted at full load from 3.9% to 2.0%.
+Waiting is bounded by each item's own first-token time and deadline, and the number of
+waiting items by :data:`QUEUE_BATCHES` batches, which bounds memory and the time of a
+decision.
 """
 
 from __future__ import annotations
--- a/src/bergamotmast/policy/subset.py
+++ b/src/bergamotmast/policy/subset.py
@@ -10,8 +10,8 @@
 For each group, an entry takes the upstreams with the highest rendezvous hash of both
 names. The choice is stable (a change of the fleet moves only the ranks it touches),
 needs no coordination, and spreads entries evenly. Part of the subset is reserved for
-the entry's own availability zone, where a reply is a millisecond nearer; the rest is
-taken from any zone, so that the loss of one zone leaves most of the connections.
+the entry's own availability zone, where a round trip is a millisecond shorter; the
+rest is taken from any zone, so that most connections survive the loss of one zone.
 """
 
 from __future__ import annotations
--- a/src/bergamotmast/policy/watch_pause.py
+++ b/src/bergamotmast/policy/watch_pause.py
@@ -1,12 +1,13 @@
 """Delay between a watch answer with changes and the next watch call of an entry.
 
 Load pattern: every entry receives every change, and changes arrive one at a time while
-a fleet starts, restarts or loses machines.
+a fleet starts, restarts or loses instances.
 
 Without it: the number of watch calls grows with the number of entries times the number
-of changes, which itself grows with the number of entries. With the
-delay, all entries together make at most :data:`MAX_WATCH_CALLS_PER_SECOND` while
-changes continue or, in larger fleets, one call per entry every
+of changes, which itself grows with the number of entries.
+
+With the delay, all entries together make at most :data:`MAX_WATCH_CALLS_PER_SECOND`
+while changes continue or, in larger fleets, one call per entry every
 :data:`MAX_PAUSE_SECONDS`. Small fleets receive each change with little delay; large
 fleets receive several changes per call.
 """
@@ -24,6 +25,6 @@
 def watch_pause(entries: int) -> float:
     """Return the delay, in seconds, before the next watch call.
 
-    :param entries: number of entries that follow the store.
+    :param entries: number of entries that watch the store.
     """
     return min(MAX_PAUSE_SECONDS, entries / MAX_WATCH_CALLS_PER_SECOND)
