--- a/src/bergamotmast/direct/fleet.py
+++ b/src/bergamotmast/direct/fleet.py
@@ -36,8 +36,9 @@
 
 
 ROLE_CHANGE_TIMEOUT_SECONDS = 6.0
-"""How long an engine gets no work after the plan has changed its role, at most. A
-change takes about three seconds; an order that is never carried out costs no more."""
+"""Maximum time for which an engine gets no work after the plan has changed its role. A
+change takes about three seconds; an order that is never carried out must not keep the
+engine from work any longer."""
 
 TYPICAL_ROLE_CHANGE_SECONDS = 3.2
 """Typical time from an order to the first request under the new role."""
@@ -242,13 +243,13 @@
         for key in self.existing_keys - present:
             self._notify_removal(key)
         upstream_prefix = self.directory.upstream_prefix
-        self.replace(_items_with_prefix(upstream_prefix, items), now, reason)
+        self.replace_upstreams(_items_with_prefix(upstream_prefix, items), now, reason)
         self.replace_entries(_items_with_prefix(PRESENCE_PREFIX, items))
         for item in items:
             if item.key == self.directory.config_key or item.key in self.on_removal:
                 self.put(item)
 
-    def replace(
+    def replace_upstreams(
         self, items: tuple[KeyValue, ...], now: float, reason: ReadReason
     ) -> None:
         """Replace the upstreams by a snapshot of all their registrations.
--- a/src/bergamotmast/direct/placer.py
+++ b/src/bergamotmast/direct/placer.py
@@ -186,7 +186,7 @@
         candidates = [
             PlainCandidate(
                 member.name,
-                self._is_near(member),
+                self._counts_as_same_zone(member),
                 max(1, member.slots),
                 self.plain_load(member).load(now),
                 self._is_ejected(member, now),
@@ -250,9 +250,9 @@
     ) -> list[EngineCandidate]:
         """Return the members that may be chosen, with their predicted load."""
         candidates = []
-        everyone = self.fleet.members(call.group.name, now)
-        replicas = self._prefix_replicas(call, everyone)
-        sources = _best_sources(everyone, replicas)
+        all_members = self.fleet.members(call.group.name, now)
+        replicas = self._prefix_replicas(call, all_members)
+        sources = _best_sources(all_members, replicas)
         for member in self._not_cooling_down(members, now):
             tracker = self.engine_load(member)
             lookup = self._lookup_prefix(call, member, replicas, sources)
@@ -265,7 +265,7 @@
                 EngineCandidate(
                     member.name,
                     member.role or Role.MIXED,
-                    self._is_near(member),
+                    self._counts_as_same_zone(member),
                     wait,
                     tracker.prefill_seconds(
                         uncached, call.traits.prompt_tokens - uncached
@@ -308,18 +308,28 @@
         replicas: dict[str, int],
         sources: list[Upstream],
     ) -> PrefixLookup:
-        own = self.engine_load(upstream).prefix.expected_cached_tokens(call.parts)
-        best, source = own, ""
+        """Look a prompt's prefix up at one engine and at the best sources for it.
+
+        :param replicas: transferable tokens of the prefix, by engine.
+        :param sources: engines to consider as a source of a transfer.
+        """
+        cached = self.engine_load(upstream).prefix.expected_cached_tokens(call.parts)
+        prefix_tokens, source = cached, ""
         others = sources if self.decisions.fetching else []
         for other in others:
-            found = replicas[other.name]
-            if other.name != upstream.name and found >= best + MIN_TRANSFER_TOKENS:
-                best, source = found, other.address
+            replica = replicas[other.name]
+            if (
+                other.name != upstream.name
+                and replica >= prefix_tokens + MIN_TRANSFER_TOKENS
+            ):
+                prefix_tokens, source = replica, other.address
         return PrefixLookup(
-            max(1, call.traits.prompt_tokens - best), best - own, source
+            max(1, call.traits.prompt_tokens - prefix_tokens),
+            prefix_tokens - cached,
+            source,
         )
 
-    def _is_near(self, upstream: Upstream) -> bool:
+    def _counts_as_same_zone(self, upstream: Upstream) -> bool:
         """Return whether to treat an upstream as being in this availability zone."""
         return upstream.zone == self.zone or not self.decisions.zone_preference
 
@@ -331,8 +341,12 @@
             (record.upstream.name, record.upstream.boot)
             for record in self.fleet.upstream_records.values()
         }
-        self.engine_loads = {k: b for k, b in self.engine_loads.items() if k in present}
-        self.plain_loads = {k: b for k, b in self.plain_loads.items() if k in present}
+        self.engine_loads = {
+            key: load for key, load in self.engine_loads.items() if key in present
+        }
+        self.plain_loads = {
+            key: load for key, load in self.plain_loads.items() if key in present
+        }
         self.by_hash = {h: k for h, k in self.by_hash.items() if k in present}
 
 
--- a/src/bergamotmast/direct/presence.py
+++ b/src/bergamotmast/direct/presence.py
@@ -17,7 +17,7 @@
 
 LEASE_SECONDS = 12
 """Time to live of the registration. Other entries keep sending datagrams to a dead
-entry for so long."""
+entry until it expires."""
 
 RENEWAL_SECONDS = 4.0
 """Interval between renewals of the lease; two may fail before it expires."""
--- a/src/bergamotmast/direct/role_planner.py
+++ b/src/bergamotmast/direct/role_planner.py
@@ -90,7 +90,7 @@
         """
         ...
 
-    async def order(self, call: RoleOrderCommand) -> OrderReply:
+    async def order(self, command: RoleOrderCommand) -> OrderReply:
         """Send an order.
 
         :raises OrderRefusedError: if the engine has seen a higher token.
@@ -227,8 +227,8 @@
         for group in self.fleet.engine_groups():
             members = self.fleet.present(group, now)
             self._drop_finished_orders(members, now)
-            found = [self._engine_role(member, now) for member in members]
-            engines = [engine for engine in found if engine is not None]
+            roles = [self._engine_role(member, now) for member in members]
+            engines = [role for role in roles if role is not None]
             controller = self.controllers.setdefault(group, RoleController())
             order = controller.decide(engines, self.mix.decode_share, now)
             if order is None:
@@ -284,7 +284,7 @@
         if loop.time() - read_at > MAX_SEQUENCE_AGE_SECONDS:
             logger.info("order postponed", extra={"upstream": upstream.name})
             return
-        call = RoleOrderCommand(
+        command = RoleOrderCommand(
             upstream, order, sequence, self.name, self.store.highest_token.epoch
         )
         self.pending[upstream.name] = PendingOrder(
@@ -295,7 +295,7 @@
         )
         outcome = "no reply"
         try:
-            reply = await self.orders.order(call)
+            reply = await self.orders.order(command)
             outcome = reply.value
             if reply is not OrderReply.TAKEN:
                 del self.pending[upstream.name]
@@ -307,7 +307,7 @@
                     "role": order.role.value,
                     "reason": order.reason,
                     "sequence": sequence,
-                    "token": call.token,
+                    "token": command.token,
                     "decode_share": round(self.mix.decode_share, 3),
                     "outcome": outcome,
                 },
--- a/src/bergamotmast/direct/routing.py
+++ b/src/bergamotmast/direct/routing.py
@@ -44,14 +44,15 @@
 
 
 def _tightest_objectives(routing: Routing) -> dict[str, float]:
-    found: dict[str, float] = {}
+    """Return the lowest latency objective of each group's streams, in seconds."""
+    objectives: dict[str, float] = {}
     for route in routing.routes:
         if route.kind is not CallKind.STREAM:
             continue
         for target in route.targets:
-            known = found.get(target.group, math.inf)
-            found[target.group] = min(known, route.objective)
-    return found
+            known = objectives.get(target.group, math.inf)
+            objectives[target.group] = min(known, route.objective)
+    return objectives
 
 
 def pick_group(route: Route, rng: random.Random) -> str:
--- a/src/bergamotmast/direct/store_watcher.py
+++ b/src/bergamotmast/direct/store_watcher.py
@@ -20,7 +20,8 @@
 configuration must be in force within two seconds, also after an outage."""
 
 OUTAGE_THRESHOLD_SECONDS = 0.6
-"""After so long without a reply, registrations may have lapsed because of the store."""
+"""Time without a reply of the store after which registrations may have lapsed because
+of the store and not because their upstreams are gone."""
 
 
 class StoreWatcher:
--- a/src/bergamotmast/direct/timeline.py
+++ b/src/bergamotmast/direct/timeline.py
@@ -15,7 +15,7 @@
     :param upstream: name of the decode engine.
     :param uncached_tokens: prompt tokens estimated not to be cached.
     :param predicted: predicted seconds from the placement to the first token.
-    :param waiting: the part of them spent queueing behind other prompts.
+    :param waiting: predicted seconds of queueing, which ``predicted`` includes.
     :param seconds_to_timeout: seconds from the placement until the caller disconnects.
     """
 
@@ -50,14 +50,14 @@
             "replied_ms": self.replied_at,
             "first_event_ms": self.first_event_at,
         }
-        found: dict[str, object] = {
+        log_fields: dict[str, object] = {
             name: round((point - arrived_at) * 1e3, 1)
             for name, point in points.items()
             if point is not None
         }
         if self.placed_at is not None:
             # The predictions are logged for refusals as well, which depend on them.
-            found |= {
+            log_fields |= {
                 "reader": self.prefill_engine,
                 "upstream": self.upstream,
                 "to_read": self.uncached_tokens,
@@ -66,4 +66,4 @@
                 "priority": self.priority,
                 "caller_ms": round(self.seconds_to_timeout * 1e3, 1),
             }
-        return found
+        return log_fields
--- a/src/bergamotmast/direct_daemon.py
+++ b/src/bergamotmast/direct_daemon.py
@@ -50,8 +50,8 @@
 logger = logging.getLogger(__name__)
 
 DEREGISTRATION_SECONDS = 2.6
-"""How long new requests are accepted after SIGTERM: the load balancer probes readiness
-once a second and removes an entry after two failed probes."""
+"""Time after SIGTERM for which every new request is accepted: the load balancer probes
+readiness once a second and removes an entry after two failed probes."""
 
 SHUTDOWN_MARGIN_SECONDS = 1.0
 """Time left between the last response and the platform's SIGKILL."""
@@ -63,8 +63,8 @@
 """Interval between two checks whether all earlier requests have completed."""
 
 PLANNER_LEASE_SECONDS = 3
-"""Time to live of the planner's lease. After the failure of its holder, no role changes
-for so long, even if a role has no engine left and nothing is served."""
+"""Time to live of the planner's lease. After its holder has failed, no role changes
+until the lease expires, even if a role has no engine left and nothing is served."""
 
 VACANCY_POLL_SPREAD_SECONDS = 0.3
 """Jitter of the entries' polls after the planner's lease has become free."""
@@ -130,10 +130,12 @@
             await _listen(stack, _metrics(metrics), settings.metrics_address)
         presence = Presence(store, settings.name, settings.peer_address, rng)
         planner = _planner(settings, store, context, orders)
-        follower = StoreWatcher(store, fleet, rng)
-        store.on_restored.append(follower.on_restored)
-        works = (follower.run(), presence.run(), planner.run())
-        tasks = await stack.enter_async_context(run_background_tasks(works, shutdown))
+        store_watcher = StoreWatcher(store, fleet, rng)
+        store.on_restored.append(store_watcher.on_restored)
+        coroutines = (store_watcher.run(), presence.run(), planner.run())
+        tasks = await stack.enter_async_context(
+            run_background_tasks(coroutines, shutdown)
+        )
         await shutdown.requested.wait()
         core.stopping = True
         # The planner releases its lease while requests are drained, so that a slow
@@ -190,20 +192,20 @@
     address: str,
     busy: cabc.Container[asyncio.BaseProtocol] = (),
 ) -> HttpListener:
-    listening = HttpListener(server, address, busy)
-    stack.push_async_callback(listening.close)
+    listener = HttpListener(server, address, busy)
+    stack.push_async_callback(listener.close)
     with bind_errors(address):
-        await listening.start()
-    return listening
+        await listener.start()
+    return listener
 
 
 def _metrics(metrics: OpenTelemetryMetrics) -> web.Server:
-    answer = metrics_handler(metrics)
+    handle_metrics = metrics_handler(metrics)
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != METRICS_PATH:
             return web.Response(status=404)
-        return await answer(request)
+        return await handle_metrics(request)
 
     return web.Server(handle, access_log=None)
 
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -240,10 +240,10 @@
         roles = {name: plan.assignment.role for name, plan in self.store.plans.items()}
         bounds = group_bounds(group, groups, roles)
         counts = count_roles(group, roles)
-        picture = GroupSnapshot(
+        snapshot = GroupSnapshot(
             group.name, self._views(group, now), bounds, ROLE_CHANGE_SECONDS
         )
-        requested = self.policy.decide(picture, now)
+        requested = self.policy.decide(snapshot, now)
         changeable = self._changeable_engines(group, now)
         if not may_change or not changeable:
             return None
--- a/src/bergamotmast/platform/directory.py
+++ b/src/bergamotmast/platform/directory.py
@@ -105,18 +105,18 @@
     def decode_routing(self, value: bytes) -> Routing:
         """Decode the operators' configuration."""
         try:
-            read = msgspec.json.decode(value, type=_Config)
+            config = msgspec.json.decode(value, type=_Config)
             return Routing(
-                generation=read.version,
-                routes=tuple(map(_to_route, read.routes)),
+                generation=config.version,
+                routes=tuple(map(_to_route, config.routes)),
                 groups={
                     s.name: Group(s.name, _to_engine_traits(s.engine))
-                    for s in read.services
+                    for s in config.services
                 },
                 limits=CallerLimits(
-                    read.limits.max_header_bytes,
-                    read.limits.max_body_bytes,
-                    read.limits.idle_timeout_ms / 1e3,
+                    config.limits.max_header_bytes,
+                    config.limits.max_body_bytes,
+                    config.limits.idle_timeout_ms / 1e3,
                 ),
             )
         except (msgspec.DecodeError, KeyError) as error:
@@ -125,19 +125,19 @@
     def decode_upstream(self, key: str, value: bytes) -> Upstream:
         """Decode an upstream's registration."""
         try:
-            read = msgspec.json.decode(value, type=_Registration)
-            leaving = _LEAVING_BY_STATE[read.state]
-            role = Role(read.stage) if read.stage else None
-            _check_address(read.address)
+            registration = msgspec.json.decode(value, type=_Registration)
+            leaving = _LEAVING_BY_STATE[registration.state]
+            role = Role(registration.stage) if registration.stage else None
+            _check_address(registration.address)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
             raise ConfigError(f"{key} can't be decoded: {error}") from error
         return Upstream(
             name=key.removeprefix(self.upstream_prefix),
-            boot=str(read.born),
-            group=read.service,
-            address=read.address,
-            zone=read.zone,
-            slots=read.slots,
+            boot=str(registration.born),
+            group=registration.service,
+            address=registration.address,
+            zone=registration.zone,
+            slots=registration.slots,
             leaving=leaving,
             role=role,
         )
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -131,14 +131,14 @@
     def read_prefilled(self, body: bytes) -> Prefilled:
         """Decode the reply to a prefill-only request."""
         try:
-            read = msgspec.json.decode(body, type=_PrefilledBody)
+            data = msgspec.json.decode(body, type=_PrefilledBody)
         except msgspec.DecodeError as error:
             raise ReplyLostError(
                 f"the prefill reply can't be decoded: {error}"
             ) from error
-        if not _HANDLE.fullmatch(read.transfer_handle):
-            raise ReplyLostError(f"invalid transfer handle {read.transfer_handle!r}")
-        return Prefilled(read.transfer_handle, str(read.version))
+        if not _HANDLE.fullmatch(data.transfer_handle):
+            raise ReplyLostError(f"invalid transfer handle {data.transfer_handle!r}")
+        return Prefilled(data.transfer_handle, str(data.version))
 
     def kv_source(self, address: str, handle: str) -> str:
         """Return the reference by which other engines import an exported KV cache."""
--- a/src/bergamotmast/platform/orders.py
+++ b/src/bergamotmast/platform/orders.py
@@ -15,8 +15,8 @@
 from ..errors import ReplyLostError
 from .headers import EXPECTED_UPSTREAM
 
-CHECK_TIMEOUT_SECONDS = 0.3
-"""Timeout of a report that is requested as a liveness check."""
+PROBE_TIMEOUT_SECONDS = 0.3
+"""Timeout of a report that is requested as a liveness probe."""
 
 CALL_TIMEOUT_SECONDS = 1.0
 """Timeout of a report or an order; both are answered within milliseconds."""
@@ -55,25 +55,25 @@
     async def probe(self, engine: Upstream) -> bool:
         """Return whether an engine responds; reports don't queue behind other work."""
         try:
-            async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
+            async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 status, _ = await self._call(engine, "GET", "/report", b"")
         except (PortError, TimeoutError):
             # Unreachable and timed out both mean that the engine does not respond.
             return False
         return status == 200
 
-    async def order(self, call: RoleOrderCommand) -> OrderReply:
+    async def order(self, command: RoleOrderCommand) -> OrderReply:
         """Send a role change order."""
         body = msgspec.json.encode(
             {
                 "operation": "stage",
-                "stage": call.order.role.value,
-                "holder": call.holder,
-                "fencing-token": call.token,
-                "precondition": call.sequence,
+                "stage": command.order.role.value,
+                "holder": command.holder,
+                "fencing-token": command.token,
+                "precondition": command.sequence,
             }
         )
-        status, _ = await self._call(call.upstream, "POST", "/order", body)
+        status, _ = await self._call(command.upstream, "POST", "/order", body)
         if status == _STALE_TOKEN_STATUS:
             raise OrderRefusedError("the engine has seen a higher fencing token")
         if status not in _REPLIES:
--- a/src/bergamotmast/platform/store.py
+++ b/src/bergamotmast/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as the product's key-value service."""
+"""Client for the platform's store, used as the system's key-value service."""
 
 from __future__ import annotations
 
--- a/tests/direct_support.py
+++ b/tests/direct_support.py
@@ -96,11 +96,11 @@
     """A running direct entry and its parts."""
 
     def __init__(
-        self, frontend: DirectHttpFrontend, listening: HttpListener, port: int
+        self, frontend: DirectHttpFrontend, listener: HttpListener, port: int
     ) -> None:
         self.frontend = frontend
         self.core = frontend.core
-        self.listening = listening
+        self.listener = listener
         self.port = port
         self.revision = 100
 
@@ -198,10 +198,10 @@
         )
         core = DirectCore(context, telemetry)
         frontend = DirectHttpFrontend(core)
-        listening = HttpListener(frontend.callers(), "127.0.0.1:0", frontend.busy)
-        await listening.start()
-        port = listening.runner.addresses[0][1]
-        entry = Entry(frontend, listening, port)
+        listener = HttpListener(frontend.callers(), "127.0.0.1:0", frontend.busy)
+        await listener.start()
+        port = listener.runner.addresses[0][1]
+        entry = Entry(frontend, listener, port)
         fleet.upstreams_loaded = True
         # As after a long uptime: its share of the retry budget is fully grown.
         fleet.entry_share.on_registered("", -math.inf)
@@ -213,7 +213,7 @@
         try:
             yield entry
         finally:
-            await listening.close()
+            await listener.close()
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_direct_calls.py
+++ b/tests/test_direct_calls.py
@@ -403,7 +403,7 @@
         await asyncio.sleep(0.1)
         assert not asking.done()
         entry.put("op/config", config())
-        entry.fleet.replace((), 0.0, ReadReason.RESYNC)
+        entry.fleet.replace_upstreams((), 0.0, ReadReason.RESYNC)
         entry.register(replica)
         got = await asking
     assert got.status == 200
--- a/tests/test_direct_stopping.py
+++ b/tests/test_direct_stopping.py
@@ -41,7 +41,7 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         entry.frontend.shutting_down = True
-        await entry.listening.stop_accepting_requests()
+        await entry.listener.stop_accepting_requests()
         status = 0
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             status = (await asyncio.wait_for(read_answer(reader), 2)).status
@@ -73,7 +73,7 @@
         async def end_taking():
             await asyncio.sleep(0.05)
             entry.frontend.shutting_down = True
-            await entry.listening.stop_accepting_requests()
+            await entry.listener.stop_accepting_requests()
 
         ending = asyncio.create_task(end_taking())
         await asyncio.sleep(0.01)
@@ -103,7 +103,7 @@
         writer.write(whole[:-900])
         await asyncio.sleep(0.05)
         entry.frontend.shutting_down = True
-        await entry.listening.stop_accepting_requests()
+        await entry.listener.stop_accepting_requests()
         assert entry.frontend.busy
         writer.write(whole[-900:])
         got = await asyncio.wait_for(read_answer(reader), 2)
@@ -129,7 +129,7 @@
         writer.write(request("/read/x", request_id="slow"))
         await asyncio.sleep(0.03)
         entry.frontend.shutting_down = True
-        await entry.listening.stop_accepting_requests()
+        await entry.listener.stop_accepting_requests()
         assert (await read_answer(reader)).status == 200
         assert await asyncio.wait_for(reader.read(), 2) == b""
         writer.close()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -67,9 +67,9 @@
         self.engine = ""
         self.role = M
 
-    def decide(self, picture, now):
+    def decide(self, snapshot, now):
         if any(
-            e.name == self.engine and e.role is not self.role for e in picture.engines
+            e.name == self.engine and e.role is not self.role for e in snapshot.engines
         ):
             return RoleChange(self.engine, self.role, "asked for")
         return None
