--- a/bench/engine_virtual.py
+++ b/bench/engine_virtual_time.py
@@ -1,7 +1,7 @@
-"""Measures what engine stand-ins cost under virtual time: requests a second.
+"""Benchmark of engine stand-ins in virtual time, in requests per core second.
 
-The loop's ``noop_cycles`` are idle rounds it makes before each jump of the time; see
-docs/design/standins.md.
+``noop_cycles`` is the number of idle cycles that the event loop runs before each jump
+of its time; see docs/design/standins.md.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def main() -> None:
-    """Run the measurement and print it as one JSON object."""
+    """Run the benchmark and print its result as one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=6000)
     parser.add_argument("--tokens-per-chunk", type=int, default=16)
@@ -36,7 +36,7 @@
     loop = looptime.new_event_loop(noop_cycles=arguments.noop_cycles)
     started = time.process_time()
     tokens, first_tokens = loop.run_until_complete(drive(arguments))
-    used = time.process_time() - started
+    cpu_seconds = time.process_time() - started
     first_tokens.sort()
     result = {
         **vars(arguments),
@@ -44,14 +44,17 @@
         "virtual_seconds": round(loop.time(), 3),
         "first_token_p50": round(first_tokens[len(first_tokens) // 2], 3),
         "first_token_p95": round(first_tokens[len(first_tokens) * 95 // 100], 3),
-        "core_seconds": round(used, 2),
-        "requests_per_core_second": round(arguments.requests / used),
+        "core_seconds": round(cpu_seconds, 2),
+        "requests_per_core_second": round(arguments.requests / cpu_seconds),
     }
     print(json.dumps(result))
 
 
 async def drive(arguments: argparse.Namespace) -> tuple[int, list[float]]:
-    """Return the tokens received and the time of each first token."""
+    """Send all requests.
+
+    :return: number of tokens received, and seconds to the first token of each request.
+    """
     rng = random.Random(1)
     spec = EngineSpec(tokens_per_chunk=arguments.tokens_per_chunk)
     engines = [EngineStandIn(f"engine-{n}", spec) for n in range(ENGINES)]
--- a/src/bergamotmast/bench/workload.py
+++ b/src/bergamotmast/bench/workload.py
@@ -1,4 +1,4 @@
-"""Requests drawn from a mix of classes that moves over time."""
+"""Generator of random requests from a class mix that changes over time."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 
 from .trace import TraceRequest
 
-Level: t.TypeAlias = cabc.Callable[[float], float]
+LoadFunction: t.TypeAlias = cabc.Callable[[float], float]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassProfile:
-    """What requests of a class look like.
+    """Distribution of the requests of a class; lengths are log-normal.
 
     :param prompt: median prompt length in tokens.
     :param output: median answer length in tokens.
-    :param spread: sigma of the logarithm of both; 0 for always the median.
+    :param spread: sigma of the logarithm of both lengths; 0 for constant lengths.
     :param deadline: seconds after arrival.
-    :param prefixes: how many shared prompt heads the class has, for each tenant.
+    :param prefixes: number of shared prompt prefixes of each tenant; 0 for none.
+    :param model: model name; empty for a plain service.
+    :param repeatable: whether a call may be executed more than once.
     """
 
     name: str
@@ -34,7 +36,7 @@
     repeatable: bool = True
 
 
-PROFILES: dict[str, tuple[ClassProfile, ...]] = {
+MODEL_PROFILES: dict[str, tuple[ClassProfile, ...]] = {
     "trindade": (
         ClassProfile("hold-check", 700, 2, 0.4, 5.0, prefixes=2),
         ClassProfile("question", 900, 120, 0.5, 30.0, prefixes=1),
@@ -46,66 +48,68 @@
         ClassProfile("call-sheet", 4000, 1200, 0.4, 150.0, prefixes=1),
     ),
 }
-"""Short, middle and long class of each deployment, in that order."""
+"""Classes with short, middle and long answers of each deployment, in that order."""
 
 SERVICE_PROFILES: dict[str, ClassProfile] = {
     "trindade": ClassProfile("order", 1, 1, 0.0, 5.0, model="", repeatable=False),
     "alliance": ClassProfile("push", 1, 1, 0.0, 5.0, model="", repeatable=False),
 }
-"""Calls of plain services that must not be repeated."""
+"""Non-repeatable calls of plain services."""
 
-TENANTS = {"trindade": 12, "alliance": 8}
-"""Tenants of each deployment."""
+TENANT_COUNTS = {"trindade": 12, "alliance": 8}
+"""Number of tenants of each deployment."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Flow:
-    """Requests of one class, as share of the fleet's time.
+    """Arrivals of one class.
 
-    :param level: share of the fleet's time that the class asks for, at a time.
-    :param tenants: chances of each tenant, in any unit.
+    :param load: offered load as a share of the fleet's capacity, at seconds after the
+        start.
+    :param tenants: relative probability of each tenant.
     """
 
     profile: ClassProfile
-    level: Level
+    load: LoadFunction
     tenants: tuple[float, ...]
 
 
-def even_tenants(deployment: str) -> tuple[float, ...]:
-    """Return chances that fall slowly from tenant to tenant."""
-    return tuple(1.0 / (1.0 + 0.15 * i) for i in range(TENANTS[deployment]))
+def tenant_weights(deployment: str) -> tuple[float, ...]:
+    """Return relative probabilities that fall slowly from tenant to tenant."""
+    return tuple(1.0 / (1.0 + 0.15 * i) for i in range(TENANT_COUNTS[deployment]))
 
 
-def draw(
+def generate_requests(
     flows: cabc.Sequence[Flow],
     seconds: float,
     fleet_seconds: cabc.Callable[[ClassProfile], float],
     rng: random.Random,
 ) -> tuple[TraceRequest, ...]:
-    """Draw a trace of so many seconds.
+    """Generate a trace.
 
-    :param fleet_seconds: the whole fleet's time for a mean request of a class.
+    :param seconds: duration of the trace.
+    :param fleet_seconds: the whole fleet's seconds for a mean request of a class.
     """
     requests: list[TraceRequest] = []
     for flow in flows:
-        requests += _draw_flow(flow, seconds, fleet_seconds(flow.profile), rng)
+        requests += _generate_flow(flow, seconds, fleet_seconds(flow.profile), rng)
     return tuple(sorted(requests, key=lambda r: r.at))
 
 
-def _draw_flow(
+def _generate_flow(
     flow: Flow, seconds: float, fleet_seconds: float, rng: random.Random
 ) -> list[TraceRequest]:
-    """Draw arrivals of a Poisson process whose rate follows the flow's level."""
+    """Generate Poisson arrivals whose rate follows the flow's load, by thinning."""
     requests: list[TraceRequest] = []
     now = 0.0
-    peak = max(flow.level(seconds * i / 200.0) for i in range(201)) / fleet_seconds
+    peak = max(flow.load(seconds * i / 200.0) for i in range(201)) / fleet_seconds
     if peak <= 0.0:
         return []
     while True:
         now += rng.expovariate(peak)
         if now >= seconds:
             return requests
-        if rng.random() * peak * fleet_seconds <= flow.level(now):
+        if rng.random() * peak * fleet_seconds <= flow.load(now):
             requests.append(_request(flow, now, rng))
 
 
