--- a/tests/test_direct_policy.py
+++ b/tests/test_direct_policy.py
@@ -1,6 +1,4 @@
-"""Policies of a direct entry under load, without a network. Return the prefill time of
-an engine with the prior's coefficients.
-"""
+"""Policies of a direct entry under load, without a network."""
 
 from __future__ import annotations
 
@@ -53,7 +51,8 @@
     return PREFILL_ENGINE_PRIOR.occupied_seconds(tokens, cached)
 
 
-def view(name: str, role: Role = Role.PREFILL, **more) -> EngineCandidate:
+def candidate(name: str, role: Role = Role.PREFILL, **more) -> EngineCandidate:
+    """Return an idle engine with a prefill of 10 ms, unless given otherwise."""
     values = {
         "wait": 0.0,
         "prefill_seconds": 0.01,
@@ -67,15 +66,17 @@
 """Tightest objective of a group, in seconds."""
 
 LONG = LONG_PROMPT_SHARE * TIGHT
+"""Prefill time of the shortest long prompt, in seconds."""
+
 TOO_LONG = DECODE_ENGINE_PREFILL_SHARE * TIGHT + 0.001
 """Prefill time just above the limit of a decode engine, in seconds."""
 
 
 def test_short_prompt_goes_to_the_earliest_engine():
     engines = [
-        view("a", wait=0.18),
-        view("b", wait=0.002),
-        view("d", Role.DECODE, prefill_seconds=TOO_LONG),
+        candidate("a", wait=0.18),
+        candidate("b", wait=0.002),
+        candidate("d", Role.DECODE, prefill_seconds=TOO_LONG),
     ]
     chosen = place_prompt(engines, TIGHT, TIGHT)
     assert chosen is not None
@@ -86,15 +87,18 @@
     """One engine has long prompts already, one is free, and the objective allows
     packing.
     """
-    engines = [view("a", wait=0.1), view("b"), view("d", Role.DECODE)]
+    engines = [candidate("a", wait=0.1), candidate("b"), candidate("d", Role.DECODE)]
     long = [dataclasses.replace(e, prefill_seconds=LONG) for e in engines]
     assert place_prompt(long, 0.8, TIGHT).prefill_engine == "a"
     assert place_prompt(long, 0.2, TIGHT).prefill_engine == "b"
 
 
 def test_decode_engine_prefills_short_prompts_only_while_not_busy():
-    busy = view("a", wait=0.4)
-    idle, full = view("d", Role.DECODE), view("d", Role.DECODE, running_decodes=40.0)
+    busy = candidate("a", wait=0.4)
+    idle, full = (
+        candidate("d", Role.DECODE),
+        candidate("d", Role.DECODE, running_decodes=40.0),
+    )
     assert place_prompt([busy, idle], TIGHT, TIGHT).prefill_engine is None
     assert full.running_decodes > MAX_DECODES_BESIDE_PREFILL
     assert place_prompt([busy, full], TIGHT, TIGHT).prefill_engine == "a"
@@ -105,8 +109,8 @@
 def test_prefill_limit_of_a_decode_engine_follows_the_tightest_objective():
     """The same prefill delays answers with an objective of 0.25 s, or of 2 s."""
     busy, idle = (
-        view("a", wait=0.4, prefill_seconds=0.1),
-        view("d", Role.DECODE, prefill_seconds=0.2),
+        candidate("a", wait=0.4, prefill_seconds=0.1),
+        candidate("d", Role.DECODE, prefill_seconds=0.2),
     )
     assert place_prompt([busy, idle], 2.0, 0.25).prefill_engine == "a"
     assert place_prompt([busy, idle], 2.0, 2.0).prefill_engine is None
@@ -114,21 +118,21 @@
 
 def test_decode_engines_prefill_all_without_a_prefill_engine():
     chosen = place_prompt(
-        [view("d", Role.DECODE, prefill_seconds=0.4, running_decodes=60.0)],
+        [candidate("d", Role.DECODE, prefill_seconds=0.4, running_decodes=60.0)],
         TIGHT,
         TIGHT,
     )
     assert (chosen.prefill_engine, chosen.decode_engine) == (None, "d")
-    assert place_prompt([view("a")], TIGHT, TIGHT) is None
+    assert place_prompt([candidate("a")], TIGHT, TIGHT) is None
     assert place_prompt([], TIGHT, TIGHT) is None
 
 
 def test_slow_engine_is_avoided():
     engines = [
-        view("a", slowdown=5.0, prefill_seconds=0.04),
-        view("b", wait=0.04, prefill_seconds=0.04),
+        candidate("a", slowdown=5.0, prefill_seconds=0.04),
+        candidate("b", wait=0.04, prefill_seconds=0.04),
     ]
-    engines.append(view("d", Role.DECODE, prefill_seconds=TOO_LONG))
+    engines.append(candidate("d", Role.DECODE, prefill_seconds=TOO_LONG))
     assert place_prompt(engines, TIGHT, TIGHT).prefill_engine == "b"
 
 
@@ -228,13 +232,13 @@
 
 
 def test_only_a_contiguous_prefix_counts_as_cached():
-    memory = PrefixCacheModel(1_000)
-    memory.store([(1, 400), (2, 300)])
-    assert memory.expected_cached_tokens([(1, 400), (3, 50), (2, 300)]) == 400
-    assert memory.expected_cached_tokens([(2, 300)]) == 300
-    memory.store([(4, 600)])
-    assert memory.expected_cached_tokens([(1, 400)]) == 0
-    assert memory.total <= 1_000
+    cache_model = PrefixCacheModel(1_000)
+    cache_model.store([(1, 400), (2, 300)])
+    assert cache_model.expected_cached_tokens([(1, 400), (3, 50), (2, 300)]) == 400
+    assert cache_model.expected_cached_tokens([(2, 300)]) == 300
+    cache_model.store([(4, 600)])
+    assert cache_model.expected_cached_tokens([(1, 400)]) == 0
+    assert cache_model.total <= 1_000
 
 
 def test_retries_stay_within_the_share_over_any_window():
@@ -250,8 +254,8 @@
             repeated.append(now)
     for end in repeated:
         since = end - WINDOW_SECONDS
-        most = 0.2 * sum(since <= at <= end for at in sent) + 20.0 / 5
-        assert sum(since < at <= end for at in repeated) <= most
+        allowed = 0.2 * sum(since <= at <= end for at in sent) + 20.0 / 5
+        assert sum(since < at <= end for at in repeated) <= allowed
     assert len(repeated) > 0.1 * len(sent)
 
 
@@ -272,22 +276,22 @@
         tracker.failed(1.0)
     assert tracker.is_ejected(1.0)
     assert not tracker.is_ejected(1.0 + EJECTION_SECONDS)
-    views = [
+    candidates = [
         PlainCandidate("a", True, 6, 0.0, tracker.is_ejected(1.0)),
         PlainCandidate("b", True, 6, 5.0),
     ]
     rng = random.Random(1)
-    assert {choose_plain_upstream(views, rng) for _ in range(20)} == {"b"}
-    assert choose_plain_upstream(views[:1], rng) == "a"
+    assert {choose_plain_upstream(candidates, rng) for _ in range(20)} == {"b"}
+    assert choose_plain_upstream(candidates[:1], rng) == "a"
     assert choose_plain_upstream([], rng) is None
 
 
 def test_plain_calls_spread_by_load():
     rng = random.Random(5)
-    views = [
+    candidates = [
         PlainCandidate(str(n), True, 6, load) for n, load in enumerate((0, 0, 6, 6))
     ]
-    chosen = [choose_plain_upstream(views, rng) for _ in range(600)]
+    chosen = [choose_plain_upstream(candidates, rng) for _ in range(600)]
     assert chosen.count("0") + chosen.count("1") > 450
 
 
@@ -461,7 +465,7 @@
 
 def by_policy(engines: SerialEngines, prompt: Prompt) -> int:
     priority = prefill_priority(prompt.rank, prompt.tokens)
-    views = [
+    candidates = [
         EngineCandidate(
             str(number),
             Role.PREFILL,
@@ -473,9 +477,11 @@
         )
         for number, tracker in enumerate(engines.trackers)
     ]
-    decode_candidate = view("d", Role.DECODE, running_decodes=99.0)
+    decode_candidate = candidate("d", Role.DECODE, running_decodes=99.0)
     return int(
-        place_prompt([*views, decode_candidate], prompt.objective, TIGHT).prefill_engine
+        place_prompt(
+            [*candidates, decode_candidate], prompt.objective, TIGHT
+        ).prefill_engine
     )
 
 
--- a/tests/test_direct_roles.py
+++ b/tests/test_direct_roles.py
@@ -38,14 +38,16 @@
 
 
 class OrderedEngine:
-    """An engine that accepts orders; ``how`` sets its reply.
+    """An engine that receives orders.
 
+    :param reaction: ``take``, ``conflict``, or ``lose`` to send no reply.
     :param orders: bodies of the orders that arrived.
+    :param times: when they arrived; points in time.
     :param token: highest fencing token seen.
     """
 
-    def __init__(self, how: str = "take") -> None:
-        self.how = how
+    def __init__(self, reaction: str = "take") -> None:
+        self.reaction = reaction
         self.orders: list[dict] = []
         self.times: list[float] = []
         self.token = 0
@@ -58,13 +60,13 @@
         order = json.loads(received.body)
         self.orders.append(order)
         self.times.append(asyncio.get_running_loop().time())
-        if self.how == "lose":
+        if self.reaction == "lose":
             reset(writer)
         elif order["fencing-token"] < self.token:
             self._answer(writer, 412)
         else:
             self.token = order["fencing-token"]
-            self._answer(writer, 409 if self.how == "conflict" else 202)
+            self._answer(writer, 409 if self.reaction == "conflict" else 202)
         await writer.drain()
 
     def _answer(self, writer, status: int, body: bytes = b"") -> None:
@@ -73,8 +75,11 @@
 
 
 @contextlib.asynccontextmanager
-async def planners(*scripts: OrderedEngine, count: int = 1, quiet: float = 0.0):
-    """Yield a store and planners over a fleet of decode engines."""
+async def planners(*scripts: OrderedEngine, count: int = 1, hold_off: float = 0.0):
+    """Yield a store and planners over a fleet of decode engines.
+
+    :param hold_off: seconds between the orders of two holders to one engine.
+    """
     async with contextlib.AsyncExitStack() as stack:
         store = await stack.enter_async_context(Store())
         session = await stack.enter_async_context(store_session())
@@ -82,7 +87,7 @@
         replicas = [engine(f"i-{n}", script) for n, script in enumerate(scripts)]
         for replica in replicas:
             await stack.enter_async_context(replica)
-        found = []
+        role_planners = []
         for number in range(count):
             fleet = Fleet(PlatformDirectory(), asyncio.get_running_loop().time)
             fleet.upstreams_loaded = True
@@ -92,7 +97,7 @@
                 fleet.put(KeyValue(f"servers/{replica.name}", value, 2))
             name, rng = f"entry-{number}", random.Random(number)
             adapter = PlatformStore(session, store.address, 3.0)
-            found.append(
+            role_planners.append(
                 RolePlanner(
                     name,
                     PlannerElection(
@@ -110,11 +115,11 @@
                     RequestPlacer(fleet, name, "zone-a", rng),
                     PlatformOrders(client),
                     MixMeter(),
-                    quiet,
+                    hold_off,
                     rng,
                 )
             )
-        yield store, found
+        yield store, role_planners
 
 
 @contextlib.asynccontextmanager
@@ -176,10 +181,10 @@
     """The holder is suspended, its lease lapses, another takes over, the first resumes.
 
     The first one's plan write fails, so it gives no more orders. The new holder's token
-    is higher, and it waits for the pause between two holders.
+    is higher, and it waits for the hold-off time between two holders.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
-    async with planners(*scripts, count=2, quiet=0.6) as (store, (one, two)):
+    async with planners(*scripts, count=2, hold_off=0.6) as (store, (one, two)):
         await one.election.acquire()
         await one.store.open()
         await order_all(one)
@@ -207,11 +212,11 @@
 async def test_engine_without_a_recent_order_is_ordered_at_once():
     """All decode engines leave as the holder loses the store, and another takes over.
 
-    Only an engine with an order of the former holder needs the pause between two
-    holders. If all were waited for, nothing would be served for three more seconds.
+    Only an engine with an order of the former holder needs the hold-off time. If all
+    were waited for, nothing would be served for three more seconds.
     """
     scripts = [OrderedEngine(), OrderedEngine()]
-    async with planners(*scripts, count=2, quiet=5.0) as (store, (one, two)):
+    async with planners(*scripts, count=2, hold_off=5.0) as (store, (one, two)):
         await one.election.acquire()
         await one.store.open()
         first = one.fleet.present("llm", 0.0)[0]
@@ -410,17 +415,17 @@
     async with planners(OrderedEngine()) as (store, (planner,)):
         service = planner.election.kv
         write = service.txn
-        asked = asyncio.Event()
+        written = asyncio.Event()
 
         async def slow(*arguments):
             result = await write(*arguments)
-            asked.set()
+            written.set()
             await asyncio.sleep(10)
             return result
 
         service.txn = slow
         async with run(planner):
-            await asyncio.wait_for(asked.wait(), 5)
+            await asyncio.wait_for(written.wait(), 5)
             assert store.leases
         assert not store.leases
 
