--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -85,13 +85,13 @@
         self.counts: dict[str, list[int]] = {}
         self.sums: dict[str, float] = {}
 
-    def add(self, label: str, seconds: float, times: int) -> None:
-        """Count a time as often as it occurred."""
+    def add(self, label: str, seconds: float, count: int) -> None:
+        """Add a time that occurred a number of times."""
         if label not in self.counts:
             self.counts[label] = [0] * (len(_BOUNDS_SECONDS) + 1)
             self.sums[label] = 0.0
-        self.counts[label][bisect.bisect_left(_BOUNDS_SECONDS, seconds)] += times
-        self.sums[label] += seconds * times
+        self.counts[label][bisect.bisect_left(_BOUNDS_SECONDS, seconds)] += count
+        self.sums[label] += seconds * count
 
     def read_buckets(self, options: CallbackOptions) -> cabc.Iterable[Observation]:
         """Return the cumulative count of each bucket."""
--- a/src/bergamotmast/adapters/upstream_http.py
+++ b/src/bergamotmast/adapters/upstream_http.py
@@ -20,14 +20,14 @@
 from .http_calls import exchange
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-"""Timeout for opening a connection. Zones are a few milliseconds apart; a machine
-without power does not answer at all, and the request is then sent elsewhere."""
+"""Timeout for opening a connection. Zones are a few milliseconds apart; an instance
+without power does not reply at all, and the request is then sent elsewhere."""
 
 KEEP_ALIVE_SECONDS = 4.0
 """How long an idle connection is kept; servers commonly close theirs after 5 s."""
 
 TCP_USER_TIMEOUT_MS = 3_000
-"""Unacknowledged data closes a connection after this time: otherwise a machine that
+"""Time after which unacknowledged data closes a connection: otherwise an instance that
 lost power or is partitioned would hold it, and its request, for many minutes."""
 
 _SUPPRESSED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
--- a/src/bergamotmast/adapters/zeromq.py
+++ b/src/bergamotmast/adapters/zeromq.py
@@ -28,11 +28,11 @@
 MAX_FRAMES_PER_TURN = 64
 """Frames received from a socket before the event loop's other tasks run."""
 
+# Plain integers: combining the library's enum flags costs more than the socket call.
 _NOBLOCK = int(zmq.NOBLOCK)
 _SNDMORE = int(zmq.SNDMORE)
 _EVENTS = int(zmq.EVENTS)
 _POLLIN = int(zmq.POLLIN)
-# Plain integers: combining the library's enum flags costs more than the socket call.
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/bergamotmast/config/checks.py
+++ b/src/bergamotmast/config/checks.py
@@ -106,7 +106,7 @@
 
 
 def find_warnings(configuration: Configuration) -> tuple[Problem, ...]:
-    """Return what is valid but likely a mistake.
+    """Return settings that are valid but likely mistakes.
 
     The document must be free of problems.
     """
--- a/src/bergamotmast/config/document.py
+++ b/src/bergamotmast/config/document.py
@@ -91,7 +91,7 @@
 
 
 class Tenant(_DocumentStruct, frozen=True):
-    """One paying customer.
+    """A tenant, whose requests share upstreams with those of other tenants.
 
     :param weight: share of a saturated upstream, relative to other tenants' weights.
     :param keys: SHA-256 hex digests of its caller keys; if empty, a header suffices to
@@ -142,6 +142,10 @@
 
     :param generation: incremented by each accepted edit.
     :param labels: labels of each upstream, by its name.
+    :param classes: request classes, by name.
+    :param tenants: tenants, by name.
+    :param routes: routes of plain services, by name.
+    :param admin_keys: keys to the administration interface.
     """
 
     generation: int = 0
--- a/src/bergamotmast/entry/http.py
+++ b/src/bergamotmast/entry/http.py
@@ -225,16 +225,16 @@
     ) -> ServiceCall:
         path = "/" + request.match_info["path"]
         configuration = self.core.holder.current
-        found = [
+        matches = [
             (name, route)
             for name, route in configuration.routes.items()
             if path == route.prefix or path.startswith(route.prefix.rstrip("/") + "/")
         ]
-        if not found:
+        if not matches:
             raise RequestError(
                 ResultCode.UNKNOWN_ROUTE, f"No route for {request.path!r}."
             )
-        name, route = max(found, key=lambda item: len(item[1].prefix))
+        name, route = max(matches, key=lambda item: len(item[1].prefix))
         request_class = route.request_class
         limits = configuration.request_class(request_class)
         now = asyncio.get_running_loop().time()
--- a/src/bergamotmast/entry/interfaces.py
+++ b/src/bergamotmast/entry/interfaces.py
@@ -42,7 +42,7 @@
 
 
 class EntryContext(t.Protocol):
-    """What the run of a request needs of its entry."""
+    """The parts of an entry that the run of one request uses."""
 
     policy: EntryPolicy
     claims: Claims
--- a/src/bergamotmast/entry/membership.py
+++ b/src/bergamotmast/entry/membership.py
@@ -33,8 +33,8 @@
     :param rng: source of jitter.
     :param peers: open peers by name of their upstream.
     :param infos: the last instance list by name.
-    :param observes_all: returns whether every side must be observed, as it must be for
-        a planner.
+    :param observes_all: returns whether every side must be observed, as a planner
+        requires.
     :param tasks: the running tasks of the peers by name of their upstream.
     """
 
--- a/src/bergamotmast/entry/placement.py
+++ b/src/bergamotmast/entry/placement.py
@@ -47,7 +47,7 @@
 
 
 class Placement:
-    """Finds an upstream for one request and tracks what its attempts came to.
+    """Finds an upstream for one request and tracks the outcome of its attempts.
 
     :param entry: the entry that runs the request.
     :param call: the request.
@@ -56,6 +56,8 @@
         changes of the fleet and failures are retried; only a deadline ends it.
     :param no_candidate_choice: the result when no candidate is left: the last refusal
         for load, or else ``NO_UPSTREAM``.
+    :param refusals: number of refusals for load.
+    :param failures: number of failed attempts.
     :param may_have_run: whether some attempt may have started.
     :param has_run: whether some attempt is known to have started.
     :param aborting: whether the entry shuts down, so that no further attempt is made.
--- a/src/bergamotmast/planner/convergence.py
+++ b/src/bergamotmast/planner/convergence.py
@@ -27,6 +27,7 @@
 
     def __init__(self) -> None:
         self.diverged_since: dict[str, float] = {}
+        # Since when each of these engines has not been applying its plan.
         self._idle_since: dict[str, float] = {}
 
     def begin(self, engine: str, now: float) -> None:
--- a/src/bergamotmast/side/attempt.py
+++ b/src/bergamotmast/side/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a side: its phase, and the buffer of its unsent chunks."""
+"""State of one attempt at a side, and the buffer of its unsent chunks."""
 
 from __future__ import annotations
 
--- a/src/bergamotmast/side/core.py
+++ b/src/bergamotmast/side/core.py
@@ -54,6 +54,7 @@
 }
 
 SHUTDOWN_DETAIL = "the side's time to end was over"
+"""Detail reported for an attempt that the end of the shutdown has cancelled."""
 
 RETRY_AFTER_FULL = 1.0
 """Seconds in ``Retry-After`` of a refusal for load."""
