--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -14,7 +14,7 @@
 from bergamotmast.policy.direct_placement import prefill_priority
 from test_direct_policy import LONG
 from test_direct_policy import TIGHT
-from test_direct_policy import view
+from test_direct_policy import candidate
 
 
 @pytest.mark.parametrize("name", sorted(DECISION_NAMES))
@@ -30,7 +30,7 @@
 
 
 def test_without_packing_a_long_prompt_takes_the_free_engine():
-    engines = [view("a", wait=0.1), view("b"), view("d", Role.DECODE)]
+    engines = [candidate("a", wait=0.1), candidate("b"), candidate("d", Role.DECODE)]
     long = [dataclasses.replace(e, prefill_seconds=LONG) for e in engines]
     off = Decisions.without(["packing"])
     assert place_prompt(long, 0.8, TIGHT).prefill_engine == "a"
--- a/tests/test_direct_load.py
+++ b/tests/test_direct_load.py
@@ -14,14 +14,16 @@
 from bergamotmast.policy.direct_placement import place_prompt
 from bergamotmast.policy.engine_load import EngineLoadTracker
 from bergamotmast.policy.prefix_cache import PrefixCacheModel
-from test_direct_policy import view
+from test_direct_policy import candidate
 
 OBJECTIVE = 0.6
 
 
 def test_decode_engine_prefills_no_long_prompt():
-    prefill_engines = [view(name, wait=0.5, prefill_seconds=0.15) for name in "abcd"]
-    only = view(
+    prefill_engines = [
+        candidate(name, wait=0.5, prefill_seconds=0.15) for name in "abcd"
+    ]
+    only = candidate(
         "e", Role.DECODE, prefill_seconds=DECODE_ENGINE_PREFILL_SHARE * OBJECTIVE + 0.01
     )
     assert (
@@ -36,9 +38,9 @@
     A transfer would store the prefix twice and evict another one, which has to be
     prefilled again: 0.3 s for a prefix of 13,000 tokens.
     """
-    kept = view("a", wait=0.05, prefill_seconds=0.05)
-    other = view("b", prefill_seconds=0.05, transferred_seconds=0.3)
-    decode_candidate = view("d", Role.DECODE, prefill_seconds=9.0)
+    kept = candidate("a", wait=0.05, prefill_seconds=0.05)
+    other = candidate("b", prefill_seconds=0.05, transferred_seconds=0.3)
+    decode_candidate = candidate("d", Role.DECODE, prefill_seconds=9.0)
     assert (
         place_prompt(
             [kept, other, decode_candidate], OBJECTIVE, OBJECTIVE
