--- a/src/bergamotmast/claims/store.py
+++ b/src/bergamotmast/claims/store.py
@@ -233,22 +233,22 @@
             self._finish_deferred(step)
 
     def _take_claims(self) -> list[_Waiting]:
-        taken: list[_Waiting] = []
-        while self._waiting and len(taken) < MAX_STEPS_PER_TXN:
+        claims: list[_Waiting] = []
+        while self._waiting and len(claims) < MAX_STEPS_PER_TXN:
             waiting = self._waiting.popleft()
             if waiting.unwanted:
                 self._forget(waiting.step)
             else:
-                taken.append(waiting)
-        return taken
+                claims.append(waiting)
+        return claims
 
     def _take_deferred(self, claims: list[_Waiting]) -> list[Step]:
         keys = {waiting.step.key for waiting in claims}
         free = MAX_STEPS_PER_TXN - len(claims)
-        taken = [s for s in self._deferred.values() if s.key not in keys][:free]
-        for step in taken:
+        steps = [s for s in self._deferred.values() if s.key not in keys][:free]
+        for step in steps:
             del self._deferred[step.key]
-        return taken
+        return steps
 
     def _finish_claim(self, waiting: _Waiting) -> None:
         step = waiting.step
@@ -269,11 +269,11 @@
         due = _now() + linger
         self._deferred_due = min(self._deferred_due, due) if self._deferred else due
         revision = step.revision if step.outcome is StepOutcome.DONE else None
-        later = Step(
+        deferred_step = Step(
             kind, step.key, record, step.lease, revision, claimed_at=step.claimed_at
         )
-        self._own_claims[step.key] = later
-        self._deferred[step.key] = later
+        self._own_claims[step.key] = deferred_step
+        self._deferred[step.key] = deferred_step
         if len(self._deferred) > MAX_DEFERRED_STEPS:
             _, dropped = self._deferred.popitem(last=False)
             self._forget(dropped)
--- a/src/bergamotmast/config/checks.py
+++ b/src/bergamotmast/config/checks.py
@@ -66,8 +66,8 @@
 
 def did_you_mean(word: str, known: cabc.Iterable[str]) -> str:
     """Return a hint that suggests the closest known word; empty if none is close."""
-    found = difflib.get_close_matches(word, list(known), n=1)
-    return f"; did you mean {found[0]!r}?" if found else ""
+    matches = difflib.get_close_matches(word, list(known), n=1)
+    return f"; did you mean {matches[0]!r}?" if matches else ""
 
 
 def check_configuration(configuration: Configuration) -> None:
@@ -79,8 +79,10 @@
     problems = find_problems(configuration)
     if problems:
         raise ConfigError(show_problems(problem.show() for problem in problems))
-    for found in find_contradictions(configuration):
-        raise ContradictionError(found.show(), found.selectors, found.upstream)
+    for contradiction in find_contradictions(configuration):
+        raise ContradictionError(
+            contradiction.show(), contradiction.selectors, contradiction.upstream
+        )
 
 
 def show_problems(lines: cabc.Iterable[str]) -> str:
--- a/src/bergamotmast/config/contradictions.py
+++ b/src/bergamotmast/config/contradictions.py
@@ -47,7 +47,7 @@
     selectors = configuration.selectors
     index = GroupIndex(configuration)
     members = [index.members(selector) for selector in selectors]
-    found = []
+    contradictions = []
     for first, second in itertools.combinations(range(len(selectors)), 2):
         shared = members[first] & members[second]
         if not shared:
@@ -56,8 +56,10 @@
         reason = next(_reasons(one, other, members[first], members[second]), None)
         if reason is not None:
             names = (one.name, other.name)
-            found.append(Contradiction(first, second, names, min(shared), reason))
-    return tuple(found)
+            contradictions.append(
+                Contradiction(first, second, names, min(shared), reason)
+            )
+    return tuple(contradictions)
 
 
 def _reasons(
--- a/src/bergamotmast/config/file.py
+++ b/src/bergamotmast/config/file.py
@@ -173,8 +173,8 @@
 
 
 def _json_line(data: bytes, error: msgspec.DecodeError) -> int:
-    found = re.search(r"byte (\d+)", str(error))
-    return data.count(b"\n", 0, int(found[1])) + 1 if found else 1
+    match = re.search(r"byte (\d+)", str(error))
+    return data.count(b"\n", 0, int(match[1])) + 1 if match else 1
 
 
 def _check(parsed: ParsedFile) -> Configuration:
@@ -182,9 +182,13 @@
     problems = find_problems(configuration)
     if problems:
         raise ConfigError(show_problems(parsed.locate(problems)))
-    for found in find_contradictions(configuration):
-        place = parsed.locate([Problem(("selectors", found.second), found.show())])
-        raise ContradictionError(place[0], found.selectors, found.upstream)
+    for contradiction in find_contradictions(configuration):
+        place = parsed.locate(
+            [Problem(("selectors", contradiction.second), contradiction.show())]
+        )
+        raise ContradictionError(
+            place[0], contradiction.selectors, contradiction.upstream
+        )
     return configuration
 
 
@@ -275,8 +279,8 @@
     value: t.Any, kind: type[msgspec.Struct], path: Path
 ) -> cabc.Iterator[Problem]:
     if not isinstance(value, dict):
-        found = "nothing" if value is None else f"{value!r:.40}"
-        yield Problem(path, f"fields are expected here, not {found}")
+        actual = "nothing" if value is None else f"{value!r:.40}"
+        yield Problem(path, f"fields are expected here, not {actual}")
         return
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
     for name, field in fields.items():
--- a/src/bergamotmast/config/groups.py
+++ b/src/bergamotmast/config/groups.py
@@ -41,18 +41,18 @@
     def _matching(self, wanted: LabelExpression) -> _Upstreams:
         if not wanted.terms:
             return frozenset()
-        found = self._all_upstreams
+        upstreams = self._all_upstreams
         for term in wanted.terms:
             labelled = self._by_label.get((term.label, term.value), set())
-            found = found & labelled if term.equal else found - labelled
-        return found
+            upstreams = upstreams & labelled if term.equal else upstreams - labelled
+        return upstreams
 
 
 def selectors_by_upstream(configuration: Configuration) -> dict[str, frozenset[str]]:
     """Return the names of the selectors that match each upstream, if any."""
     index = GroupIndex(configuration)
-    found: dict[str, set[str]] = collections.defaultdict(set)
+    selector_names: dict[str, set[str]] = collections.defaultdict(set)
     for selector in configuration.selectors:
         for upstream in index.members(selector):
-            found[upstream].add(selector.name)
-    return {upstream: frozenset(names) for upstream, names in found.items()}
+            selector_names[upstream].add(selector.name)
+    return {upstream: frozenset(names) for upstream, names in selector_names.items()}
--- a/src/bergamotmast/config/permissions.py
+++ b/src/bergamotmast/config/permissions.py
@@ -26,11 +26,11 @@
     neither how close a guess was nor which team's key it is.
     """
     digest = hashlib.sha256(secret.encode(errors="replace")).hexdigest().encode()
-    found = None
+    matching_key = None
     for key in configuration.admin_keys:
         if hmac.compare_digest(key.digest.encode(), digest):
-            found = key
-    return found
+            matching_key = key
+    return matching_key
 
 
 def require_scope(key: AdminKey, scope: Scope) -> None:
@@ -89,13 +89,13 @@
     """Reject changes of labels or groups of upstreams that a key does not cover."""
     old, new = selectors_by_upstream(before), selectors_by_upstream(after)
     for upstream in sorted(before.labels.keys() | after.labels.keys()):
-        was, will_be = (
+        old_groups, new_groups = (
             old.get(upstream, _NO_SELECTORS),
             new.get(upstream, _NO_SELECTORS),
         )
         same_labels = before.labels.get(upstream) == after.labels.get(upstream)
-        beyond = (was | will_be) - allowed
-        if beyond and not (same_labels and was == will_be):
+        beyond = (old_groups | new_groups) - allowed
+        if beyond and not (same_labels and old_groups == new_groups):
             group = min(beyond)
             _forbid(key, f"may not change {upstream!r}, which is in group {group!r}")
 
--- a/src/bergamotmast/config/store.py
+++ b/src/bergamotmast/config/store.py
@@ -151,15 +151,16 @@
 
     async def read_deltas(self) -> dict[int, bytes]:
         """Read all kept deltas, by the generation that each leads to."""
-        found = await self.kv.range(DELTA_PREFIX)
+        result = await self.kv.range(DELTA_PREFIX)
         return {
-            int(item.key.removeprefix(DELTA_PREFIX)): item.value for item in found.items
+            int(item.key.removeprefix(DELTA_PREFIX)): item.value
+            for item in result.items
         }
 
     async def history(self, limit: int = 20) -> tuple[ConfigRecord, ...]:
         """Read the newest records, newest first."""
-        found = await self.kv.range(HISTORY_PREFIX)
-        newest = sorted(found.items, key=lambda item: item.key, reverse=True)
+        result = await self.kv.range(HISTORY_PREFIX)
+        newest = sorted(result.items, key=lambda item: item.key, reverse=True)
         return tuple(_decode_record(item) for item in newest[:limit])
 
     async def propose(
@@ -270,10 +271,10 @@
 
     async def _is_ours(self, record: ConfigRecord) -> bool:
         try:
-            found = await self.read_record(record.generation)
+            stored_record = await self.read_record(record.generation)
         except KeyValueUnavailableError as error:
             raise KeyValueOutcomeUnknownError(error.message) from error
-        return found is not None and found.nonce == record.nonce
+        return stored_record is not None and stored_record.nonce == record.nonce
 
     async def _resolve_conflict(
         self, proposed: Configuration, nonce: str
--- a/src/bergamotmast/config/watch.py
+++ b/src/bergamotmast/config/watch.py
@@ -86,10 +86,10 @@
         async with contextlib.aclosing(
             watch_keys(self.kv, DIGEST_KEY_PREFIX, self.rng)
         ) as digest_keys:
-            async for found in digest_keys:
-                is_gone = isinstance(found, WatchEvent) and found.value is None
+            async for change in digest_keys:
+                is_gone = isinstance(change, WatchEvent) and change.value is None
                 if not is_gone:
-                    self._on_digest_key(found.key)
+                    self._on_digest_key(change.key)
 
     async def _reread_forever(self) -> None:
         """Check at random times whether the watch has missed an edit.
@@ -102,11 +102,11 @@
             await asyncio.sleep(self.rng.uniform(0.5, 1.0) * REREAD_INTERVAL_SECONDS)
             try:
                 async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
-                    found = await self.kv.range(DIGEST_KEY_PREFIX)
+                    result = await self.kv.range(DIGEST_KEY_PREFIX)
             except (BergamotmastError, TimeoutError) as error:
                 logger.info("configuration not read again: %r", error)
                 continue
-            self._on_digest_key(found.items[-1].key if found.items else "")
+            self._on_digest_key(result.items[-1].key if result.items else "")
 
     def _on_digest_key(self, current_key: str) -> None:
         """Record the service's digest key; request a fetch if its document differs."""
@@ -156,8 +156,10 @@
         if document is not None:
             return document
         deltas = await self.store.read_deltas()
-        later = [deltas[number] for number in sorted(deltas) if number > generation]
-        return _apply_deltas(self.holder.document, later, current_key)
+        later_deltas = [
+            deltas[number] for number in sorted(deltas) if number > generation
+        ]
+        return _apply_deltas(self.holder.document, later_deltas, current_key)
 
     async def _republish(self) -> None:
         if not (self.republishes and self.holder.document):
--- a/src/bergamotmast/direct/events.py
+++ b/src/bergamotmast/direct/events.py
@@ -38,8 +38,8 @@
         self.rest += data
         events = []
         while (end := _event_end(self.rest)) > 0:
-            piece, self.rest = self.rest[:end], self.rest[end:]
-            events.append(Event(piece, _event_number(piece)))
+            event_bytes, self.rest = self.rest[:end], self.rest[end:]
+            events.append(Event(event_bytes, _event_number(event_bytes)))
         return events
 
 
@@ -47,9 +47,9 @@
     """Return the end offset of the first event, or 0 if it is incomplete."""
     ends = []
     for separator in (b"\n\n", b"\r\n\r\n"):
-        found = data.find(separator)
-        if found >= 0:
-            ends.append(found + len(separator))
+        start = data.find(separator)
+        if start >= 0:
+            ends.append(start + len(separator))
     return min(ends, default=0)
 
 
--- a/src/bergamotmast/direct/fleet.py
+++ b/src/bergamotmast/direct/fleet.py
@@ -44,6 +44,7 @@
 """Typical time from an order to the first request under the new role."""
 
 MAX_PORT = 65_535
+"""Highest UDP port number."""
 
 DEPARTED_RETENTION_SECONDS = 60.0
 """How long a departed upstream is remembered, to recognize its registration after a
--- a/src/bergamotmast/direct/stream_placer.py
+++ b/src/bergamotmast/direct/stream_placer.py
@@ -83,8 +83,8 @@
         """Return how long to wait, in seconds, before the next placement.
 
         If all decode engines are gone, another engine changes its role within seconds.
-        A caller that stays for so long is served soonest by waiting here; any other is
-        refused with the time after which to retry.
+        A caller that does not time out before is served soonest by waiting here; any
+        other is refused with the time after which to retry.
 
         :raises RequestError: if the caller should retry later.
         """
@@ -100,8 +100,8 @@
     def _refuse_too_late(self, placement: Placement, now: float) -> None:
         """Raise an error if the caller would disconnect before the first event."""
         if self._is_too_late(placement, now):
-            late = placement.first_token - self.call.route.objective
-            raise self._refusal(ResultCode.DEADLINE_UNREACHABLE, late)
+            overshoot = placement.first_token - self.call.route.objective
+            raise self._refusal(ResultCode.DEADLINE_UNREACHABLE, overshoot)
 
     def _refusal(self, code: ResultCode, seconds: float) -> RequestError:
         """Return the error of a request whose caller should retry later."""
--- a/src/bergamotmast/entry/openai.py
+++ b/src/bergamotmast/entry/openai.py
@@ -14,6 +14,7 @@
 """Characters at the start of a prompt that form its prefix-cache key."""
 
 DEFAULT_MAX_TOKENS = 1024
+"""Limit on the output tokens of a request that sets none."""
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
--- a/src/bergamotmast/planner/election.py
+++ b/src/bergamotmast/planner/election.py
@@ -176,12 +176,12 @@
             result = await self.kv.txn([Compare(HOLDER_KEY, 0)], [put])
         except KeyValueOutcomeUnknownError:
             holder = await self.kv.get(HOLDER_KEY)
-            held = holder is not None and holder.value == value
+            elected = holder is not None and holder.value == value
         else:
-            held = result.succeeded
-        if not held:
+            elected = result.succeeded
+        if not elected:
             await self._revoke()
-        return held
+        return elected
 
     async def _revoke(self) -> None:
         lease, self.lease = self.lease, 0
--- a/src/bergamotmast/planner/plan_store.py
+++ b/src/bergamotmast/planner/plan_store.py
@@ -278,6 +278,6 @@
         return decode_engine_plan(item.value)
     except msgspec.DecodeError as error:
         logger.warning(
-            "plan is not understood", extra={"key": item.key, "error": str(error)}
+            "plan cannot be decoded", extra={"key": item.key, "error": str(error)}
         )
         return None
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -281,9 +281,9 @@
             plan = self.store.plans[engine].assignment
             wanted = Assignment(plan.role, group.models, group.adapters)
             if wanted != plan:
-                held = {*plan.models, *plan.adapters}
+                present = {*plan.models, *plan.adapters}
                 loads = (*wanted.models, *wanted.adapters)
-                loads = tuple(version for version in loads if version not in held)
+                loads = tuple(version for version in loads if version not in present)
                 self.pacer.begin(loads, now)
                 return PlanChange(engine, wanted, f"carries {', '.join(loads)}")
         return None
--- a/src/bergamotmast/policy/baselines.py
+++ b/src/bergamotmast/policy/baselines.py
@@ -190,10 +190,10 @@
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
         """Remove the items that are past their deadline."""
-        gone = [i for i in self.queue.values() if now >= i.deadline]
-        for item in gone:
+        expired = [i for i in self.queue.values() if now >= i.deadline]
+        for item in expired:
             del self.queue[item.attempt]
-        return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in gone]
+        return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in expired]
 
     def waiting(self) -> int:
         """Return the number of waiting items."""
--- a/src/bergamotmast/policy/direct_refusal.py
+++ b/src/bergamotmast/policy/direct_refusal.py
@@ -3,7 +3,7 @@
 Load pattern: a burst, or the loss of an engine, leaves more work than can be prefilled
 before its callers time out.
 
-Without it: requests wait until their callers have left, some are prefilled for nobody,
+Without it: requests wait until their callers have left, some are prefilled even later,
 and callers refused for the same cause all retry at the same moment, most of them to be
 refused again.
 """
--- a/src/bergamotmast/policy/entry_policy.py
+++ b/src/bergamotmast/policy/entry_policy.py
@@ -122,11 +122,11 @@
             call.prefix_key, [c.name for c in ready], call.prompt_tokens, now
         )
         best, staged = self._best(work, call.priority, ready, cached, now, resumed)
-        late = best.first - (call.first_token_deadline - now)
+        overshoot = best.first - (call.first_token_deadline - now)
         if not resumed and exceeds_entry_deadline(
             best.first, call.first_token_deadline - now
         ):
-            return self._refuse(late)
+            return self._refuse(overshoot)
         # No later check can refuse the request before the prefill is spent.
         slack = 1.0 if staged else ENTRY_SLACK
         if exceeds_entry_deadline(best.total, call.deadline - now, slack):
@@ -149,16 +149,18 @@
         alone takes several times as much of its time, which delays all who wait there.
         It is only used where the two stages would be too late.
         """
-        whole = self._estimates(ready, work, priority, cached, now)
+        single_stage = self._estimates(ready, work, priority, cached, now)
         if resumed:
-            return min(whole, key=lambda e: e.score), False
+            return min(single_stage, key=lambda e: e.score), False
         staged = self._staged(work, priority, ready, cached, now)
         if staged is None:
-            return min(whole, key=lambda e: e.score), False
+            return min(single_stage, key=lambda e: e.score), False
         if work.decode < MIN_STAGED_TOKENS:
-            suited = [e for e in whole if role_of(e.candidate) is not Role.DECODE]
+            suited = [
+                e for e in single_stage if role_of(e.candidate) is not Role.DECODE
+            ]
             return min(suited, key=lambda e: e.score), False
-        mixed = [e for e in whole if role_of(e.candidate) is Role.MIXED]
+        mixed = [e for e in single_stage if role_of(e.candidate) is Role.MIXED]
         best = min([staged, *mixed], key=lambda e: e.score)
         return best, best is staged
 
@@ -196,11 +198,11 @@
         cached: dict[str, int],
         now: float,
     ) -> list[Estimate]:
-        drawn = self.router.sample(candidates, cached)
+        sampled = self.router.sample(candidates, cached)
         return [
             self.router.estimate(c, work, priority, cached.get(c.name, 0), now)
             for c in candidates
-            if c.name in drawn
+            if c.name in sampled
         ]
 
     def _refuse(self, overshoot: float) -> Choice:
@@ -257,8 +259,8 @@
         if attempt is None or attempt.prefill_only:
             return
         if isinstance(call, ModelCall):
-            whole = attempt.resumed + output_tokens
-            self.predictor.learn(call.request_class, whole)
+            total_tokens = attempt.resumed + output_tokens
+            self.predictor.learn(call.request_class, total_tokens)
 
 
 def _ready(
--- a/src/bergamotmast/policy/prefill_model.py
+++ b/src/bergamotmast/policy/prefill_model.py
@@ -208,7 +208,7 @@
 ) -> list[float]:
     """Return better factors of the coefficients by weighted least squares of ratios."""
     matrix = [[PRIOR_WEIGHT * (i == j) for j in range(3)] for i in range(3)]
-    right = [PRIOR_WEIGHT] * 3
+    rhs = [PRIOR_WEIGHT] * 3
     for sample in samples:
         parts = (start[0], sample.tokens * start[1], sample.pairs * start[2])
         expected = sum(p * f for p, f in zip(parts, factors, strict=True))
@@ -216,10 +216,10 @@
         weight = _weight(math.log(ratio) / stretch)
         row = [part / expected for part in parts]
         for i in range(3):
-            right[i] += weight * row[i] * ratio
+            rhs[i] += weight * row[i] * ratio
             for j in range(3):
                 matrix[i][j] += weight * row[i] * row[j]
-    solved = _solve(matrix, right)
+    solved = _solve(matrix, rhs)
     return [
         max(1 / MAX_PRIOR_FACTOR, min(MAX_PRIOR_FACTOR, factor)) for factor in solved
     ]
@@ -230,9 +230,9 @@
     return 1.0 / (1.0 + (log_ratio / width) ** 2)
 
 
-def _solve(matrix: list[list[float]], right: list[float]) -> list[float]:
+def _solve(matrix: list[list[float]], rhs: list[float]) -> list[float]:
     """Solve linear equations with a positive definite matrix."""
-    rows = [[*row, value] for row, value in zip(matrix, right, strict=True)]
+    rows = [[*row, value] for row, value in zip(matrix, rhs, strict=True)]
     for i, pivot in enumerate(rows):
         for j, row in enumerate(rows):
             if j != i:
--- a/src/bergamotmast/policy/prefix_cache.py
+++ b/src/bergamotmast/policy/prefix_cache.py
@@ -78,9 +78,9 @@
 
 def _known_prefix_tokens(parts: PromptParts, is_known: t.Callable[[int], bool]) -> int:
     """Return the number of tokens before the first unknown part."""
-    found = 0
+    known_tokens = 0
     for key, tokens in parts:
         if not is_known(key):
             break
-        found += tokens
-    return found
+        known_tokens += tokens
+    return known_tokens
--- a/src/bergamotmast/policy/queueing.py
+++ b/src/bergamotmast/policy/queueing.py
@@ -159,10 +159,10 @@
 
     def remove(self, attempt: str) -> QueueItem | None:
         """Remove an item, or return ``None`` if it is not waiting."""
-        found = self.items.pop(attempt, None)
-        if found is None:
+        waiting = self.items.pop(attempt, None)
+        if waiting is None:
             return None
-        item, seconds = found
+        item, seconds = waiting
         queues = self.tenant_queues[item.priority]
         queue = queues[self._tenant(item)]
         queue.remove(item, seconds)
@@ -228,13 +228,13 @@
             if not self.tenant_queues[priority]:
                 self.deficits[priority] = 0.0
                 continue
-            more = (
+            deficit = (
                 self.deficits[priority]
                 + self.lower_priority_share
                 / (1.0 - self.lower_priority_share)
                 * seconds
             )
-            self.deficits[priority] = min(MAX_DEFICIT_SECONDS, more)
+            self.deficits[priority] = min(MAX_DEFICIT_SECONDS, deficit)
 
     def _drop_idle(self) -> None:
         self.virtual_finish = {
@@ -261,7 +261,10 @@
     def work_up_to(self, priority: Priority) -> WorkAhead:
         """Return all waiting work of a priority and the higher ones."""
         queues = [
-            x for p in Priority if p <= priority for x in self.tenant_queues[p].values()
+            queue
+            for p in Priority
+            if p <= priority
+            for queue in self.tenant_queues[p].values()
         ]
         return WorkAhead(
             sum(len(queue.items) for queue in queues),
--- a/src/bergamotmast/policy/retries.py
+++ b/src/bergamotmast/policy/retries.py
@@ -130,9 +130,9 @@
         allowed = int(len(names) * MAX_EJECTED_SHARE)
         ejected.sort(key=lambda n: self.health[n].ejected_until, reverse=True)
         excluded = set(ejected[:allowed])
-        left = [n for n in names if n not in excluded]
-        warm = [n for n in left if self._is_warm(n, now)]
-        return warm or left or names
+        remaining = [n for n in names if n not in excluded]
+        warm = [n for n in remaining if self._is_warm(n, now)]
+        return warm or remaining or names
 
     def _is_warm(self, name: str, now: float) -> bool:
         health = self.health[name]
--- a/src/bergamotmast/policy/routing.py
+++ b/src/bergamotmast/policy/routing.py
@@ -60,6 +60,7 @@
 """
 
 _EPSILON = 1e-9
+"""Lower bound of divisors."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -169,11 +170,11 @@
         If the role were ignored, the sample might contain only upstreams that suit the
         work badly, and a prompt would be refused while prefill engines idle.
         """
-        drawn = {c.name for c in candidates if c.name in favoured}
+        sampled = {c.name for c in candidates if c.name in favoured}
         for role in (None, *Role):
             names = [c.name for c in candidates if role_of(c) is role]
-            drawn.update(self.rng.sample(names, min(len(names), self.choices)))
-        return drawn
+            sampled.update(self.rng.sample(names, min(len(names), self.choices)))
+        return sampled
 
     def estimate(
         self,
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -377,10 +377,12 @@
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
         """Remove the items that can no longer be answered in time."""
-        gone = [i for i, _ in self.queue.items.values() if self._is_unreachable(i, now)]
-        for item in gone:
+        expired = [
+            i for i, _ in self.queue.items.values() if self._is_unreachable(i, now)
+        ]
+        for item in expired:
             self.withdraw(item.attempt)
-        return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in gone]
+        return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in expired]
 
     def _is_unreachable(self, item: QueueItem, now: float) -> bool:
         """Return whether an item would be late even if it started at once."""
@@ -399,8 +401,15 @@
 
     def waiting_cost(self) -> Cost:
         """Return the work of the waiting items."""
-        queues = [q for by in self.queue.tenant_queues.values() for q in by.values()]
-        return Cost(sum(x.prefill for x in queues), sum(x.decode for x in queues))
+        queues = [
+            queue
+            for by_tenant in self.queue.tenant_queues.values()
+            for queue in by_tenant.values()
+        ]
+        return Cost(
+            sum(queue.prefill for queue in queues),
+            sum(queue.decode for queue in queues),
+        )
 
     def running_decode(self) -> int:
         """Return the predicted output tokens still to come of started items."""
--- a/src/bergamotmast/policy/size_classes.py
+++ b/src/bergamotmast/policy/size_classes.py
@@ -40,6 +40,8 @@
 
 LARGEST_SHARE = SIZE_CLASS_SHARES[SizeClass.LARGEST]
 LARGE_SHARE = LARGEST_SHARE + SIZE_CLASS_SHARES[SizeClass.LARGE]
+"""Shares of a request class's prompts that are in the largest size class, or at least
+in the large one."""
 
 
 class RecentSizes:
--- a/src/bergamotmast/protocol/timing.py
+++ b/src/bergamotmast/protocol/timing.py
@@ -44,6 +44,7 @@
 """
 
 SIDE_TIMEOUT_SECONDS = HEARTBEAT_INTERVAL_SECONDS * ENTRY_MAX_MISSED_HEARTBEATS
+"""Time without a message of a side after which an entry considers its session lost."""
 
 FINAL_RECEIVE_SECONDS = 0.1
 """Time for a final receive from the socket before a session is considered lost."""
