--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -128,7 +128,7 @@
         self.tenants = _LabelLimiter(MAX_TENANTS)
         self.classes = _LabelLimiter(MAX_CLASSES)
         meter = self.provider.get_meter("bergamotmast")
-        self.second_sends = meter.create_counter("second.sends")
+        self.retries = meter.create_counter("second.sends")
         self.first_token = self._create_histograms("first_token")
         self.total = self._create_histograms("total")
         self.queue_wait = self._create_histograms("queue_wait")
@@ -215,7 +215,7 @@
     def on_retry(self, group: str, *, allowed: bool) -> None:
         """Count a retry to a group, or one that the retry budget refused."""
         labels = {"group": self.classes(group), "allowed": str(allowed).lower()}
-        self.second_sends.add(1, labels)
+        self.retries.add(1, labels)
 
     def exposition(self) -> bytes:
         """Return all series in Prometheus text format."""
--- a/src/bergamotmast/direct/model.py
+++ b/src/bergamotmast/direct/model.py
@@ -197,6 +197,6 @@
         return self.sized_prompt is not None and self.sized_prompt.goes_first
 
     @property
-    def gives_up_at(self) -> float:
-        """When the caller disconnects unless it has received an event by then."""
+    def caller_timeout_at(self) -> float:
+        """Point in time at which the caller disconnects if it has received no event."""
         return min(self.deadline, self.arrived_at + self.route.patience)
--- a/src/bergamotmast/direct/plain_run.py
+++ b/src/bergamotmast/direct/plain_run.py
@@ -81,7 +81,7 @@
         loop = asyncio.get_running_loop()
         tracker.running += 1
         try:
-            async with asyncio.timeout_at(self._give_up_at(loop.time())):
+            async with asyncio.timeout_at(self._attempt_deadline(loop.time())):
                 return await self._exchange(upstream)
         except NotReachedError as error:
             tracker.failed(loop.time())
@@ -101,7 +101,11 @@
         finally:
             tracker.running -= 1
 
-    def _give_up_at(self, now: float) -> float:
+    def _attempt_deadline(self, now: float) -> float:
+        """Return the point in time by which an attempt must have its response.
+
+        Unless it is the last one, it leaves time for a retry at another upstream.
+        """
         route = self.call.route
         if not route.repeatable or len(self.attempts.tried) >= route.max_attempts:
             return self.call.deadline
--- a/src/bergamotmast/direct/remote_prefill.py
+++ b/src/bergamotmast/direct/remote_prefill.py
@@ -118,7 +118,7 @@
         except RequestError:
             return False
         now = asyncio.get_running_loop().time()
-        return now + placement.first_token <= stream.call.gives_up_at
+        return now + placement.first_token <= stream.call.caller_timeout_at
 
     async def _send_prompt(self, engine: Upstream, prefill: TrackedPrefill) -> str:
         """Send the prompt and return the address of its exported KV cache."""
--- a/src/bergamotmast/direct/stream_placer.py
+++ b/src/bergamotmast/direct/stream_placer.py
@@ -50,7 +50,7 @@
             prefill_upstream, upstream, placement = self._choose()
         timeline = self.stream.timeline
         timeline.placed_at = now
-        timeline.on_placed(placement, self.call.gives_up_at - now)
+        timeline.on_placed(placement, self.call.caller_timeout_at - now)
         self._refuse_too_late(placement, now)
         return prefill_upstream, upstream
 
@@ -74,7 +74,7 @@
         """Return whether the caller would disconnect before the first event."""
         if not self.context.decisions.refusal or self.stream.reply.started:
             return False
-        seconds_left = self.call.gives_up_at - now
+        seconds_left = self.call.caller_timeout_at - now
         return is_unreachable(
             placement.first_token, seconds_left, goes_first=self.call.goes_first
         )
@@ -93,7 +93,7 @@
         if ready_at is None:
             raise RequestError(ResultCode.NO_UPSTREAM)
         # An overdue role change may complete at any moment, or never.
-        if max(ready_at, now) + ROLE_MARGIN_SECONDS <= self.call.gives_up_at:
+        if max(ready_at, now) + ROLE_MARGIN_SECONDS <= self.call.caller_timeout_at:
             return ROLE_CHECK_SECONDS
         raise self._refusal(ResultCode.NO_UPSTREAM, ready_at - now)
 
--- a/src/bergamotmast/entry/model_run.py
+++ b/src/bergamotmast/entry/model_run.py
@@ -130,7 +130,7 @@
                         ended = True
                         self._on_attempt_failed(attempt, tokens_before)
                     case DeadlinePassed():
-                        await self._give_up(attempt)
+                        await self._end_at_deadline(attempt)
                         ended = True
                     case _:
                         pass
@@ -175,7 +175,7 @@
             attempt.upstream, ResultCode.UPSTREAM_FAILED, self.tokens - tokens_before
         )
 
-    async def _give_up(self, attempt: EntryAttempt) -> t.NoReturn:
+    async def _end_at_deadline(self, attempt: EntryAttempt) -> t.NoReturn:
         """End the request at its deadline with the outcome that the side reports."""
         state = await self.placement.resolve(attempt)
         if state == "never_started":
--- a/src/bergamotmast/entry/service_run.py
+++ b/src/bergamotmast/entry/service_run.py
@@ -163,7 +163,7 @@
                 case messages.AttemptState(state="done"):
                     return await self._wait_for_stored_answer(attempt)
                 case DeadlinePassed():
-                    return await self._give_up(attempt)
+                    return await self._end_at_deadline(attempt)
                 case _:
                     pass
 
@@ -198,7 +198,7 @@
             self._on_outcome_unknown(attempt)
             return None
 
-    async def _give_up(self, attempt: EntryAttempt) -> ServiceAnswer | None:
+    async def _end_at_deadline(self, attempt: EntryAttempt) -> ServiceAnswer | None:
         """End the call at its deadline with the outcome that the side reports."""
         state = await self.placement.resolve(attempt)
         if state == "never_started":
--- a/src/bergamotmast/planner/groups.py
+++ b/src/bergamotmast/planner/groups.py
@@ -135,7 +135,7 @@
     if source is None:
         return None
     target = next(
-        (r for r in _MOST_VERSATILE_FIRST if _below_most(counts[r], bounds[r])), None
+        (r for r in _MOST_VERSATILE_FIRST if _is_below_max(counts[r], bounds[r])), None
     )
     return RoleShift(source, target) if target else None
 
@@ -147,17 +147,19 @@
 ) -> bool:
     """Return whether a change keeps a group within its bounds."""
     has_spare = counts[change.source] > bounds[change.source].least
-    return has_spare and _below_most(counts[change.target], bounds[change.target])
+    return has_spare and _is_below_max(counts[change.target], bounds[change.target])
 
 
 _MOST_VERSATILE_FIRST = (Role.MIXED, Role.DECODE, Role.PREFILL)
 
 
 def _surplus(count: int, bounds: RoleBounds) -> int:
+    """Return how many engines are above the maximum; negative below it."""
     return 0 if bounds.most is None else count - bounds.most
 
 
-def _below_most(count: int, bounds: RoleBounds) -> bool:
+def _is_below_max(count: int, bounds: RoleBounds) -> bool:
+    """Return whether the bounds allow one more engine."""
     return bounds.most is None or count < bounds.most
 
 
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -26,7 +26,7 @@
 PRIORITY = "X-Request-Priority"
 STAGE = "X-Stage"
 KV_SOURCE = "X-Kv-Source"
-FETCH_FROM = "Kv-Fetch"
+PREFIX_SOURCE = "Kv-Fetch"
 LAST_EVENT = "Last-Event-Id"
 PROMPT_PARTS = "X-Prompt-Prefix"
 TOKENS = "X-Token-Count"
@@ -49,7 +49,7 @@
         "X-Kv-Hold",
         "X-Kv-Backup",
         "X-Pin-Ms",
-        FETCH_FROM,
+        PREFIX_SOURCE,
     )
 )
 """A caller could use these to read another's KV cache or to raise its priority."""
@@ -109,7 +109,7 @@
         if attempt.kv_source:
             written.append((KV_SOURCE, attempt.kv_source))
         if attempt.prefix_source:
-            written.append((FETCH_FROM, attempt.prefix_source))
+            written.append((PREFIX_SOURCE, attempt.prefix_source))
         if attempt.last_event:
             written.append((LAST_EVENT, str(attempt.last_event)))
         if attempt.weights:
--- a/src/bergamotmast/policy/shifting.py
+++ b/src/bergamotmast/policy/shifting.py
@@ -218,12 +218,15 @@
         if counts[source] <= min_count:
             continue
         for target in Role:
-            if target is not source and _room(snapshot, counts, target):
+            if target is not source and _is_below_max(snapshot, counts, target):
                 changes.append((source, target))
     return changes
 
 
-def _room(snapshot: GroupSnapshot, counts: dict[Role, int], target: Role) -> bool:
+def _is_below_max(
+    snapshot: GroupSnapshot, counts: dict[Role, int], target: Role
+) -> bool:
+    """Return whether the bounds allow one more engine in a role."""
     bounds = snapshot.bounds.get(target)
     if bounds is None or bounds.most is None:
         return True
