--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -181,8 +181,8 @@
                 caller.send(request("/order/x"))
             sent.set()
 
-        await until(lambda: bool(entry.listening.server.connections))
-        (connection,) = entry.listening.server.connections
+        await until(lambda: bool(entry.listener.server.connections))
+        (connection,) = entry.listener.server.connections
         loop.call_at(connection._keepalive_handle.when() - 1e-4, send_after, turns)
         await sent.wait()
         got = b""
@@ -244,7 +244,7 @@
     async with serving(replica) as entry:
         with socket.create_connection(("127.0.0.1", entry.port)) as caller:
             caller.setblocking(False)
-            await until(lambda: bool(entry.listening.server.connections))
+            await until(lambda: bool(entry.listener.server.connections))
             caller.send(request("/order/x"))
             time.sleep(0.3)
             loop = asyncio.get_running_loop()
@@ -294,8 +294,8 @@
         assert (await read_answer(reader)).status == 413
         writer.write(whole[-900:-100])
         await asyncio.sleep(0.05)
-        (connection,) = entry.listening.server.connections
-        assert entry.listening.is_idle(connection, asyncio.get_running_loop().time())
+        (connection,) = entry.listener.server.connections
+        assert entry.listener.is_idle(connection, asyncio.get_running_loop().time())
         writer.close()
 
 
@@ -309,10 +309,10 @@
         for part in (whole[:60], whole[60:-50], whole[-50:]):
             writer.write(part)
             await asyncio.sleep(0.02)
-            (connection,) = entry.listening.server.connections
+            (connection,) = entry.listener.server.connections
             if part != whole[-50:]:
-                assert not entry.listening.is_idle(connection, loop.time())
+                assert not entry.listener.is_idle(connection, loop.time())
         assert (await read_answer(reader)).status == 200
         await asyncio.sleep(0.02)
-        assert entry.listening.is_idle(connection, loop.time())
+        assert entry.listener.is_idle(connection, loop.time())
         writer.close()
--- a/tests/test_direct_last_callers.py
+++ b/tests/test_direct_last_callers.py
@@ -28,7 +28,7 @@
     for _ in range(turns):
         await asyncio.sleep(0)
     entry.frontend.shutting_down = True
-    await entry.listening.stop_accepting_requests()
+    await entry.listener.stop_accepting_requests()
     return raw
 
 
@@ -65,7 +65,7 @@
             while entry.frontend.busy:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.02)
-            await entry.listening.close()
+            await entry.listener.close()
             status = (await asyncio.wait_for(read_answer(reader), 2)).status
             writer.close()
         raw.close()
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -248,7 +248,7 @@
         for _ in range(turns):
             await asyncio.sleep(0)
         entry.frontend.shutting_down = True
-        await entry.listening.stop_accepting_requests()
+        await entry.listener.stop_accepting_requests()
         with caller, contextlib.suppress(ConnectionError):
             loop = asyncio.get_running_loop()
             assert await asyncio.wait_for(loop.sock_recv(caller, 1), 1) == b""
@@ -352,7 +352,7 @@
         writer.write(whole[:60])
         await asyncio.sleep(0.05)
         entry.core.stopping = entry.frontend.shutting_down = True
-        await entry.listening.stop_accepting_requests()
+        await entry.listener.stop_accepting_requests()
         writer.write(whole[60:])
         got = await asyncio.wait_for(read_answer(reader), 1)
         assert got.headers["connection"] == "close"
