--- a/src/bergamotmast/adapters/metrics.py
+++ b/src/bergamotmast/adapters/metrics.py
@@ -85,13 +85,13 @@
         self.counts: dict[str, list[int]] = {}
         self.sums: dict[str, float] = {}
 
-    def add(self, label: str, seconds: float, times: int) -> None:
-        """Count a time as often as it occurred."""
+    def add(self, label: str, seconds: float, count: int) -> None:
+        """Add a time that occurred a number of times."""
         if label not in self.counts:
             self.counts[label] = [0] * (len(_BOUNDS_SECONDS) + 1)
             self.sums[label] = 0.0
-        self.counts[label][bisect.bisect_left(_BOUNDS_SECONDS, seconds)] += times
-        self.sums[label] += seconds * times
+        self.counts[label][bisect.bisect_left(_BOUNDS_SECONDS, seconds)] += count
+        self.sums[label] += seconds * count
 
     def read_buckets(self, options: CallbackOptions) -> cabc.Iterable[Observation]:
         """Return the cumulative count of each bucket."""
@@ -128,7 +128,7 @@
         self.tenants = _LabelLimiter(MAX_TENANTS)
         self.classes = _LabelLimiter(MAX_CLASSES)
         meter = self.provider.get_meter("bergamotmast")
-        self.second_sends = meter.create_counter("second.sends")
+        self.retries = meter.create_counter("second.sends")
         self.first_token = self._create_histograms("first_token")
         self.total = self._create_histograms("total")
         self.queue_wait = self._create_histograms("queue_wait")
@@ -215,7 +215,7 @@
     def on_retry(self, group: str, *, allowed: bool) -> None:
         """Count a retry to a group, or one that the retry budget refused."""
         labels = {"group": self.classes(group), "allowed": str(allowed).lower()}
-        self.second_sends.add(1, labels)
+        self.retries.add(1, labels)
 
     def exposition(self) -> bytes:
         """Return all series in Prometheus text format."""
--- a/src/bergamotmast/planner/planner.py
+++ b/src/bergamotmast/planner/planner.py
@@ -240,10 +240,10 @@
         roles = {name: plan.assignment.role for name, plan in self.store.plans.items()}
         bounds = group_bounds(group, groups, roles)
         counts = count_roles(group, roles)
-        picture = GroupSnapshot(
+        snapshot = GroupSnapshot(
             group.name, self._views(group, now), bounds, ROLE_CHANGE_SECONDS
         )
-        requested = self.policy.decide(picture, now)
+        requested = self.policy.decide(snapshot, now)
         changeable = self._changeable_engines(group, now)
         if not may_change or not changeable:
             return None
@@ -281,9 +281,9 @@
             plan = self.store.plans[engine].assignment
             wanted = Assignment(plan.role, group.models, group.adapters)
             if wanted != plan:
-                held = {*plan.models, *plan.adapters}
+                present = {*plan.models, *plan.adapters}
                 loads = (*wanted.models, *wanted.adapters)
-                loads = tuple(version for version in loads if version not in held)
+                loads = tuple(version for version in loads if version not in present)
                 self.pacer.begin(loads, now)
                 return PlanChange(engine, wanted, f"carries {', '.join(loads)}")
         return None
--- a/src/bergamotmast/platform/headers.py
+++ b/src/bergamotmast/platform/headers.py
@@ -26,7 +26,7 @@
 PRIORITY = "X-Request-Priority"
 STAGE = "X-Stage"
 KV_SOURCE = "X-Kv-Source"
-FETCH_FROM = "Kv-Fetch"
+PREFIX_SOURCE = "Kv-Fetch"
 LAST_EVENT = "Last-Event-Id"
 PROMPT_PARTS = "X-Prompt-Prefix"
 TOKENS = "X-Token-Count"
@@ -49,7 +49,7 @@
         "X-Kv-Hold",
         "X-Kv-Backup",
         "X-Pin-Ms",
-        FETCH_FROM,
+        PREFIX_SOURCE,
     )
 )
 """A caller could use these to read another's KV cache or to raise its priority."""
@@ -109,7 +109,7 @@
         if attempt.kv_source:
             written.append((KV_SOURCE, attempt.kv_source))
         if attempt.prefix_source:
-            written.append((FETCH_FROM, attempt.prefix_source))
+            written.append((PREFIX_SOURCE, attempt.prefix_source))
         if attempt.last_event:
             written.append((LAST_EVENT, str(attempt.last_event)))
         if attempt.weights:
@@ -131,14 +131,14 @@
     def read_prefilled(self, body: bytes) -> Prefilled:
         """Decode the reply to a prefill-only request."""
         try:
-            read = msgspec.json.decode(body, type=_PrefilledBody)
+            data = msgspec.json.decode(body, type=_PrefilledBody)
         except msgspec.DecodeError as error:
             raise ReplyLostError(
                 f"the prefill reply can't be decoded: {error}"
             ) from error
-        if not _HANDLE.fullmatch(read.transfer_handle):
-            raise ReplyLostError(f"invalid transfer handle {read.transfer_handle!r}")
-        return Prefilled(read.transfer_handle, str(read.version))
+        if not _HANDLE.fullmatch(data.transfer_handle):
+            raise ReplyLostError(f"invalid transfer handle {data.transfer_handle!r}")
+        return Prefilled(data.transfer_handle, str(data.version))
 
     def kv_source(self, address: str, handle: str) -> str:
         """Return the reference by which other engines import an exported KV cache."""
--- a/src/bergamotmast/policy/direct_refusal.py
+++ b/src/bergamotmast/policy/direct_refusal.py
@@ -3,7 +3,7 @@
 Load pattern: a burst, or the loss of an engine, leaves more work than can be prefilled
 before its callers time out.
 
-Without it: requests wait until their callers have left, some are prefilled for nobody,
+Without it: requests wait until their callers have left, some are prefilled even later,
 and callers refused for the same cause all retry at the same moment, most of them to be
 refused again.
 """
@@ -29,7 +29,7 @@
 ) -> bool:
     """Return whether a caller would time out before its first event.
 
-    :param first_token: predicted seconds to it.
+    :param first_token: predicted seconds to the first event.
     :param seconds_left: seconds until the caller times out.
     :param goes_first: whether the prompt precedes the others of its rank.
     """
--- a/src/bergamotmast/policy/queueing.py
+++ b/src/bergamotmast/policy/queueing.py
@@ -112,6 +112,11 @@
     :param lower_priority_share: share of started work that lower priorities are
         entitled to.
     :param min_waited_share: share of its allowed wait after which an item may claim it.
+    :param items: waiting items and the upstream's seconds for each, by attempt.
+    :param virtual_finish: virtual finish time of each tenant's last started item.
+    :param virtual_time: virtual start time of the last started item.
+    :param deficits: started work that each lower priority is still entitled to, in
+        engine-seconds.
     """
 
     def __init__(
@@ -154,10 +159,10 @@
 
     def remove(self, attempt: str) -> QueueItem | None:
         """Remove an item, or return ``None`` if it is not waiting."""
-        found = self.items.pop(attempt, None)
-        if found is None:
+        waiting = self.items.pop(attempt, None)
+        if waiting is None:
             return None
-        item, seconds = found
+        item, seconds = waiting
         queues = self.tenant_queues[item.priority]
         queue = queues[self._tenant(item)]
         queue.remove(item, seconds)
@@ -188,6 +193,7 @@
         return self.deficits[priority] >= min(seconds, MAX_DEFICIT_SECONDS)
 
     def _start(self, tenant: str) -> float:
+        """Return the virtual start time of a tenant's next item."""
         return max(self.virtual_time, self.virtual_finish.get(tenant, 0.0))
 
     def is_entitled(self, priority: Priority, now: float) -> bool:
@@ -222,13 +228,13 @@
             if not self.tenant_queues[priority]:
                 self.deficits[priority] = 0.0
                 continue
-            more = (
+            deficit = (
                 self.deficits[priority]
                 + self.lower_priority_share
                 / (1.0 - self.lower_priority_share)
                 * seconds
             )
-            self.deficits[priority] = min(MAX_DEFICIT_SECONDS, more)
+            self.deficits[priority] = min(MAX_DEFICIT_SECONDS, deficit)
 
     def _drop_idle(self) -> None:
         self.virtual_finish = {
@@ -255,7 +261,10 @@
     def work_up_to(self, priority: Priority) -> WorkAhead:
         """Return all waiting work of a priority and the higher ones."""
         queues = [
-            x for p in Priority if p <= priority for x in self.tenant_queues[p].values()
+            queue
+            for p in Priority
+            if p <= priority
+            for queue in self.tenant_queues[p].values()
         ]
         return WorkAhead(
             sum(len(queue.items) for queue in queues),
@@ -266,6 +275,7 @@
     def _share_ahead(
         self, priority: Priority, tenant: str, queue: TenantQueue, item: QueueItem
     ) -> float:
+        """Return the share of a tenant's queue that will start before an item."""
         if priority < item.priority:
             return 1.0
         own_name = self._tenant(item)
--- a/src/bergamotmast/policy/side_policy.py
+++ b/src/bergamotmast/policy/side_policy.py
@@ -12,11 +12,12 @@
 two scheduling rounds and a check never waits behind more than that; an engine honours
 priorities, so only work of the same or a higher one counts. Each lower priority leaves
 a larger share of the batch free (:attr:`SideTuning.reserved`), but little of the
-memory: with a quarter of the memory reserved, a decode engine held 18 long answers in
-48 places. With the smaller reservation, and with waits predicted by memory as well as
-by places, 2.0% of tokens were wasted at full load instead of 3.9%. Waiting is bounded
-by each item's own first-token time and deadline, and the number of waiting items by
-:data:`QUEUE_BATCHES` batches, which bounds memory and the time of a decision.
+memory: with a quarter of the memory reserved, a decode engine holds only 18 long
+answers in 48 places. The smaller reservation, and waits that are predicted by memory as
+well as by places, reduce the share of tokens wasted at full load from 3.9% to 2.0%.
+Waiting is bounded by each item's own first-token time and deadline, and the number of
+waiting items by :data:`QUEUE_BATCHES` batches, which bounds memory and the time of a
+decision.
 """
 
 from __future__ import annotations
@@ -376,10 +377,12 @@
 
     def expire(self, now: float) -> list[tuple[QueueItem, ResultCode]]:
         """Remove the items that can no longer be answered in time."""
-        gone = [i for i, _ in self.queue.items.values() if self._is_unreachable(i, now)]
-        for item in gone:
+        expired = [
+            i for i, _ in self.queue.items.values() if self._is_unreachable(i, now)
+        ]
+        for item in expired:
             self.withdraw(item.attempt)
-        return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in gone]
+        return [(item, ResultCode.EXPIRED_IN_QUEUE) for item in expired]
 
     def _is_unreachable(self, item: QueueItem, now: float) -> bool:
         """Return whether an item would be late even if it started at once."""
@@ -398,8 +401,15 @@
 
     def waiting_cost(self) -> Cost:
         """Return the work of the waiting items."""
-        queues = [q for by in self.queue.tenant_queues.values() for q in by.values()]
-        return Cost(sum(x.prefill for x in queues), sum(x.decode for x in queues))
+        queues = [
+            queue
+            for by_tenant in self.queue.tenant_queues.values()
+            for queue in by_tenant.values()
+        ]
+        return Cost(
+            sum(queue.prefill for queue in queues),
+            sum(queue.decode for queue in queues),
+        )
 
     def running_decode(self) -> int:
         """Return the predicted output tokens still to come of started items."""
