--- a/bench/engine_front.py
+++ b/bench/engine_front.py
@@ -1,7 +1,7 @@
-"""Measures what the engine stand-in's HTTP front costs: tokens a second of one core.
+"""Benchmark of the engine stand-in's HTTP frontend, in tokens per core second.
 
-Starts the stand-in as a process, keeps a number of streams open against it, ends it
-and divides the tokens received by the processor time the process used.
+Starts the stand-in as a process, keeps a number of streams open to it, stops it and
+divides the tokens received by the processor time that the process used.
 """
 
 from __future__ import annotations
@@ -31,20 +31,20 @@
 
 
 def main() -> None:
-    """Run the measurement and print it as one JSON object."""
+    """Run the benchmark, or the stand-in with ``--serve``."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--streams", type=int, default=64)
     parser.add_argument("--output-tokens", type=int, default=200)
     parser.add_argument("--tokens-per-chunk", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--serve", action="store_true", help="be the stand-in")
+    parser.add_argument("--serve", action="store_true", help="run the stand-in only")
     arguments = parser.parse_args()
     run = serve if arguments.serve else measure
     asyncio.run(run(arguments))
 
 
 async def serve(arguments: argparse.Namespace) -> None:
-    """Be the stand-in until a signal ends it."""
+    """Run the stand-in until SIGTERM."""
     rates = RoleRates(1e7, 1.0, STEP_SECONDS, 0.0, 1.0, arguments.streams)
     spec = EngineSpec(
         roles={role: rates for role in Role},
@@ -65,7 +65,7 @@
 
 
 async def measure(arguments: argparse.Namespace) -> None:
-    """Drive the stand-in and print what it cost."""
+    """Load the stand-in and print its cost as one JSON object."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, *sys.argv, "--serve", stdout=asyncio.subprocess.PIPE
     )
--- a/bench/engine_virtual.py
+++ b/bench/engine_virtual.py
@@ -1,7 +1,7 @@
-"""Measures what engine stand-ins cost under virtual time: requests a second.
+"""Benchmark of engine stand-ins in virtual time, in requests per core second.
 
-The loop's ``noop_cycles`` are idle rounds it makes before each jump of the time; see
-docs/design/standins.md.
+``noop_cycles`` is the number of idle cycles that the event loop runs before each jump
+of its time; see docs/design/standins.md.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def main() -> None:
-    """Run the measurement and print it as one JSON object."""
+    """Run the benchmark and print its result as one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=6000)
     parser.add_argument("--tokens-per-chunk", type=int, default=16)
@@ -51,7 +51,10 @@
 
 
 async def drive(arguments: argparse.Namespace) -> tuple[int, list[float]]:
-    """Return the tokens received and the time of each first token."""
+    """Send all requests.
+
+    :return: number of tokens received, and seconds to the first token of each request.
+    """
     rng = random.Random(1)
     spec = EngineSpec(tokens_per_chunk=arguments.tokens_per_chunk)
     engines = [EngineStandIn(f"engine-{n}", spec) for n in range(ENGINES)]
--- a/bench/play_days.py
+++ b/bench/play_days.py
@@ -1,12 +1,13 @@
-"""Plays days of the users' bench with several source trees or switches, side by side.
+"""Compares source trees, or sets of decisions, on days of the users' benchmark.
 
     python bench/play_days.py --bench FLEETBENCH --site SITE.toml --seeds 1,2,3 \
         --variant before=../before --variant now=. --variant no-packing=.:packing
 
 A variant is a name, a checkout and, after a colon, the decisions switched off in it
-(names of :class:`bergamotmast.policy.decisions.Decisions`). Each is played in a copy of
-its own, on the same days and seeds; journal entries are brought back to this checkout.
-Prints, for each variant, the medians and the spread of what the bench reports.
+(names of :class:`bergamotmast.policy.decisions.Decisions`). Each variant runs the same
+days and seeds in its own copy of the checkout; journal entries are copied back to this
+checkout. Prints the median and the range of each variant's score, and means of the
+benchmark's other figures.
 """
 
 from __future__ import annotations
@@ -30,14 +31,17 @@
 
 
 def bring_journal_home(copy: pathlib.Path) -> None:
-    """Copy the journal entries of a copy's plays to this checkout."""
+    """Copy the journal entries that runs left in a copy to this checkout."""
     for entry in (copy / "journal").glob("*.json"):
         shutil.copy(entry, ROOT / "journal" / entry.name)
 
 
 @dataclasses.dataclass(frozen=True)
 class Variant:
-    """A source tree, and what is switched off in it."""
+    """A source tree to benchmark.
+
+    :param switched_off: comma-separated decisions that are switched off in it.
+    """
 
     name: str
     tree: pathlib.Path
@@ -45,13 +49,16 @@
 
     @classmethod
     def read(cls, text: str) -> Variant:
-        """Read ``NAME=TREE[:SWITCH,...]``."""
+        """Parse ``NAME=TREE[:DECISION,...]``."""
         name, _, rest = text.partition("=")
         tree, _, off = rest.partition(":")
         return cls(name, pathlib.Path(tree).resolve(), off)
 
     def copy_to(self, folder: pathlib.Path) -> pathlib.Path:
-        """Return a checkout of its own in which the bench can play."""
+        """Create a copy of the checkout in which the benchmark can run.
+
+        The benchmark needs a Git repository, so the copy becomes a new one.
+        """
         copy = folder / self.name
         bring_journal_home(copy)
         shutil.rmtree(copy, ignore_errors=True)
@@ -68,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Play:
-    """One day with one seed, as one variant serves it."""
+    """The benchmark's report on one day with one seed, served by one variant."""
 
     variant: str
     site: str
@@ -77,12 +84,12 @@
     report: dict
 
     def prices(self, name: str) -> float:
-        """Return what the bench takes off the worth under a price's name."""
+        """Return what the benchmark deducts from the score under a name."""
         return sum(row[2] for row in self.report["prices"] if row[0] == name)
 
 
 def day_names(site: pathlib.Path) -> list[str]:
-    """Return the standard days of a site."""
+    """Return the names of a site's standard days."""
     return [day["name"] for day in tomllib.loads(site.read_text())["day"]]
 
 
@@ -92,7 +99,12 @@
     job: tuple[str, pathlib.Path, str, int],
     options: argparse.Namespace,
 ) -> Play | None:
-    """Play one day; ``None`` if the bench reported nothing."""
+    """Run one day of the benchmark.
+
+    :param copies: checkout of each variant.
+    :param job: variant, site file, day and seed; seed 0 is the day's own.
+    :return: ``None`` if the benchmark wrote no report.
+    """
     name, site, day, seed = job
     copy = copies[name]
     reports = copy.parent / "reports"
@@ -118,7 +130,7 @@
 
 
 def summary(plays: list[Play]) -> str:
-    """Return one line on some plays of one variant."""
+    """Return a one-line summary of runs of one variant."""
     worth = [p.report["G"] for p in plays]
     cells = [f"worth {statistics.median(worth):.3f} (mean {statistics.mean(worth):.3f}"]
     cells[0] += f", {min(worth):.3f} to {max(worth):.3f})"
@@ -146,7 +158,7 @@
 
 
 def difference(plays: list[Play], first: list[Play]) -> str:
-    """Return by how much plays differ from the first variant's of the same days."""
+    """Return the mean score difference from the first variant on the same days."""
     before = {(p.day, p.seed): p.report["G"] for p in first}
     pairs = [(p.report["G"], before.get((p.day, p.seed))) for p in plays]
     found = [now - then for now, then in pairs if then is not None]
@@ -157,17 +169,23 @@
 
 
 def main() -> None:
-    """Play all, print a table."""
+    """Run all days with all variants and print a summary of each."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--bench", required=True)
     parser.add_argument("--site", action="append", required=True, type=pathlib.Path)
     parser.add_argument("--variant", action="append", required=True, type=Variant.read)
-    parser.add_argument("--days", default="", help="names; the standard days if empty")
-    parser.add_argument("--seeds", default="0", help="0: the day's own")
+    parser.add_argument(
+        "--days", default="", help="comma-separated names; the standard days if empty"
+    )
+    parser.add_argument(
+        "--seeds", default="0", help="comma-separated; 0 is the day's own"
+    )
     parser.add_argument("--folder", type=pathlib.Path, default=ROOT.parent / "plays")
-    parser.add_argument("--jobs", type=int, default=3, help="plays at a time")
-    parser.add_argument("--cpu", action="store_true", help="count processor time")
-    parser.add_argument("--small", action="store_true", help="small twins of the days")
+    parser.add_argument("--jobs", type=int, default=3, help="parallel runs")
+    parser.add_argument("--cpu", action="store_true", help="measure processor time")
+    parser.add_argument(
+        "--small", action="store_true", help="run the small variants of the days"
+    )
     parser.add_argument("--why", default="Variants side by side")
     options = parser.parse_args()
     options.folder.mkdir(parents=True, exist_ok=True)
--- a/spec/attempt.pml
+++ b/spec/attempt.pml
@@ -1,27 +1,27 @@
 /*
- * One non-repeatable call, its attempts, and what its caller is told.
+ * Attempts of one non-repeatable call, and the result reported to its caller.
  *
- * An entry offers the call to side 0 and, only where that attempt truly was not
- * run, to side 1. Every message that was sent may arrive at any later time, in any
- * order, more than once, or never. A side may restart and forget everything. The
- * entry may say hello again, which ends its earlier session at that side.
+ * An entry offers the call to side 0 and, only if that attempt was certainly not
+ * executed, to side 1. A message that was sent may arrive at any later time, in any
+ * order, more than once, or never. A side may restart, which loses all its state. The
+ * entry may send another hello, which ends its earlier session with that side.
  *
  * Properties (assertions):
- *   not_run   a caller told "not run" is never wrong, before or after;
+ *   not_run   a call reported as "not run" is never executed, before or after;
  *   once      the call is executed at most once.
  *
  * Safeguards, and the flag that removes each:
  *   NO_TOMBSTONE        "never started" leaves a tombstone against a late offer
- *   NO_DEDUPLICATION    an attempt that is known is not queued again
- *   NO_SESSION_CHECK    an offer of a session that is not the current one is refused
+ *   NO_DEDUPLICATION    a known attempt is not queued again
+ *   NO_SESSION_CHECK    an offer from another than the current session is refused
  *   RECORDS_AFTER_SESSION  a known attempt is never refused, whatever its session
- *   NO_INCARNATION_CHECK   only the incarnation that got the offer may say
+ *   NO_INCARNATION_CHECK   only the incarnation that received the offer may reply
  *                          "never started"
  *   TIMEOUT_IS_NOT_RUN  a timeout is an unknown outcome
- *   RETRY_UNKNOWN       an unknown outcome is not tried again
- *   OLD_HELLO           a hello with a counter that is not higher opens nothing
+ *   RETRY_UNKNOWN       a call with an unknown outcome is not retried
+ *   OLD_HELLO           a hello without a higher counter opens no session
  *
- * Assumption, removed by DUPLICATE_ACROSS_RESTART: the transport never gives one
+ * Assumption, removed by DUPLICATE_ACROSS_RESTART: the transport never delivers one
  * frame to two incarnations of a side (a connection ends with its process, and a
  * frame taken off the queue is not queued again).
  */
@@ -48,17 +48,17 @@
 byte told = WAITING;
 byte attempt = 0;
 byte hello[SIDES];            /* counter of the last hello sent */
-byte entry_session[SIDES];    /* session of the last welcome heard */
+byte entry_session[SIDES];    /* session of the last welcome received */
 byte offered[SIDES];          /* session of the offer; NO_SESSION before */
 bit handed[SIDES];            /* whether the offer was handed to the socket */
 
 /* each side */
 byte incarnation[SIDES];
 byte last_counter[SIDES];
-byte current[SIDES];          /* session it serves */
-byte record[SIDES];           /* what it knows of the attempt */
+byte current[SIDES];          /* its current session */
+byte record[SIDES];           /* its record of the attempt */
 
-/* messages that were sent and may arrive at any time */
+/* messages that were sent and may arrive at any later time */
 bit welcome[SIDES * SESSIONS];
 bit cancel[SIDES * SESSIONS];
 byte offer_taken[SIDES];      /* 1 + the incarnation that took the offer's frame */
@@ -107,8 +107,8 @@
     last_counter[s] = counter;
     current[s] = SESSION(incarnation[s], counter);
     welcome[s * SESSIONS + current[s]] = 1;
-    /* tombstones may be forgotten with their session: late offers of that session
-     * are refused for the session itself */
+    /* a tombstone may be dropped with its session: a late offer of that session is
+     * refused because the session is not current */
     if
     :: record[s] == TOMBSTONE -> record[s] = NONE
     :: skip
@@ -162,7 +162,7 @@
     do
     /* hello */
     :: atomic { hello[s] < HELLOS -> hello[s]++ }
-    /* welcome_heard: only the answer to the latest hello counts */
+    /* welcome_heard: only the reply to the latest hello counts */
     :: atomic { WELCOMED(s, 0) -> entry_session[s] = SESSION(0, hello[s]) }
     :: atomic { WELCOMED(s, 1) -> entry_session[s] = SESSION(1, hello[s]) }
     /* offer_sent */
@@ -181,7 +181,7 @@
     :: atomic { TRYING(s) && not_started[s] -> go_on() }
     /* answer_heard */
     :: atomic { TRYING(s) && done[s] -> told = TOLD_ANSWER }
-    /* gave_up: the deadline passed, or the caller went away */
+    /* gave_up: the deadline passed, or the caller disconnected */
     :: atomic {
         TRYING(s) && handed[s] ->
 #ifdef TIMEOUT_IS_NOT_RUN
--- a/spec/authority.pml
+++ b/spec/authority.pml
@@ -1,19 +1,20 @@
 /*
- * Who may write the plan.
+ * Write authority over the plan.
  *
- * Two planners share a lease that lapses without its holder's knowledge. The plan is
- * one record with an epoch, a revision and the store's own revision of its last
- * write. A planner may be paused at any step, for any time; the reply to a write may
- * be lost, after which the planner reads the record back for its own nonce.
+ * Two planners compete for a lease that may expire without its holder's knowledge.
+ * The plan is one record with an epoch, a revision and the store's revision of its
+ * last write. A planner may be suspended at any step, for any time. The reply to a
+ * write may be lost; the planner then reads the record and looks for its own nonce.
  *
  * Properties (assertions):
- *   authority    a plan write takes effect only for the planner that took over last;
+ *   authority    only the planner that took over last can change the plan;
  *   forward      each plan written has a higher (epoch, revision) than the last.
  *
  * Safeguards, and the flag that removes each:
- *   NO_COMPARE      plan writes are compare-and-swap on the record
+ *   NO_COMPARE      plan writes are compare-and-swap operations on the record
  *   NO_EPOCH        the first write of a new lease holder raises the epoch
- *   LOST_REPLY_IS_OURS  after a lost reply the record is read back by its nonce
+ *   LOST_REPLY_IS_OURS  after a lost reply, the nonce in the record tells whether the
+ *                       write took effect
  */
 
 #define NOBODY 2
@@ -24,20 +25,20 @@
 byte store_revision = 0;      /* of the record's last write */
 byte epoch = 0;
 byte plan_revision = 0;
-byte writer = NOBODY;         /* whose nonce the record carries */
+byte writer = NOBODY;         /* the planner whose nonce is in the record */
 byte in_authority = NOBODY;   /* the planner whose takeover took effect last */
 
 /* each planner */
-#define FOLLOWING 0           /* another holds the lease */
+#define FOLLOWING 0           /* does not hold the lease */
 #define TAKING_OVER 1
 #define PLANNING 2
-#define WAITING 3             /* for the reply to a write */
+#define WAITING 3             /* awaits the reply to a write */
 byte phase[2];
 byte seen_store_revision[2];
 byte seen_epoch[2];
 byte seen_plan_revision[2];
 
-/* a write under way, and its reply */
+/* a write in flight, and its reply */
 bit under_way[2];
 byte compared[2];
 byte new_epoch[2];
@@ -104,7 +105,7 @@
 proctype planner(byte p) {
 end:
     do
-    /* lease_granted, then the record read; perhaps long after */
+    /* lease_granted; the record is read at any later time */
     :: atomic { phase[p] == FOLLOWING && lease == NOBODY -> lease = p; phase[p] = TAKING_OVER }
     /* takeover_sent */
     :: atomic {
@@ -124,7 +125,7 @@
     /* write_replied */
     :: atomic { phase[p] == WAITING && reply[p] == SUCCEEDED -> now_in_force(p) }
     :: atomic { phase[p] == WAITING && reply[p] == FAILED -> phase[p] = FOLLOWING }
-    /* reply_lost: the write took effect, did not, or may yet */
+    /* reply_lost: the write took effect, did not, or may still do so */
     :: atomic {
         phase[p] == WAITING ->
 #ifdef LOST_REPLY_IS_OURS
@@ -145,9 +146,9 @@
     byte p;
 end:
     do
-    /* lease_lapsed, without its holder's knowledge */
+    /* lease_lapsed: it expired without its holder's knowledge */
     :: atomic { lease != NOBODY -> lease = NOBODY }
-    /* write_applied, or refused, or lost before it took effect */
+    /* write_applied, rejected, or lost before it took effect */
     :: atomic { under_way[0] -> p = 0; apply(p) }
     :: atomic { under_way[1] -> p = 1; apply(p) }
     :: atomic { under_way[0] -> under_way[0] = 0 }
--- a/spec/check.py
+++ b/spec/check.py
@@ -1,8 +1,8 @@
-"""Runs Spin on each specification, whole and with each safeguard removed.
+"""Model-checks each specification with Spin, and each of its mutants.
 
-The whole specification must hold. Each broken twin, made with ``-D<FLAG>`` for a flag
-that the specification names, must be rejected: this is what shows that the
-properties can fail.
+The unmodified specification must hold. A mutant lacks one safeguard; it is compiled
+with ``-D<FLAG>`` for a flag that the specification names. Spin must find a violation in
+each mutant, which shows that the properties can fail.
 
 Run ``python spec/check.py`` for all, or with names: ``python spec/check.py claim``.
 """
@@ -35,9 +35,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """One specification, whole or without one safeguard.
+    """One specification, unmodified or without one safeguard.
 
-    :param flag: the safeguard removed; empty for the whole specification.
+    :param flag: flag that removes a safeguard; empty for the unmodified specification.
     """
 
     name: str
@@ -49,10 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the checker found.
+    """Result of the model checker on one case.
 
-    :param complete: whether every reachable state was visited, or an error found.
-    :param broken: the assertion that failed; empty if none did.
+    :param complete: whether every reachable state was visited, or a violation found.
+    :param violated: the assertion that was violated; empty if none was.
+    :param states: number of states stored.
+    :param seconds: duration of the check, including compilation.
     """
 
     case: Case
@@ -63,7 +65,7 @@
 
     @property
     def as_expected(self) -> bool:
-        """Whether a whole specification held, or a broken twin was rejected."""
+        """Whether an unmodified specification held, or a mutant was rejected."""
         return self.complete and bool(self.broken) is bool(self.case.flag)
 
     def __str__(self) -> str:
@@ -74,14 +76,14 @@
 
 
 def flags(name: str) -> list[str]:
-    """Return the safeguards that a specification can be run without."""
+    """Return the flags that remove safeguards of a specification."""
     text = (DIRECTORY / f"{name}.pml").read_text()
     found = {first or second for first, second in _CONDITIONAL.findall(text)}
     return sorted(found)
 
 
 def cases() -> list[Case]:
-    """Return every specification, each followed by its broken twins."""
+    """Return every specification, each followed by its mutants."""
     names = sorted(path.stem for path in DIRECTORY.glob("*.pml"))
     return [Case(name, flag) for name in names for flag in ["", *flags(name)]]
 
@@ -89,14 +91,14 @@
 def run(case: Case) -> Verdict:
     """Check one case in a temporary directory.
 
-    :raises subprocess.CalledProcessError: if Spin or the compiler refuses it.
+    :raises subprocess.CalledProcessError: if Spin or the compiler reports an error.
+    :raises subprocess.TimeoutExpired: if a step takes longer than allowed.
     """
     begin = time.monotonic()
     source = DIRECTORY / f"{case.name}.pml"
     define = [f"-D{case.flag}"] if case.flag else []
-    # The shortest way to a broken property is found first, and early, when the twins
-    # are searched breadth first.
-    # Their search is short, so that the compiler's own work is most of the time.
+    # Breadth-first search finds the shortest counterexample of a mutant, and early. The
+    # search is then so short that compilation takes most of the time, hence -O0.
     options = ["-O0", "-DBFS"] if case.flag else ["-O2"]
     with tempfile.TemporaryDirectory() as directory:
         _call(["spin", "-a", *define, os.fspath(source)], directory)
@@ -131,9 +133,11 @@
 
 
 def main() -> int:
-    """Check what the command line names and print a line for each."""
+    """Check the specifications named as arguments; print a line for each case."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("names", nargs="*", help="specifications; all by default")
+    parser.add_argument(
+        "names", nargs="*", help="names of specifications; all by default"
+    )
     names = parser.parse_args().names
     chosen = [case for case in cases() if not names or case.name in names]
     failed = 0
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,25 +1,25 @@
 /*
- * The claim of a non-repeatable call by compare-and-swap.
+ * Claim of a non-repeatable call by compare-and-swap.
  *
- * Three calls carry one key: calls 0 and 1 come through two entries at the same
- * time, call 2 is the caller's repetition after entry 0 was replaced and has lost
- * its memory. The key's record lies in a shard of the key-value service that holds
- * other keys as well, so that the shard's revision also rises without this key.
- * A write may take effect late, its reply may be lost, the service may be down, and
- * an entry may end at any step.
+ * Three calls carry one idempotency key: calls 0 and 1 arrive at two entries at the
+ * same time; call 2 is the caller's retry, after entry 0 was replaced and lost its
+ * memory. The key's record is in a shard of the key-value service together with other
+ * keys, whose writes also raise the shard's revision. A write may take effect late,
+ * its reply may be lost, the service may be down, and an entry may end at any step.
  *
  * Properties (assertions):
  *   once      over all calls of the key, at most one execution;
- *   not_run   a caller told "not run" is right.
+ *   not_run   a call reported as "not run" is not executed.
  *
  * Safeguards, and the flag that removes each:
  *   NO_COMPARE          the write of a claim is conditional on the revision read
- *   WRITE_OVER          a key that is claimed already is not claimed again
+ *   WRITE_OVER          a claimed key is not claimed again
  *   LOST_REPLY_IS_OURS  after a lost reply the record is read back
  *   SHARED_NONCE        the nonce is new for each call, not the entry's name
- *   MEMORY_ONLY         the claim lies in the service, not in the entry's memory
- *   RELEASE_UNKNOWN     a claim is given back only for a call that truly was not run
- *   UNCLAIMED_RUN       without a claim, as while the service is down, nothing runs
+ *   MEMORY_ONLY         the claim is stored in the service, not in the entry's memory
+ *   RELEASE_UNKNOWN     a claim is released only if the call was certainly not executed
+ *   UNCLAIMED_RUN       without a claim, as during an outage of the service, no call is
+ *                       executed
  */
 
 #define CALLS 3
@@ -56,7 +56,7 @@
 bit executed[CALLS];
 byte executions = 0;
 
-/* a conditional write under way; 0 is none, else 1 + the revision it compares */
+/* a conditional write in flight: 1 + the revision it compares; 0 for none */
 byte write_under_way[CALLS];
 byte release_under_way[CALLS];
 bit write_succeeded[CALLS];
@@ -119,9 +119,9 @@
 proctype call(byte c) {
 end:
     do
-    /* shard_read: also the reading back after a lost reply or a conflict */
+    /* shard_read: first, or again after a lost reply or a conflict */
     :: atomic { phase[c] == READING || phase[c] == READING_BACK -> read_shard(c) }
-    /* service_down: the read or the write was refused */
+    /* service_down: the service rejected the read or the write */
     :: atomic {
         phase[c] == READING || phase[c] == READING_BACK ->
 #ifdef UNCLAIMED_RUN
@@ -139,7 +139,7 @@
     /* claim_reply: the reply arrives */
     :: atomic { phase[c] == WRITING && write_succeeded[c] -> phase[c] = CLAIMED }
     :: atomic { phase[c] == WRITING && write_failed[c] -> phase[c] = READING }
-    /* claim_reply_lost: the write may have taken effect, or may yet */
+    /* claim_reply_lost: the write may have taken effect, or may still do so */
     :: atomic {
         phase[c] == WRITING && write_under_way[c] != 0 ->
 #ifdef LOST_REPLY_IS_OURS
@@ -170,13 +170,13 @@
         phase[c] == DISPATCHED && executed[c] ->
         told[c] = TOLD_ANSWER;
         phase[c] = ENDED }
-    /* refused: the side left a tombstone; the claim is given back */
+    /* refused: the side left a tombstone; the claim is released */
     :: atomic { phase[c] == CLAIMED -> phase[c] = RELEASING }
     :: atomic {
         phase[c] == RELEASING ->
         release_under_way[c] = 1 + revision;
         tell_not_run(c) }
-    /* outcome_unknown: the claim stays */
+    /* outcome_unknown: the claim is kept */
     :: atomic {
         phase[c] == DISPATCHED ->
 #ifdef RELEASE_UNKNOWN
@@ -184,12 +184,12 @@
 #endif
         told[c] = TOLD_UNKNOWN;
         phase[c] = ENDED }
-    /* entry_ended: its calls are told nothing, what it sent stays under way */
+    /* entry_ended: its calls get no result; its writes stay in flight */
     :: atomic { phase[c] != ENDED && phase[c] != DISPATCHED -> phase[c] = ENDED }
     od
 }
 
-/* What the service does with what is under way, in any order. */
+/* The service applies writes in flight in any order. */
 proctype service() {
     byte c;
 end:
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,35 +1,36 @@
 /*
- * Which configuration each process has in force.
+ * Propagation of the configuration to all processes.
  *
  * A document has a generation and a content (the number of the edit that made it).
- * Three processes learn documents from the key-value service and from each other; a
- * process may be replaced and then knows nothing; the service may be down for a
- * while, and comes back once with an older document. Two operators edit at once,
- * through the processes. After a while the faults and edits stop (calm).
+ * Three processes read documents from the key-value service and from each other. A
+ * process may be replaced by one without any state. The service may be down for a
+ * while, and is restored once from an older backup. Two operators edit concurrently,
+ * each through one process. Eventually faults and edits stop (calm).
  *
  * Properties (assertions):
- *   forward     no process puts an older generation in force than it had;
+ *   forward     no process replaces its generation by an older one;
  *   one         two processes with the same generation have the same content;
- *   everywhere  once it is calm, the newest accepted configuration comes into force
- *               everywhere: no run stops short of it;
- *   through_outage  the same among the processes while the service stays down, for
- *               the newest configuration that any of them knows;
- *   editable    once it is calm the service holds it too, so that it can be edited.
+ *   everywhere  after faults and edits stop, the newest accepted configuration comes
+ *               into force in every process;
+ *   through_outage  if the service stays down, the newest configuration that any
+ *               process has comes into force in every process;
+ *   editable    after faults and edits stop, the service holds the newest accepted
+ *               configuration too, so that it can be edited.
  *
  * Safeguards, and the flag that removes each:
- *   TAKE_ANY        a process takes only a higher generation, whatever its source
- *   NO_PEERS        processes also learn from each other
+ *   TAKE_ANY        a process applies only a higher generation, from any source
+ *   NO_PEERS        processes also read documents from each other
  *   NO_COMPARE      an edit is a compare-and-swap on the document it was made from
- *   NO_BASE_CHECK  an edit made from a generation below the one in force is refused by
- *               the process it goes through, when it is written: the service may have
- *               come back with just that older document
- *   NO_REPAIR       a process that knows more than the service gives it back, by
- *                   compare-and-swap, before any edit through it
+ *   NO_BASE_CHECK   a process rejects the write of an edit whose base is older than
+ *                   the generation it has in force: the service may have been restored
+ *                   to just that older document
+ *   NO_REPAIR       a process with a newer generation than the service's writes it to
+ *                   the service, by compare-and-swap, before any edit through it
  *
- * Assumption, removed by EDIT_BEHIND: when the service has come back older, an edit
- * is made through a process that knows the newest accepted generation. Where every
- * process that knew it is gone, nothing can tell that there was one. A write under
- * way when the service went down is not applied by the service that comes back.
+ * Assumption, removed by EDIT_BEHIND: after a restore of the service, an edit is made
+ * through a process that has the newest accepted generation. If every process that had
+ * it is gone, nothing can detect that it existed. A write in flight when the service
+ * went down is not applied by the restored service.
  */
 
 #define PROCESSES 3
@@ -52,7 +53,7 @@
 byte replaced = 0;
 bit calm = 0;
 
-/* edits under way: read, not yet written */
+/* edits in progress: read, not yet written */
 bit editing[2];
 byte base[2];
 byte base_content[2];
@@ -99,7 +100,7 @@
         stored_content = edits;
         newest = stored;
         newest_content = stored_content
-    :: else -> skip  /* a conflict, told to the operator */
+    :: else -> skip  /* a conflict, reported to the operator */
     fi;
     editing[o] = 0
 }
@@ -110,7 +111,7 @@
     base_content[o] = stored_content
 }
 
-/* Steps of a process that bring it, or the service, forward. */
+/* Steps by which a process or the service moves to a newer document. */
 #define FROM_SERVICE(p) (!down && NEWER(stored, p))
 #ifdef NO_PEERS
 #define FROM_PEER(p, q) false
@@ -128,7 +129,7 @@
 #endif
 #define MAY_EDIT(o, p) (!calm && !down && !editing[o] && edits < EDITS && in_force[p] != 0 && KNOWS(p) && REPAIRED(p))
 
-/* The newest generation is kept by some process whenever the service loses it. */
+/* Some process keeps the newest generation whenever the service loses it. */
 #define KNOWN_SOMEWHERE (in_force[0] == newest || in_force[1] == newest || in_force[2] == newest)
 #define KNOWN_WITHOUT(p) (stored == newest || (p != 0 && in_force[0] == newest) || (p != 1 && in_force[1] == newest) || (p != 2 && in_force[2] == newest))
 
@@ -139,7 +140,7 @@
     :: atomic { FROM_SERVICE(0) -> put_in_force(0, stored, stored_content) }
     :: atomic { FROM_SERVICE(1) -> put_in_force(1, stored, stored_content) }
     :: atomic { FROM_SERVICE(2) -> put_in_force(2, stored, stored_content) }
-    /* document_pulled from a peer whose heartbeat shows more */
+    /* document_pulled from a peer whose heartbeat shows a newer generation */
     :: atomic { FROM_PEER(0, 1) -> put_in_force(0, in_force[1], content[1]) }
     :: atomic { FROM_PEER(0, 2) -> put_in_force(0, in_force[2], content[2]) }
     :: atomic { FROM_PEER(1, 0) -> put_in_force(1, in_force[0], content[0]) }
@@ -147,7 +148,7 @@
     :: atomic { FROM_PEER(2, 0) -> put_in_force(2, in_force[0], content[0]) }
     :: atomic { FROM_PEER(2, 1) -> put_in_force(2, in_force[1], content[1]) }
 #ifndef NO_REPAIR
-    /* document_given_back to a service that came back older */
+    /* document_given_back to a service that was restored to an older one */
     :: atomic { GIVES_BACK(0) -> stored = in_force[0]; stored_content = content[0] }
     :: atomic { GIVES_BACK(1) -> stored = in_force[1]; stored_content = content[1] }
     :: atomic { GIVES_BACK(2) -> stored = in_force[2]; stored_content = content[2] }
@@ -158,7 +159,7 @@
     /* edit_written */
     :: atomic { editing[0] && !down && edits < EDITS -> edit(0, 0) }
     :: atomic { editing[1] && !down && edits < EDITS -> edit(1, 1) }
-    /* service_down, service_up, service_restored to an older document */
+    /* service_down, service_up, backup made, service_restored to the backup */
     :: atomic { !calm && !down -> down = 1 }
     :: atomic { down -> down = 0 }
     :: atomic { !calm && !was_restored -> backup = stored; backup_content = stored_content }
--- a/spec/install.sh
+++ b/spec/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what checks the specifications, Spin and a C compiler, where it is missing.
+# Installs the tools that check the specifications, Spin and a C compiler, if missing.
 set -euo pipefail
 
 missing=()
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -1,25 +1,25 @@
 /*
- * Orders to one engine, from holders of the plan that follow each other.
+ * Orders to one engine from successive holders of the plan.
  *
- * A holder reads how many orders the engine has taken, writes the plan, and gives an
- * order for exactly that count. It may be paused at any step, for any time, while
- * another takes over. The reply to an order may be lost, and the engine may carry the
- * order out at any later time. The engine may restart under its own name: it then knows
- * nothing of before, and what it had not carried out is lost with it.
+ * A holder reads how many orders the engine has accepted, writes the plan, and sends an
+ * order with that count as its precondition. It may be suspended at any step, for any
+ * time, while another takes over. The reply to an order may be lost, and the engine may
+ * execute the order at any later time. The engine may restart under the same name: it
+ * then loses its state and the orders that it had not executed.
  *
- * Engines here compare no fencing tokens: the protocol has to hold without, and those
- * that do compare them are a second safeguard.
+ * Engines in this model compare no fencing tokens: the protocol must hold without them.
+ * Engines that do compare them add a second safeguard.
  *
  * Properties (assertions):
- *   newest       an order is never carried out after one that was given later;
- *   authority    an order is never carried out after one of a later holder.
+ *   newest       an order is never executed after one that was sent later;
+ *   authority    an order is never executed after one of a later holder.
  *
  * Safeguards, and the flag that removes each:
- *   NO_PRECONDITION  an order names the count of orders that the engine must have taken
- *   NO_PLAN_WRITE    a plan write that compares the epoch comes before each order
- *   READ_LATE        the count is read before that write, and not after it
- *   STALE_READ       no order is given on a count from before the engine's restart: the
- *                    restart takes longer than a holder may take from reading to order
+ *   NO_PRECONDITION  an order carries the count of orders the engine must have accepted
+ *   NO_PLAN_WRITE    each order is preceded by a plan write that compares the epoch
+ *   READ_LATE        the count is read before that write, not after it
+ *   STALE_READ       no order is sent with a count from before the engine's restart: a
+ *                    restart takes longer than a holder may take from read to order
  */
 
 #define MOST_ORDERS 4
@@ -29,13 +29,13 @@
 /* the plan in the key-value service */
 byte epoch = 0;
 
-/* the engine, in its present life */
+/* the engine, since its last restart */
 byte sequence = 0;
 byte last_number = 0;
 byte last_token = 0;
 byte restarts = 0;
 
-/* orders, numbered as they are given */
+/* orders, numbered as they are sent */
 byte given = 0;
 bit under_way[MOST_ORDERS + 1];
 byte token_of[MOST_ORDERS + 1];
@@ -81,14 +81,14 @@
         phase[p] == HOLDING ->
         seen_sequence[p] = sequence;
         phase[p] = HAS_READ }
-    /* plan_written, or refused */
+    /* plan_written, or rejected */
     :: atomic {
         phase[p] == HAS_READ ->
         if
         :: IS_IN_AUTHORITY(p) -> phase[p] = HAS_WRITTEN
         :: else -> phase[p] = OUT
         fi }
-    /* order_given; its reply may come or not */
+    /* order_given; its reply may be lost */
     :: atomic {
         phase[p] == HAS_WRITTEN && given < MOST_ORDERS ->
         given++;
@@ -126,7 +126,7 @@
     byte n;
 end:
     do
-    /* order_carried_out, refused for its precondition, or lost */
+    /* order_carried_out, rejected for its precondition, or lost */
     :: atomic { under_way[1] -> arrive(1) }
     :: atomic { under_way[2] -> arrive(2) }
     :: atomic { under_way[3] -> arrive(3) }
--- a/spec/slot.pml
+++ b/spec/slot.pml
@@ -1,30 +1,30 @@
 /*
- * Orders to one engine.
+ * Orders to one engine from successive side processes of its slot.
  *
- * The engine ignores fencing tokens and may crash in mid-change. In its slot side
- * process 0 runs, and side process 1 is started at any time, also while process 0 is
- * only paused. A paused process is one that takes no step for any length of time;
- * what it has put into a socket stays under way. Plans rise as authority.pml shows;
- * here they are known by the rank of their token.
+ * The engine ignores fencing tokens and may crash during a role change. Side process 0
+ * runs in the engine's slot, and side process 1 may start at any time, even while
+ * process 0 is only suspended. A suspended process takes no step for any length of
+ * time; data that it has written to a socket stays in flight. Tokens of plans only
+ * increase, as authority.pml shows; here a plan is identified by its token's rank.
  *
  * Properties (assertions):
- *   forward      an engine takes no order of a lower token after a higher;
- *   one_order    an engine is never given an order while another is under way;
- *   read_back    work is routed only to an engine that is what its side believes.
+ *   forward      an engine accepts no order with a lower token after a higher one;
+ *   one_order    an engine never receives an order while another is in progress;
+ *   read_back    work is routed only to an engine whose assignment its side knows.
  *
  * Safeguards, and the flag that removes each:
  *   OBEY_LOWER      a side obeys only a higher token than the last
  *   NO_BIND         a side binds its fixed address exclusively before anything else
- *   NO_SETTLE       a started side lets orders already in a socket settle
+ *   NO_SETTLE       a started side waits until orders already in a socket have settled
  *   READ_BEFORE_BIND  the plan is read after binding and settling
  *   TRUST_PEERS     a started side reads the plan from the service itself
- *   NO_READ_BACK    after a lost reply, the engine's state is read before an order
- *   ASSUME_DONE     an order's end is read back, with the engine's boot identity
+ *   NO_READ_BACK    after a lost reply, the engine's state is read before another order
+ *   ASSUME_DONE     an order's result is read back, with the engine's boot identity
  *
  * Assumption behind NO_SETTLE: an order that a dead process left in a socket reaches
- * the engine within the settling time or never. An engine that keeps one back for
- * longer and also ignores tokens can still be given an old order; nothing outside
- * the engine can prevent this.
+ * the engine within the settling time or never. An engine that delays one for longer
+ * and also ignores tokens can still execute an old order; nothing outside the engine
+ * can prevent this.
  */
 
 #define NOBODY 2
@@ -37,18 +37,18 @@
 #define BINDING 1
 #define SETTLING 2
 #define LEARNING 3            /* reads the plan from the service */
-#define IDLE 4                /* knows that the engine is changing nothing */
+#define IDLE 4                /* knows that the engine is in no role change */
 #define ORDERED 5
 byte phase[2];
 bit was_started[2];
 byte bound = NOBODY;
 byte last[2];                 /* highest token obeyed */
 byte want[2];                 /* token to be ordered; 0 for none */
-byte in_socket[2];            /* token of an order under way to the engine */
-byte believed[2];             /* what the side takes the engine to be */
+byte in_socket[2];            /* token of an order in flight to the engine */
+byte believed[2];             /* the assignment that the side believes the engine has */
 bit routing[2];
 
-/* the engine; what it is, is named by the token of the order that made it so */
+/* the engine; an assignment is identified by the token of its order */
 byte changing = 0;
 byte assignment = 0;
 byte highest_taken = 0;
@@ -144,7 +144,7 @@
 #endif
         routing[p] = 1;
         phase[p] = IDLE }
-    /* routed: with the boot identity read back, the engine refuses if it crashed */
+    /* routed: the engine rejects work if its boot identity has changed by a crash */
     :: atomic {
         routing[p] && phase[p] == IDLE && changing == 0 ->
         assert(believed[p] == assignment);  /* read_back */
@@ -177,7 +177,7 @@
     do
     /* change_done */
     :: atomic { changing != 0 -> assignment = changing; changing = 0 }
-    /* engine_crashed in mid-change, with the change done or not */
+    /* engine_crashed during a role change, with the change done or not */
     :: atomic {
         changing != 0 && crashes < 2 ->
         crashes++;
@@ -189,7 +189,7 @@
     od
 }
 
-/* Plans are written, whatever the sides do. */
+/* Plans are written independently of the sides. */
 proctype service() {
 end:
     do
